--- a/fleet/accounts.go
+++ b/fleet/accounts.go
@@ -25,7 +25,7 @@
 )
 
 // needsNoAccounts reports whether this instance has no use for the accounts: it owns no cell, or no organisation has a maximum.
-func (fl *Fleet) needsNoAccounts() bool { return fl.ownsNothing() || !fl.boundsAny() }
+func (fl *Fleet) needsNoAccounts() bool { return fl.ownsNoCells() || !fl.boundsAny() }
 
 // boundsAny reports whether an organisation has a maximum.
 func (fl *Fleet) boundsAny() bool {
@@ -110,8 +110,8 @@
 		ow.fl.opts.Log.Emit(event.SaveFailed, zap.String("cell", ow.name), zap.Error(err))
 		return false
 	}
-	callCtx, cancel := context.WithTimeout(ctx, ow.fl.link.patience())
-	version, err := ow.fl.link.Commit(callCtx, tx)
+	callCtx, cancel := context.WithTimeout(ctx, ow.fl.store.commitTimeout())
+	version, err := ow.fl.store.Commit(callCtx, tx)
 	cancel()
 	var cf *Conflict
 	switch {
--- a/fleet/control.go
+++ b/fleet/control.go
@@ -88,11 +88,11 @@
 			continue
 		}
 		now := fl.opts.Now()
-		if _, until := fl.control.healthy(); now.Sub(until) > deadAfter {
+		if _, until := fl.control.healthyPeriod(); now.Sub(until) > deadAfter {
 			continue
 		}
-		live := fl.alive()
-		fl.agreeLayout(live)
+		live := fl.liveNodes()
+		fl.updateLayout(live)
 		for _, name := range fl.cells() {
 			fl.consider(ctx, now, name, live)
 		}
@@ -114,14 +114,14 @@
 	}
 	if fl.ownerLives(name, or, live) {
 		fl.members.mu.Lock()
-		delete(fl.members.vacant, name)
+		delete(fl.members.vacantSince, name)
 		fl.members.mu.Unlock()
 		return
 	}
 	fl.members.mu.Lock()
-	since, waiting := fl.members.vacant[name]
+	since, waiting := fl.members.vacantSince[name]
 	if !waiting {
-		fl.members.vacant[name], since = now, now
+		fl.members.vacantSince[name], since = now, now
 	}
 	fl.members.mu.Unlock()
 	rank := fl.rank(name, live)
@@ -137,25 +137,25 @@
 		return false
 	}
 	if name == machinesCell {
-		return fl.dutyHeld(or)
+		return fl.machineLeaseHeld(or)
 	}
 	nd, known := live[or.Holder]
 	return known && nd.Incarnation == or.Incarnation && !nd.Leaving
 }
 
 // dutyHeld reports whether the lease of the machines' duty may still run. A holder whose process has started anew gives no orders any more.
-func (fl *Fleet) dutyHeld(or ownerRow) bool {
+func (fl *Fleet) machineLeaseHeld(or ownerRow) bool {
 	if nd, known := fl.members.node(or.Holder); known && nd.Incarnation != or.Incarnation {
 		return false
 	}
-	since, until := fl.control.healthy()
-	return until.Sub(later(fl.members.changed(machinesCell), since)) < max(or.Term, dutyTerm)+dutyMargin
+	since, until := fl.control.healthyPeriod()
+	return until.Sub(later(fl.members.ownerChanged(machinesCell), since)) < max(or.Term, machineLeaseTermMin)+machineLeaseMargin
 }
 
 // works reports whether this instance works on a cell, or is about to.
 func (fl *Fleet) works(name string) bool {
 	if name == machinesCell {
-		return fl.duty.held()
+		return fl.controller.isLeader()
 	}
 	return fl.ownerOf(name) != nil
 }
@@ -167,11 +167,11 @@
 		load float64
 		hash uint32
 	}
-	held := fl.members.held()
+	held := fl.members.cellCounts()
 	var list []rated
 	for _, nd := range live {
 		if !nd.Leaving {
-			list = append(list, rated{nd.Name, nd.burden(held[nd.Name] + 1), hash(name + "/" + nd.Name)})
+			list = append(list, rated{nd.Name, nd.load(held[nd.Name] + 1), hash(name + "/" + nd.Name)})
 		}
 	}
 	slices.SortFunc(list, func(one, other rated) int {
@@ -210,7 +210,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	asked := fl.opts.Now()
-	version, err := fl.link.Commit(callCtx, Tx{Expect: []Expect{{place, old.version}}, Write: []Row{{Table: place.Table, Part: place.Part, Key: place.Key, Value: raw}}})
+	version, err := fl.store.Commit(callCtx, Tx{Expect: []Expect{{place, old.version}}, Write: []Row{{Table: place.Table, Part: place.Part, Key: place.Key, Value: raw}}})
 	var cf *Conflict
 	if errors.As(err, &cf) {
 		if mine := fl.claimedBefore(cf, place, raw); mine != 0 {
@@ -222,16 +222,16 @@
 		fl.opts.Log.Emit(event.ClaimFailed, zap.String("cell", name), zap.Error(err))
 		return
 	}
-	next.version, next.seen = version, fl.opts.Now()
+	next.version, next.seenAt = version, fl.opts.Now()
 	fl.members.mu.Lock()
 	if fl.members.owners[name].version < version {
-		fl.members.owners[name], fl.members.ownedAt[name] = next, fl.opts.Now()
+		fl.members.owners[name], fl.members.ownerChangedAt[name] = next, fl.opts.Now()
 	}
 	fl.members.mu.Unlock()
 	fl.opts.Log.Emit(event.CellClaimed, zap.String("cell", name), zap.Int64("epoch", version), zap.String("before", old.Holder), zap.Int("workers", len(next.Workers)))
 	fl.fig.claims.Inc(1)
 	if name == machinesCell {
-		fl.startDuty(ctx, next, old)
+		fl.startMachineController(ctx, next, old)
 		return
 	}
 	fl.startOwner(ctx, name, next, old, asked)
@@ -251,7 +251,7 @@
 // usedWorkers are those that earlier owners used and those that are registered.
 func (fl *Fleet) usedWorkers(name string, before []cell.Ref) []cell.Ref {
 	list := slices.Clone(before)
-	for _, wk := range fl.roster.of(job.PoolID(name)) {
+	for _, wk := range fl.workerCache.inPool(job.PoolID(name)) {
 		if !slices.ContainsFunc(list, func(rf cell.Ref) bool { return rf.ID == wk.ID }) {
 			list = append(list, cell.Ref{ID: wk.ID, Address: wk.Address, Machine: wk.Machine})
 		}
--- a/fleet/drain.go
+++ b/fleet/drain.go
@@ -14,7 +14,7 @@
 )
 
 // shortWait is how long short tasks may keep a machine that is wanted.
-const shortWait = 5 * time.Second
+const shortTaskGrace = 5 * time.Second
 
 // drainRow is the row of a machine that is wanted.
 type drainRow struct {
@@ -23,11 +23,11 @@
 	Pool    job.PoolID      `json:"pool"`
 	Wave    int             `json:"wave"`
 	version int64
-	seen    time.Time
+	seenAt    time.Time
 }
 
 // takeDrain takes the row of a machine that is wanted.
-func (mb *members) takeDrain(rw Row) {
+func (mb *members) applyDrain(rw Row) {
 	id := cell.MachineID(strings.TrimPrefix(rw.Key, drainPrefix))
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
@@ -40,15 +40,15 @@
 		delete(mb.drains, id)
 		return
 	}
-	dr.version, dr.seen = rw.Version, mb.now()
+	dr.version, dr.seenAt = rw.Version, mb.now()
 	if old, ok := mb.drains[id]; ok && old.Worker == dr.Worker {
-		dr.seen = old.seen
+		dr.seenAt = old.seenAt
 	}
 	mb.drains[id] = dr
 }
 
 // cordon tells the cells owned here which workers are to be emptied.
-func (fl *Fleet) cordon() {
+func (fl *Fleet) cordonWorkers() {
 	fl.members.mu.RLock()
 	drains := maps.Clone(fl.members.drains)
 	fl.members.mu.RUnlock()
@@ -62,13 +62,13 @@
 }
 
 // clears are the wanted workers of a pool that have become empty. The caller holds the owner's lock.
-func (ow *owner) clears(now time.Time) []cell.WorkerName {
+func (ow *owner) drainedWorkers(now time.Time) []cell.WorkerName {
 	mb := ow.fl.members
 	mb.mu.RLock()
 	defer mb.mu.RUnlock()
 	var list []cell.WorkerName
 	for _, dr := range mb.drains {
-		if dr.Pool == ow.pool() && ow.isClear(dr.Worker, now.Sub(dr.seen)) {
+		if dr.Pool == ow.pool() && ow.isDrained(dr.Worker, now.Sub(dr.seenAt)) {
 			list = append(list, dr.Worker)
 		}
 	}
@@ -78,22 +78,22 @@
 
 // noteClear takes from the loads which wanted workers are empty. Owners tell the holder of the duty each time it asks; in the store, where
 // nobody else needs it, it would take turns from the duty's lease. An owner that has been replaced knows nothing of its successor's tasks.
-func (du *duty) noteClear(loads map[job.PoolID]cell.Load) {
+func (ct *machineController) recordDrained(loads map[job.PoolID]cell.Load) {
 	found := map[cell.WorkerName]bool{}
 	for pool, ld := range loads {
-		if ld.Epoch != du.fl.members.owner(cellName(pool)).epoch() {
+		if ld.Epoch != ct.fl.members.owner(cellName(pool)).epoch() {
 			continue
 		}
 		for _, id := range ld.Clear {
 			found[id] = true
 		}
 	}
-	du.mu.Lock()
-	defer du.mu.Unlock()
-	du.clear = found
+	ct.mu.Lock()
+	defer ct.mu.Unlock()
+	ct.drained = found
 }
 
 // isClear reports whether nothing runs on a worker that has been wanted for some time. The caller holds the owner's lock.
-func (ow *owner) isClear(id cell.WorkerName, wanted time.Duration) bool {
-	return ow.core.Cordoned(id) && (ow.core.Clear(id) || wanted > shortWait && ow.core.OnlyShort(id))
+func (ow *owner) isDrained(id cell.WorkerName, since time.Duration) bool {
+	return ow.core.Cordoned(id) && (ow.core.Clear(id) || since > shortTaskGrace && ow.core.OnlyShort(id))
 }
--- a/fleet/dutylease_test.go
+++ b/fleet/dutylease_test.go
@@ -18,24 +18,24 @@
 func TestNoOrderOfAnEarlierHolderIsUnderWay(t *testing.T) {
 	st := newSite(t, time.Millisecond)
 	one, two := st.start("one"), st.start("two")
-	first := st.holder(one, two)
+	first := st.leader(one, two)
 	next := one
 	if first == one {
 		next = two
 	}
 	st.eventually("the other is ready", next.Ready)
-	ob := &orderBook{}
-	ob.press(t, first)
-	ob.press(t, next)
-	st.eventually("orders of the first holder", func() bool { return len(ob.of(first.opts.Name)) > 1 })
+	ob := &orderRecorder{}
+	ob.sendConstantly(t, first)
+	ob.sendConstantly(t, next)
+	st.eventually("orders of the first holder", func() bool { return len(ob.byNode(first.opts.Name)) > 1 })
 	first.way.set(func(sw *storeWay) { sw.silent = true })
 	// The detour through the peer would keep it in office.
 	first.peers.mu.Lock()
-	first.peers.bad[next.opts.Address] = time.Now().Add(time.Hour)
+	first.peers.backoffUntil[next.opts.Address] = time.Now().Add(time.Hour)
 	first.peers.mu.Unlock()
-	st.eventually("orders of the next holder", func() bool { return len(ob.of(next.opts.Name)) > 0 })
-	begin := ob.of(next.opts.Name)[0]
-	for _, gv := range ob.of(first.opts.Name) {
+	st.eventually("orders of the next holder", func() bool { return len(ob.byNode(next.opts.Name)) > 0 })
+	begin := ob.byNode(next.opts.Name)[0]
+	for _, gv := range ob.byNode(first.opts.Name) {
 		if gv.to.After(begin.from) {
 			t.Fatalf("an order of the first holder ended %v after the next one began", gv.to.Sub(begin.from))
 		}
@@ -49,30 +49,30 @@
 func TestTermFollowsTheStore(t *testing.T) {
 	st := newSite(t, time.Millisecond)
 	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &storeWay{mm: st.mm}, Workers: st.workers, Machines: noMachines{}, Format: plainFormat{}})
-	if fast := fl.dutyTerm(); fast != dutyTerm {
+	if fast := fl.machineLeaseTerm(); fast != machineLeaseTermMin {
 		t.Errorf("the term is %v while the store is fast", fast)
 	}
-	fl.link.answer = 500 * time.Millisecond
-	slow := fl.dutyTerm()
-	if slow < 4*fl.link.answer || slow > dutyTermMost {
-		t.Errorf("the term is %v while a transaction takes %v", slow, fl.link.answer)
+	fl.store.latency = 500 * time.Millisecond
+	slow := fl.machineLeaseTerm()
+	if slow < 4*fl.store.latency || slow > machineLeaseTermMax {
+		t.Errorf("the term is %v while a transaction takes %v", slow, fl.store.latency)
 	}
 	now := time.Now()
 	fl.control.origin = now.Add(-2 * time.Hour)
-	fl.control.since.Store(int64(time.Hour))
-	fl.control.good.Store(int64(2 * time.Hour))
+	fl.control.successSince.Store(int64(time.Hour))
+	fl.control.lastSuccess.Store(int64(2 * time.Hour))
 	for _, tc := range []struct {
 		term, still time.Duration
 		held        bool
 	}{
-		{dutyTerm, dutyTerm, true},
-		{dutyTerm, dutyTerm + 2*dutyMargin, false},
-		{slow, dutyTerm + 2*dutyMargin, true},
-		{slow, slow + 2*dutyMargin, false},
-		{0, dutyTerm, true},
+		{machineLeaseTermMin, machineLeaseTermMin, true},
+		{machineLeaseTermMin, machineLeaseTermMin + 2*machineLeaseMargin, false},
+		{slow, machineLeaseTermMin + 2*machineLeaseMargin, true},
+		{slow, slow + 2*machineLeaseMargin, false},
+		{0, machineLeaseTermMin, true},
 	} {
-		fl.members.ownedAt[machinesCell] = now.Add(-tc.still)
-		if got := fl.dutyHeld(ownerRow{Holder: "two", Term: tc.term}); got != tc.held {
+		fl.members.ownerChangedAt[machinesCell] = now.Add(-tc.still)
+		if got := fl.machineLeaseHeld(ownerRow{Holder: "two", Term: tc.term}); got != tc.held {
 			t.Errorf("a row of term %v that stands still for %v: held is %t", tc.term, tc.still, got)
 		}
 	}
@@ -83,11 +83,11 @@
 	st := newSite(t, time.Millisecond)
 	now := time.Now()
 	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &storeWay{mm: st.mm, refuse: true}, Workers: st.workers, Machines: noMachines{}, Format: plainFormat{}, Now: func() time.Time { return now }})
-	fl.duty.keeper = machine.NewKeeper(now, 0)
-	fl.duty.lease = dutyLease{until: now.Add(dutyTermMost), ordered: map[cell.MachineID]*orderedMachine{}}
-	fl.duty.renewOnce(context.Background(), nil)
-	if left := fl.duty.lease.until.Sub(now); left > dutyTerm {
-		t.Fatalf("orders may be given for %v, the row that was sent says %v", left, dutyTerm)
+	fl.controller.keeper = machine.NewKeeper(now, 0)
+	fl.controller.lease = machineLease{expires: now.Add(machineLeaseTermMax), ordered: map[cell.MachineID]*machineOrders{}}
+	fl.controller.renewOnce(context.Background(), nil)
+	if left := fl.controller.lease.expires.Sub(now); left > machineLeaseTermMin {
+		t.Fatalf("orders may be given for %v, the row that was sent says %v", left, machineLeaseTermMin)
 	}
 }
 
@@ -95,13 +95,13 @@
 func TestLateClaimDoesNotReplaceAHolderThatRenewed(t *testing.T) {
 	st := newSite(t, time.Millisecond)
 	one := st.start("one")
-	st.holder(one)
+	st.leader(one)
 	two := st.start("two")
 	st.eventually("the other is ready", two.Ready)
 	stale := two.members.owner(machinesCell)
-	st.eventually("a renewal", func() bool { return one.duty.leaseVersion() > stale.version })
+	st.eventually("a renewal", func() bool { return one.controller.leaseVersion() > stale.version })
 	two.claimNow(context.Background(), machinesCell, stale)
-	if two.duty.held() {
+	if two.controller.isLeader() {
 		t.Fatal("a claim in a version that is gone was granted")
 	}
 }
@@ -121,26 +121,26 @@
 	}}
 	clock := now
 	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: way, Workers: st.workers, Machines: noMachines{}, Format: plainFormat{}, Now: func() time.Time { return clock }})
-	fl.duty.row = ownerRow{Holder: "one", Incarnation: fl.opts.Incarnation}
-	fl.duty.keeper = machine.NewKeeper(now, 0)
-	fl.duty.lease.ordered = map[cell.MachineID]*orderedMachine{}
-	if fl.duty.renewOnce(context.Background(), nil) {
+	fl.controller.row = ownerRow{Holder: "one", Incarnation: fl.opts.Incarnation}
+	fl.controller.keeper = machine.NewKeeper(now, 0)
+	fl.controller.lease.ordered = map[cell.MachineID]*machineOrders{}
+	if fl.controller.renewOnce(context.Background(), nil) {
 		t.Fatal("a try without an answer counts as a renewal")
 	}
-	if until := fl.duty.lease.until; until.After(now) {
+	if until := fl.controller.lease.expires; until.After(now) {
 		t.Fatalf("a try without an answer gave a lease of %v", until.Sub(now))
 	}
 	clock = now.Add(time.Second)
-	for _, want := range []time.Time{now.Add(dutyTerm), clock.Add(dutyTerm)} {
+	for _, want := range []time.Time{now.Add(machineLeaseTermMin), clock.Add(machineLeaseTermMin)} {
 		// The first of these finds the earlier try's row, the second renews in its version.
-		if !fl.duty.renewOnce(context.Background(), nil) {
+		if !fl.controller.renewOnce(context.Background(), nil) {
 			t.Fatal("the lease was not renewed")
 		}
-		if got := fl.duty.lease.until; !got.Equal(want) {
+		if got := fl.controller.lease.expires; !got.Equal(want) {
 			t.Fatalf("the lease ends %v after the first try, want %v", got.Sub(now), want.Sub(now))
 		}
 	}
-	if fl.duty.keeper.Lost() {
+	if fl.controller.keeper.Lost() {
 		t.Fatal("its own row was taken for another holder's")
 	}
 }
@@ -149,18 +149,18 @@
 func TestOrderIsGivenUpWhenTheLeaseEnds(t *testing.T) {
 	st := newSite(t, time.Millisecond)
 	one := st.start("one")
-	st.holder(one)
-	one.duty.announce(context.Background(), []cell.MachineID{pressed})
+	st.leader(one)
+	one.controller.announce(context.Background(), []cell.MachineID{busyMachine})
 	one.way.set(func(sw *storeWay) { sw.silent = true })
 	st.eventually("a lease that is not renewed any more", func() bool {
-		one.duty.mu.Lock()
-		defer one.duty.mu.Unlock()
-		return time.Until(one.duty.lease.until) < dutyTerm/2
+		one.controller.mu.Lock()
+		defer one.controller.mu.Unlock()
+		return time.Until(one.controller.lease.expires) < machineLeaseTermMin/2
 	})
-	one.duty.mu.Lock()
-	until := one.duty.lease.until
-	one.duty.mu.Unlock()
-	one.duty.order(context.Background(), pressed, func(ctx context.Context) machine.Outcome {
+	one.controller.mu.Lock()
+	until := one.controller.lease.expires
+	one.controller.mu.Unlock()
+	one.controller.sendOrder(context.Background(), busyMachine, func(ctx context.Context) machine.Outcome {
 		if deadline, _ := ctx.Deadline(); deadline.After(until.Add(time.Millisecond)) {
 			t.Errorf("the order may be under way until %v after the lease", deadline.Sub(until))
 		}
@@ -172,21 +172,21 @@
 func TestHandedOverDutyIsTakenAtOnce(t *testing.T) {
 	st := newSite(t, time.Millisecond)
 	one := st.start("one")
-	st.holder(one)
+	st.leader(one)
 	two := st.start("two")
 	st.eventually("the other is ready", two.Ready)
-	ob := &orderBook{}
-	ob.press(t, one)
-	st.eventually("orders", func() bool { return len(ob.of("one")) > 0 })
+	ob := &orderRecorder{}
+	ob.sendConstantly(t, one)
+	st.eventually("orders", func() bool { return len(ob.byNode("one")) > 0 })
 	one.HandOver(context.Background())
-	if st.dutyRow().Holder == "one" {
+	if st.leaseRow().Holder == "one" {
 		t.Fatal("the duty's row still names the one that left")
 	}
 	handed := time.Now()
-	st.holder(two)
-	st.eventually("the end of what is under way", func() bool { return !one.duty.leased(time.Now()) })
-	sleep(context.Background(), dutyTerm)
-	for _, gv := range ob.of("one") {
+	st.leader(two)
+	st.eventually("the end of what is under way", func() bool { return !one.controller.leaseValid(time.Now()) })
+	sleep(context.Background(), machineLeaseTermMin)
+	for _, gv := range ob.byNode("one") {
 		if gv.to.After(handed) {
 			t.Fatal("an order was under way after the handover")
 		}
@@ -197,9 +197,9 @@
 func TestOnlyAnnouncedMachinesGetOrders(t *testing.T) {
 	st := newSite(t, time.Millisecond)
 	one := st.start("one")
-	st.holder(one)
+	st.leader(one)
 	give := func(id cell.MachineID) (given bool) {
-		one.duty.order(context.Background(), id, func(context.Context) machine.Outcome {
+		one.controller.sendOrder(context.Background(), id, func(context.Context) machine.Outcome {
 			given = true
 			return machine.Done
 		})
@@ -209,16 +209,16 @@
 		t.Error("an order for a machine that was not announced")
 	}
 	one.way.set(func(sw *storeWay) { sw.refuse = true })
-	one.duty.announce(context.Background(), []cell.MachineID{"m1"})
+	one.controller.announce(context.Background(), []cell.MachineID{"m1"})
 	if give("m1") {
 		t.Error("an order for a machine whose announcement is not kept")
 	}
 	one.way.set(func(sw *storeWay) { sw.refuse = false })
 	st.eventually("an order after the announcement", func() bool {
-		one.duty.announce(context.Background(), []cell.MachineID{"m1"})
+		one.controller.announce(context.Background(), []cell.MachineID{"m1"})
 		return give("m1")
 	})
-	row := st.dutyRow()
+	row := st.leaseRow()
 	if _, named := row.Ordered["m1"]; !named {
 		t.Fatalf("the row names %v", row.Ordered)
 	}
@@ -228,11 +228,11 @@
 func TestNextHolderRestsFromWhatTheRowNames(t *testing.T) {
 	st := newSite(t, time.Millisecond)
 	one := st.start("one")
-	st.holder(one)
+	st.leader(one)
 	st.eventually("an order", func() bool {
-		one.duty.announce(context.Background(), []cell.MachineID{"m1"})
+		one.controller.announce(context.Background(), []cell.MachineID{"m1"})
 		given := false
-		one.duty.order(context.Background(), "m1", func(context.Context) machine.Outcome {
+		one.controller.sendOrder(context.Background(), "m1", func(context.Context) machine.Outcome {
 			given = true
 			return machine.Done
 		})
@@ -241,24 +241,24 @@
 	two := st.start("two")
 	st.eventually("the other is ready", two.Ready)
 	one.HandOver(context.Background())
-	st.holder(two)
-	two.duty.mu.Lock()
-	before := two.duty.before
-	two.duty.mu.Unlock()
-	if left := before.Ordered["m1"]; left <= 0 || left > dutyQuiet || len(before.Ordered) != 1 {
+	st.leader(two)
+	two.controller.mu.Lock()
+	before := two.controller.previous
+	two.controller.mu.Unlock()
+	if left := before.Ordered["m1"]; left <= 0 || left > machineCooldown || len(before.Ordered) != 1 {
 		t.Fatalf("the row names %v", before.Ordered)
 	}
-	if _, passed := st.dutyRow().Ordered["m1"]; !passed && time.Since(before.seen) < dutyQuiet/2 {
+	if _, passed := st.leaseRow().Ordered["m1"]; !passed && time.Since(before.seenAt) < machineCooldown/2 {
 		t.Fatal("the next holder's row does not name it")
 	}
 	for _, tc := range []struct {
 		id    cell.MachineID
 		after time.Duration
 		want  bool
-	}{{"m1", 0, true}, {"m1", dutyQuiet, false}, {"m2", 0, false}} {
-		two.duty.mu.Lock()
-		got := two.duty.resting(before.seen.Add(tc.after), tc.id)
-		two.duty.mu.Unlock()
+	}{{"m1", 0, true}, {"m1", machineCooldown, false}, {"m2", 0, false}} {
+		two.controller.mu.Lock()
+		got := two.controller.coolingDown(before.seenAt.Add(tc.after), tc.id)
+		two.controller.mu.Unlock()
 		if got != tc.want {
 			t.Errorf("%s rests after %v: %t", tc.id, tc.after, got)
 		}
@@ -270,22 +270,22 @@
 func TestRowTellsForHowLongMachinesRest(t *testing.T) {
 	const term = time.Second
 	now := time.Now()
-	dl := dutyLease{ordered: map[cell.MachineID]*orderedMachine{
+	dl := machineLease{ordered: map[cell.MachineID]*machineOrders{
 		"announced": {announced: true},
-		"active":    {active: 1, over: now.Add(-time.Minute)},
-		"over":      {over: now.Add(-time.Second)},
-		"long over": {over: now.Add(-dutyQuiet)},
+		"active":    {inFlight: 1, lastDone: now.Add(-time.Minute)},
+		"over":      {lastDone: now.Add(-time.Second)},
+		"long over": {lastDone: now.Add(-machineCooldown)},
 		"refused":   {},
 	}}
-	got := dl.recent(now, term)
-	want := map[cell.MachineID]time.Duration{"announced": dutyQuiet + term, "active": dutyQuiet + term, "over": dutyQuiet - time.Second}
+	got := dl.cooldowns(now, term)
+	want := map[cell.MachineID]time.Duration{"announced": machineCooldown + term, "active": machineCooldown + term, "over": machineCooldown - time.Second}
 	if !maps.Equal(got, want) {
 		t.Fatalf("rests %v, want %v", got, want)
 	}
 }
 
 // dutyRow is the row of the machines' duty.
-func (st *site) dutyRow() ownerRow {
+func (st *site) leaseRow() ownerRow {
 	st.t.Helper()
 	var or ownerRow
 	for _, rw := range st.mm.read(Query{Table: tableControl, Part: machinesCell, From: ownerKey, Limit: 1}).Rows {
@@ -308,16 +308,16 @@
 			return false
 		}
 	})
-	st.holder(one)
+	st.leader(one)
 	told := func() string {
 		for _, rw := range st.mm.read(Query{Table: "status"}).Rows {
 			return string(rw.Value)
 		}
 		return ""
 	}
-	one.duty.report(context.Background(), machine.Report{Wave: 1, Completed: true})
+	one.controller.reportWave(context.Background(), machine.Report{Wave: 1, Completed: true})
 	st.eventually("the end is told", func() bool { return told() == "completed true" })
-	one.duty.report(context.Background(), machine.Report{Wave: 1})
+	one.controller.reportWave(context.Background(), machine.Report{Wave: 1})
 	<-tried
 	if word := told(); word != "completed true" {
 		t.Fatalf("the operator reads %q", word)
@@ -338,12 +338,12 @@
 			return false
 		}
 	})
-	st.holder(one)
-	one.duty.announce(context.Background(), []cell.MachineID{"m1"})
+	st.leader(one)
+	one.controller.announce(context.Background(), []cell.MachineID{"m1"})
 	if lost != 1 {
 		t.Fatalf("%d answers were lost", lost)
 	}
-	if !one.duty.names([]cell.MachineID{"m1"}) {
+	if !one.controller.isPublished([]cell.MachineID{"m1"}) {
 		t.Fatal("the machine is not named after its announcement was lost")
 	}
 }
@@ -355,23 +355,23 @@
 	now := time.Now()
 	clock := now
 	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &storeWay{mm: st.mm}, Workers: st.workers, Machines: noMachines{}, Format: plainFormat{}, Now: func() time.Time { return clock }})
-	du := fl.duty
+	du := fl.controller
 	du.row = ownerRow{Holder: "one", Incarnation: fl.opts.Incarnation}
 	du.keeper, du.tasks = machine.NewKeeper(now, 0), &sync.WaitGroup{}
 	du.cancel = func() {}
-	du.lease.ordered = map[cell.MachineID]*orderedMachine{}
+	du.lease.ordered = map[cell.MachineID]*machineOrders{}
 	given := 0
 	give := func(context.Context) machine.Outcome {
 		given++
 		return machine.Done
 	}
 	du.announce(context.Background(), []cell.MachineID{"m1", "m2"})
-	du.order(context.Background(), "m1", give)
+	du.sendOrder(context.Background(), "m1", give)
 	if given != 1 {
 		t.Fatalf("%d orders under a lease", given)
 	}
 	clock = clock.Add(5 * time.Second)
-	if du.leased(fl.opts.Now()) || du.order(context.Background(), "m2", give) != machine.Refused || given != 1 {
+	if du.leaseValid(fl.opts.Now()) || du.sendOrder(context.Background(), "m2", give) != machine.Refused || given != 1 {
 		t.Error("an order was given after the clock leapt over the lease's end")
 	}
 }
--- a/fleet/dutyrows.go
+++ b/fleet/dutyrows.go
@@ -16,70 +16,70 @@
 // would cost the lease.
 const (
 	// rowsMost is how many of them one renewal takes along, which leaves room below a transaction's 100 entries.
-	rowsMost = 60
+	maxRowsPerRenewal = 60
 	// rowsGather is how long a renewal that is hurried by a row waits for others of the same round.
-	rowsGather = 10 * time.Millisecond
+	rowBatchDelay = 10 * time.Millisecond
 )
 
 // dutyRow is a row that waits to be written, or removed if it has no value.
-type dutyRow struct {
+type pendingRow struct {
 	place Place
 	value []byte
 }
 
 // keep has a row written with the next renewal, which is hurried.
-func (du *duty) keep(key string, value any) {
+func (ct *machineController) putRow(key string, value any) {
 	raw, err := json.Marshal(value)
 	if err != nil {
-		du.fl.opts.Log.Emit(event.ControlRowRejected, zap.String("key", key), zap.Error(err))
+		ct.fl.opts.Log.Emit(event.ControlRowRejected, zap.String("key", key), zap.Error(err))
 		return
 	}
-	du.enqueue(&dutyRow{Place{tableControl, machinesCell, key}, raw})
+	ct.enqueueRow(&pendingRow{Place{tableControl, machinesCell, key}, raw})
 }
 
 // drop has a row removed with the next renewal, which is hurried.
-func (du *duty) drop(key string) {
-	du.enqueue(&dutyRow{place: Place{tableControl, machinesCell, key}})
+func (ct *machineController) deleteRow(key string) {
+	ct.enqueueRow(&pendingRow{place: Place{tableControl, machinesCell, key}})
 }
 
 // enqueue puts a row in the place of an earlier wish for the same one.
-func (du *duty) enqueue(dr *dutyRow) {
-	du.mu.Lock()
-	du.rows = slices.DeleteFunc(du.rows, func(other *dutyRow) bool { return other.place == dr.place })
-	du.rows = append(du.rows, dr)
-	du.mu.Unlock()
+func (ct *machineController) enqueueRow(pr *pendingRow) {
+	ct.mu.Lock()
+	ct.pendingRows = slices.DeleteFunc(ct.pendingRows, func(other *pendingRow) bool { return other.place == pr.place })
+	ct.pendingRows = append(ct.pendingRows, pr)
+	ct.mu.Unlock()
 	select {
-	case du.hurry <- struct{}{}:
+	case ct.rowsPending <- struct{}{}:
 	default:
 	}
 }
 
 // rowsFor puts the rows that waited longest into a renewal and returns them. The caller holds the lock.
-func (du *duty) rowsFor(tx *Tx) []*dutyRow {
-	taken := slices.Clone(du.rows[:min(len(du.rows), rowsMost)])
-	for _, dr := range taken {
-		if dr.value == nil {
-			tx.Remove = append(tx.Remove, dr.place)
+func (ct *machineController) addPendingRows(tx *Tx) []*pendingRow {
+	taken := slices.Clone(ct.pendingRows[:min(len(ct.pendingRows), maxRowsPerRenewal)])
+	for _, pr := range taken {
+		if pr.value == nil {
+			tx.Remove = append(tx.Remove, pr.place)
 			continue
 		}
-		tx.Write = append(tx.Write, Row{Table: dr.place.Table, Part: dr.place.Part, Key: dr.place.Key, Value: dr.value})
+		tx.Write = append(tx.Write, Row{Table: pr.place.Table, Part: pr.place.Part, Key: pr.place.Key, Value: pr.value})
 	}
 	return taken
 }
 
 // kept forgets rows that were written, unless there is a newer wish for them. The caller holds the lock.
-func (du *duty) kept(rows []*dutyRow) {
-	du.rows = slices.DeleteFunc(du.rows, func(dr *dutyRow) bool { return slices.Contains(rows, dr) })
+func (ct *machineController) removeWritten(rows []*pendingRow) {
+	ct.pendingRows = slices.DeleteFunc(ct.pendingRows, func(pr *pendingRow) bool { return slices.Contains(rows, pr) })
 }
 
 // pause waits before the next renewal, shorter if rows wait that have not been tried.
-func (du *duty) pause(ctx context.Context, span time.Duration) {
+func (ct *machineController) waitForRenewal(ctx context.Context, span time.Duration) {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-du.hurry:
-		sleep(ctx, rowsGather)
+	case <-ct.rowsPending:
+		sleep(ctx, rowBatchDelay)
 	}
 }
--- a/fleet/errand.go
+++ b/fleet/errand.go
@@ -9,17 +9,17 @@
 )
 
 // relayTask is a task as peers tell it.
-func relayTask(tk job.Task) *peer.RelayTask {
+func toRelayTask(tk job.Task) *peer.RelayTask {
 	return &peer.RelayTask{Job: string(tk.Job), Run: int32(tk.Run), Step: int32(tk.Step), Index: int32(tk.Index)}
 }
 
 // taskOf reads a task that a peer told.
-func taskOf(rt *peer.RelayTask) job.Task {
+func fromRelayTask(rt *peer.RelayTask) job.Task {
 	return job.Task{Job: job.ID(rt.GetJob()), Run: int(rt.GetRun()), Step: int(rt.GetStep()), Index: int(rt.GetIndex())}
 }
 
 // relayOrder is an order for a worker as a peer gets it; nil for other orders.
-func relayOrder(id uint64, od cell.Order) *peer.RelayOrder {
+func toRelayOrder(id uint64, od cell.Order) *peer.RelayOrder {
 	switch order := od.(type) {
 	case cell.Look:
 		return &peer.RelayOrder{
@@ -28,16 +28,16 @@
 		}
 	case cell.Start:
 		return &peer.RelayOrder{
-			Id: id, Kind: peer.OrderKind_ORDER_START, Worker: string(order.Worker), Address: order.Address, Token: int64(order.Token), Task: relayTask(order.Task),
+			Id: id, Kind: peer.OrderKind_ORDER_START, Worker: string(order.Worker), Address: order.Address, Token: int64(order.Token), Task: toRelayTask(order.Task),
 			Attempt: int32(order.Attempt), Payload: order.Payload, PayloadAt: order.PayloadAt, Until: order.Until, Checkpoint: string(order.Checkpoint), Ticket: order.Ticket,
 		}
 	case cell.Stop:
 		return &peer.RelayOrder{
-			Id: id, Kind: peer.OrderKind_ORDER_STOP, Worker: string(order.Worker), Address: order.Address, Token: int64(order.Token), Task: relayTask(order.Task), Attempt: int32(order.Attempt),
+			Id: id, Kind: peer.OrderKind_ORDER_STOP, Worker: string(order.Worker), Address: order.Address, Token: int64(order.Token), Task: toRelayTask(order.Task), Attempt: int32(order.Attempt),
 		}
 	case cell.Pace:
 		return &peer.RelayOrder{
-			Id: id, Kind: peer.OrderKind_ORDER_PACE, Worker: string(order.Worker), Address: order.Address, Token: int64(order.Token), Task: relayTask(order.Task),
+			Id: id, Kind: peer.OrderKind_ORDER_PACE, Worker: string(order.Worker), Address: order.Address, Token: int64(order.Token), Task: toRelayTask(order.Task),
 			Attempt: int32(order.Attempt), Percent: int32(order.Percent),
 		}
 	}
@@ -45,35 +45,35 @@
 }
 
 // orderOf reads an order that a peer handed over.
-func orderOf(ro *peer.RelayOrder) cell.Order {
+func fromRelayOrder(ro *peer.RelayOrder) cell.Order {
 	id, token, attempt := cell.WorkerID(ro.Worker), cell.Token(ro.Token), job.Attempt(ro.Attempt)
 	switch ro.Kind {
 	case peer.OrderKind_ORDER_LOOK:
 		return cell.Look{Worker: id, Address: ro.Address, Token: token, Until: ro.Until, Observed: ro.Observed, Wait: time.Duration(ro.WaitMillis) * time.Millisecond}
 	case peer.OrderKind_ORDER_START:
 		return cell.Start{
-			Worker: id, Address: ro.Address, Token: token, Task: taskOf(ro.Task), Attempt: attempt,
+			Worker: id, Address: ro.Address, Token: token, Task: fromRelayTask(ro.Task), Attempt: attempt,
 			Payload: ro.Payload, PayloadAt: ro.PayloadAt, Until: ro.Until, Checkpoint: job.Checkpoint(ro.Checkpoint), Ticket: ro.Ticket,
 		}
 	case peer.OrderKind_ORDER_STOP:
-		return cell.Stop{Worker: id, Address: ro.Address, Token: token, Task: taskOf(ro.Task), Attempt: attempt}
+		return cell.Stop{Worker: id, Address: ro.Address, Token: token, Task: fromRelayTask(ro.Task), Attempt: attempt}
 	case peer.OrderKind_ORDER_PACE:
-		return cell.Pace{Worker: id, Address: ro.Address, Token: token, Task: taskOf(ro.Task), Attempt: attempt, Percent: int(ro.Percent)}
+		return cell.Pace{Worker: id, Address: ro.Address, Token: token, Task: fromRelayTask(ro.Task), Attempt: attempt, Percent: int(ro.Percent)}
 	}
 	return nil
 }
 
 // relayLooked is the result of a look as a peer gets it.
-func relayLooked(id uint64, lk cell.Looked) *peer.RelayResult {
+func toRelayLookResult(id uint64, lk cell.Looked) *peer.RelayResult {
 	result := &peer.RelayResult{Id: id, Outcome: int32(lk.Outcome), Clock: lk.Clock}
 	for _, rn := range lk.Running {
 		result.Running = append(result.Running, &peer.RelayRunning{
-			Task: relayTask(rn.Task), Attempt: int32(rn.Attempt), Checkpoint: string(rn.Checkpoint), Progress: int32(rn.Progress), Figure: int32(rn.Figure),
+			Task: toRelayTask(rn.Task), Attempt: int32(rn.Attempt), Checkpoint: string(rn.Checkpoint), Progress: int32(rn.Progress), Figure: int32(rn.Figure),
 		})
 	}
 	for _, en := range lk.Ended {
 		result.Ended = append(result.Ended, &peer.RelayEnd{
-			Number: en.Number, Task: relayTask(en.Task), Attempt: int32(en.Attempt), How: string(en.How), Checkpoint: string(en.Checkpoint),
+			Number: en.Number, Task: toRelayTask(en.Task), Attempt: int32(en.Attempt), How: string(en.How), Checkpoint: string(en.Checkpoint),
 		})
 	}
 	return result
@@ -81,32 +81,32 @@
 
 // lookedOf reads the result of a look. It counts as sent when it was handed over, and as received when it came, less the time that it
 // waited at the peer: the clocks of two processes cannot be compared, and both errors make leases end earlier and conclusions later.
-func lookedOf(rr *peer.RelayResult, order cell.Look, sent, came time.Time) cell.Looked {
-	lk := cell.Looked{Look: order, Outcome: outcomeOf(rr), Sent: sent, Received: received(rr, came), Clock: rr.Clock}
+func fromRelayLookResult(rr *peer.RelayResult, order cell.Look, sentAt, arrivedAt time.Time) cell.Looked {
+	lk := cell.Looked{Look: order, Outcome: fromRelayOutcome(rr), Sent: sentAt, Received: receivedAt(rr, arrivedAt), Clock: rr.Clock}
 	for _, rn := range rr.Running {
 		lk.Running = append(lk.Running, cell.Running{
-			Task: taskOf(rn.Task), Attempt: job.Attempt(rn.Attempt), Checkpoint: job.Checkpoint(rn.Checkpoint), Progress: int(rn.Progress), Figure: int(rn.Figure),
+			Task: fromRelayTask(rn.Task), Attempt: job.Attempt(rn.Attempt), Checkpoint: job.Checkpoint(rn.Checkpoint), Progress: int(rn.Progress), Figure: int(rn.Figure),
 		})
 	}
 	for _, en := range rr.Ended {
 		lk.Ended = append(lk.Ended, cell.End{
-			Number: en.Number, Task: taskOf(en.Task), Attempt: job.Attempt(en.Attempt), How: cell.How(en.How), Checkpoint: job.Checkpoint(en.Checkpoint),
+			Number: en.Number, Task: fromRelayTask(en.Task), Attempt: job.Attempt(en.Attempt), How: cell.How(en.How), Checkpoint: job.Checkpoint(en.Checkpoint),
 		})
 	}
 	return lk
 }
 
 // orderedOf reads the result of another order.
-func orderedOf(rr *peer.RelayResult, order cell.Order, sent, came time.Time) cell.Ordered {
-	return cell.Ordered{Order: order, Outcome: outcomeOf(rr), Sent: sent, Received: received(rr, came), Clock: rr.Clock}
+func fromRelayOrderResult(rr *peer.RelayResult, order cell.Order, sentAt, arrivedAt time.Time) cell.Ordered {
+	return cell.Ordered{Order: order, Outcome: fromRelayOutcome(rr), Sent: sentAt, Received: receivedAt(rr, arrivedAt), Clock: rr.Clock}
 }
 
-func received(rr *peer.RelayResult, came time.Time) time.Time {
-	return came.Add(-time.Duration(rr.HeldMicros) * time.Microsecond)
+func receivedAt(rr *peer.RelayResult, arrivedAt time.Time) time.Time {
+	return arrivedAt.Add(-time.Duration(rr.HeldMicros) * time.Microsecond)
 }
 
 // outcomeOf reads an outcome; one that is not known here counts as silence.
-func outcomeOf(rr *peer.RelayResult) cell.Outcome {
+func fromRelayOutcome(rr *peer.RelayResult) cell.Outcome {
 	oc := cell.Outcome(rr.Outcome)
 	if oc < cell.Silent || oc > cell.Unprepared {
 		return cell.Silent
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -78,20 +78,20 @@
 // Fleet is one entry instance's part in running the jobs.
 type Fleet struct {
 	opts   Options
-	link   *link
+	store   *storeClient
 	peers  *peers
 	config atomic.Pointer[job.Configuration]
 	// control, operator and registry follow the tables of the same matter.
-	control  *watch
-	operator *watch
-	registry *watch
+	control  *tableWatch
+	operator *tableWatch
+	registry *tableWatch
 	// accounts follows what cells hold of organisations' maxima.
-	accounts *watch
+	accounts *tableWatch
 	members  *members
 	mu       sync.Mutex // guards owners and claiming
 	owners   map[string]*owner
 	claiming map[string]bool
-	roster   *roster
+	workerCache   *workerCache
 	intakes  [homeParts]*intake
 	pending  pendingCache
 	homes    homeCache
@@ -100,15 +100,15 @@
 	stopping atomic.Bool
 	// apart is set while all instances that live read payloads apart from jobs.
 	apart atomic.Bool
-	duty  *duty
-	reach *reach
+	controller  *machineController
+	partition *partitionDetector
 	relay *relay
 	// readers read the parts of tables.
 	readers pond.Pool
 	// paused holds the queues that an operator has paused.
 	paused atomic.Pointer[map[job.QueueID]bool]
 	// errands numbers the orders that peers are given.
-	errands atomic.Uint64
+	relayIDs atomic.Uint64
 	// background ends when the process does.
 	background context.Context
 	fig        figures
@@ -139,22 +139,22 @@
 		options.Incarnation = table.NewID()
 	}
 	options.Workers = &patientWorkers{Workers: options.Workers}
-	fl := &Fleet{background: context.Background(), opts: options, owners: map[string]*owner{}, claiming: map[string]bool{}, roster: newRoster(), payloads: newPayloads(), readers: pond.NewPool(readAtOnce)}
+	fl := &Fleet{background: context.Background(), opts: options, owners: map[string]*owner{}, claiming: map[string]bool{}, workerCache: newWorkerCache(), payloads: newPayloads(), readers: pond.NewPool(parallelReads)}
 	fl.fig = newFigures(options.Registry)
 	fl.peers = newPeers(fl)
-	fl.link = newLink(options.Store, fl.peers, options.Log, options.Now, fl.fig)
+	fl.store = newStoreClient(options.Store, fl.peers, options.Log, options.Now, fl.fig)
 	fl.members = newMembers(options.Now, options.Log)
-	fl.control = newWatch(fl, tableControl, fl.controlPause, controlWait, fl.controlChanged)
-	fl.operator = newWatch(fl, options.Format.OperatorTable(), fixed(operatorGap), quietWait, fl.operatorChanged)
-	fl.registry = newWatch(fl, options.Format.RegistryTable(), fixed(registryGap), quietWait, fl.registryChanged)
-	fl.registry.idle, fl.registry.forget = fl.ownsNothing, fl.roster.clear
-	fl.accounts = newWatch(fl, tableAccount, fixed(accountGap), quietWait, fl.accountsChanged)
-	fl.accounts.idle, fl.accounts.forget = fl.needsNoAccounts, func() {}
+	fl.control = newTableWatch(fl, tableControl, fl.controlPollInterval, controlWait, fl.applyControlRows)
+	fl.operator = newTableWatch(fl, options.Format.OperatorTable(), fixedInterval(operatorInterval), feedWait, fl.operatorChanged)
+	fl.registry = newTableWatch(fl, options.Format.RegistryTable(), fixedInterval(registryInterval), feedWait, fl.applyRegistrations)
+	fl.registry.idle, fl.registry.onIdle = fl.ownsNoCells, fl.workerCache.reset
+	fl.accounts = newTableWatch(fl, tableAccount, fixedInterval(accountGap), feedWait, fl.accountsChanged)
+	fl.accounts.idle, fl.accounts.onIdle = fl.needsNoAccounts, func() {}
 	for part := range fl.intakes {
 		fl.intakes[part] = newIntake(fl, part)
 	}
-	fl.duty = newDuty(fl)
-	fl.reach = &reach{fl: fl}
+	fl.controller = newMachineController(fl)
+	fl.partition = &partitionDetector{fl: fl}
 	fl.relay = newRelay(fl)
 	return fl
 }
@@ -163,16 +163,16 @@
 func (fl *Fleet) Run(ctx context.Context) {
 	fl.background = ctx
 	var wg sync.WaitGroup
-	for _, wt := range []*watch{fl.control, fl.operator, fl.registry, fl.accounts} {
+	for _, wt := range []*tableWatch{fl.control, fl.operator, fl.registry, fl.accounts} {
 		wg.Go(func() { wt.run(ctx) })
 	}
 	for _, in := range fl.intakes {
 		wg.Go(func() { in.run(ctx) })
 	}
-	wg.Go(func() { fl.beat(ctx) })
-	wg.Go(func() { fl.tellBytes(ctx) })
+	wg.Go(func() { fl.heartbeat(ctx) })
+	wg.Go(func() { fl.logTraffic(ctx) })
 	wg.Go(func() { fl.own(ctx) })
-	wg.Go(func() { fl.reach.run(ctx) })
+	wg.Go(func() { fl.partition.run(ctx) })
 	wg.Wait()
 }
 
@@ -214,7 +214,7 @@
 		return
 	}
 	if wv != nil {
-		fl.duty.takeWave(*wv, rw.Deleted)
+		fl.controller.applyWave(*wv, rw.Deleted)
 	}
 }
 
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -276,7 +276,7 @@
 	st := newSite(t, time.Hour)
 	one := st.start("one")
 	ow := &owner{fl: one.Fleet, name: "pool"}
-	ow.jobs = newWatch(one.Fleet, jobTable("pool"), fixed(jobsGap), jobsWait, func([]Row, time.Time) {})
+	ow.jobs = newTableWatch(one.Fleet, jobTable("pool"), fixedInterval(jobsInterval), jobsWait, func([]Row, time.Time) {})
 	if count, ok := ow.pending("q"); ok {
 		t.Fatalf("%d jobs told by an owner that knows none yet", count)
 	}
@@ -293,13 +293,13 @@
 		for at := len(fl.members.nodes); at < nodes; at++ {
 			fl.members.nodes[fmt.Sprintf("n%d", at)] = node{}
 		}
-		pause := fl.controlPause()
-		if pause < last || pause > controlMost || nodes < controlNodes && pause != controlGap {
+		pause := fl.controlPollInterval()
+		if pause < last || pause > controlIntervalMax || nodes < controlNodesPerInterval && pause != controlInterval {
 			t.Errorf("%d instances: a gap of %v after one of %v", nodes, pause, last)
 		}
 		last = pause
 	}
-	if last != controlMost || 2*last >= deadAfter {
+	if last != controlIntervalMax || 2*last >= deadAfter {
 		t.Errorf("the longest gap is %v; an instance counts as dead after %v", last, deadAfter)
 	}
 }
@@ -311,9 +311,9 @@
 	one := st.start("one")
 	st.owner(one)
 	two := st.start("two")
-	st.eventually("it is ready and knows no workers", func() bool { return two.Ready() && len(two.roster.of("pool")) == 0 })
-	if two.beatPause() != beatIdle || one.beatPause() != beatEvery {
-		t.Errorf("beats each %v and %v", two.beatPause(), one.beatPause())
+	st.eventually("it is ready and knows no workers", func() bool { return two.Ready() && len(two.workerCache.inPool("pool")) == 0 })
+	if two.heartbeatInterval() != beatIdle || one.heartbeatInterval() != beatEvery {
+		t.Errorf("beats each %v and %v", two.heartbeatInterval(), one.heartbeatInterval())
 	}
 	st.write(Row{Table: "registry", Key: "w3", Value: []byte("{}")})
 	if _, err := st.mm.commit(Tx{Remove: []Place{{Table: "registry", Key: "w0"}}}); err != nil {
@@ -323,14 +323,14 @@
 	st.owner(two)
 	st.eventually("the new owner knows the workers", func() bool {
 		var ids []string
-		for _, wk := range two.roster.of("pool") {
+		for _, wk := range two.workerCache.inPool("pool") {
 			ids = append(ids, string(wk.ID))
 		}
 		slices.Sort(ids)
 		return slices.Equal(ids, []string{"w1", "w2", "w3"})
 	})
-	if two.beatPause() != beatEvery {
-		t.Errorf("an owner beats each %v", two.beatPause())
+	if two.heartbeatInterval() != beatEvery {
+		t.Errorf("an owner beats each %v", two.heartbeatInterval())
 	}
 	if vd := st.submit(two, "a1"); vd != Accepted {
 		t.Fatalf("verdict %d", vd)
@@ -344,17 +344,17 @@
 	now := time.Unix(1_700_000_000, 0)
 	fl := New(Options{Name: "one", Store: &storeWay{mm: newMemory()}, Machines: noMachines{}, Format: plainFormat{}, Now: func() time.Time { return now }})
 	for _, name := range []string{"owner", "fresh", "idle"} {
-		fl.members.nodes[name], fl.members.seen[name] = node{Name: name}, now
+		fl.members.nodes[name], fl.members.nodeSeenAt[name] = node{Name: name}, now
 	}
-	fl.members.owners["a"], fl.members.ownedAt["a"] = ownerRow{Holder: "owner"}, now
-	fl.members.owners["b"], fl.members.ownedAt["b"] = ownerRow{Holder: "fresh"}, now.Add(beatIdle)
-	fl.control.succeeded(now)
+	fl.members.owners["a"], fl.members.ownerChangedAt["a"] = ownerRow{Holder: "owner"}, now
+	fl.members.owners["b"], fl.members.ownerChangedAt["b"] = ownerRow{Holder: "fresh"}, now.Add(beatIdle)
+	fl.control.recordSuccess(now)
 	for _, want := range []struct {
 		after time.Duration
 		live  int
-	}{{deadLeast - 1, 3}, {deadLeast + 1, 2}, {beatIdle + deadLeast + 1, 1}, {deadIdle(3) + 1, 0}} {
-		fl.control.succeeded(now.Add(want.after))
-		if got := len(fl.alive()); got != want.live {
+	}{{deadLeast - 1, 3}, {deadLeast + 1, 2}, {beatIdle + deadLeast + 1, 1}, {idleDeadAfter(3) + 1, 0}} {
+		fl.control.recordSuccess(now.Add(want.after))
+		if got := len(fl.liveNodes()); got != want.live {
 			t.Errorf("%d live %v after their last beat, want %d", got, want.after, want.live)
 		}
 	}
--- a/fleet/intake.go
+++ b/fleet/intake.go
@@ -146,7 +146,7 @@
 	if hm, known := fl.homes.get(sp.ID); known {
 		return hm.verdict(sp.Organisation), 0
 	}
-	if fl.CutOff() || !fl.link.Reachable() && !fl.control.fresh(fl.opts.Now()) {
+	if fl.CutOff() || !fl.store.Reachable() && !fl.control.isFresh(fl.opts.Now()) {
 		// Nothing was sent, so it has not run and will not.
 		fl.fig.refused.Inc(1)
 		fl.logJob(event.JobRefused, sp.ID, zap.String("why", "the store does not answer"))
@@ -202,9 +202,9 @@
 }
 
 // fresh reports whether the table was heard of lately.
-func (wt *watch) fresh(now time.Time) bool {
-	_, until := wt.healthy()
-	return now.Sub(until) < wt.wait+feedMargin
+func (wt *tableWatch) isFresh(now time.Time) bool {
+	_, until := wt.healthyPeriod()
+	return now.Sub(until) < wt.wait+feedTimeoutMargin
 }
 
 // run accepts jobs until the context ends. Jobs whose try had no answer are tried again together with those that came meanwhile.
@@ -335,9 +335,9 @@
 			tx.Write = append(tx.Write, Row{Table: tablePayload, Part: in.part, Key: id, Value: []byte(hd.spec.Payload)})
 		}
 	}
-	callCtx, cancel := context.WithTimeout(ctx, in.fl.link.patience())
+	callCtx, cancel := context.WithTimeout(ctx, in.fl.store.commitTimeout())
 	defer cancel()
-	_, err := in.fl.link.Commit(callCtx, tx)
+	_, err := in.fl.store.Commit(callCtx, tx)
 	return err
 }
 
--- a/fleet/lane_test.go
+++ b/fleet/lane_test.go
@@ -14,7 +14,7 @@
 type slowWorkers struct {
 	mu    sync.Mutex
 	lost  func(number int) bool
-	given int
+	received int
 }
 
 const (
@@ -26,8 +26,8 @@
 
 func (sw *slowWorkers) Order(_ context.Context, od cell.Order) cell.Ordered {
 	sw.mu.Lock()
-	sw.given++
-	lost := sw.lost(sw.given)
+	sw.received++
+	lost := sw.lost(sw.received)
 	sw.mu.Unlock()
 	if lost {
 		time.Sleep(orderTime)
@@ -38,15 +38,15 @@
 }
 
 // laneRun gives a lane so many starts at once and returns when each had its outcome, and how many had which.
-func laneRun(starts int, lost func(number int) bool) (ends []time.Duration, outcomes map[cell.Outcome]int) {
+func runQueue(starts int, lost func(number int) bool) (ends []time.Duration, outcomes map[cell.Outcome]int) {
 	began := time.Now()
-	ln := newLane(&slowWorkers{lost: lost}, time.Now)
+	oq := newOrderQueue(&slowWorkers{lost: lost}, time.Now)
 	outcomes = map[cell.Outcome]int{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for range starts {
 		wg.Add(1)
-		ln.add(context.Background(), cell.Start{}, func(od cell.Ordered) {
+		oq.enqueue(context.Background(), cell.Start{}, func(od cell.Ordered) {
 			defer wg.Done()
 			mu.Lock()
 			defer mu.Unlock()
@@ -61,11 +61,11 @@
 // TestLaneGoesOnBesideAnOrderThatIsLost: the ones behind it wait for a moment, not until it is given up.
 func TestLaneGoesOnBesideAnOrderThatIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ends, outcomes := laneRun(20, func(number int) bool { return number == 3 })
+		ends, outcomes := runQueue(20, func(number int) bool { return number == 3 })
 		if outcomes[cell.Done] != 19 || outcomes[cell.Silent] != 1 {
 			t.Fatalf("outcomes %v", outcomes)
 		}
-		if before := ends[18]; before > laneSlow+20*answerTime {
+		if before := ends[18]; before > slowOrderDelay+20*answerTime {
 			t.Errorf("19 of 20 orders took %v beside one that was lost", before)
 		}
 	})
@@ -74,7 +74,7 @@
 // TestLaneUsesOneConnectionWhileItIsAnswered: a second one is opened only where answers take long.
 func TestLaneUsesOneConnectionWhileItIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ends, _ := laneRun(20, func(int) bool { return false })
+		ends, _ := runQueue(20, func(int) bool { return false })
 		if last := ends[19]; last != 20*answerTime {
 			t.Errorf("20 orders took %v one after the other, want %v", last, 20*answerTime)
 		}
@@ -84,11 +84,11 @@
 // TestLaneOfAWorkerThatIsGoneSendsNothingFurther: what was not sent can be started elsewhere at once.
 func TestLaneOfAWorkerThatIsGoneSendsNothingFurther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ends, outcomes := laneRun(20, func(int) bool { return true })
-		if outcomes[cell.Silent] > laneMost+laneSilent || outcomes[cell.Silent]+outcomes[cell.Unsent] != 20 {
+		ends, outcomes := runQueue(20, func(int) bool { return true })
+		if outcomes[cell.Silent] > maxOrdersInFlight+unansweredLimit || outcomes[cell.Silent]+outcomes[cell.Unsent] != 20 {
 			t.Errorf("outcomes %v", outcomes)
 		}
-		if last := ends[19]; last > 2*orderTime+laneSlow*laneMost {
+		if last := ends[19]; last > 2*orderTime+slowOrderDelay*maxOrdersInFlight {
 			t.Errorf("the last of 20 orders was settled after %v", last)
 		}
 	})
@@ -98,17 +98,17 @@
 func TestOrderThatWaitedTooLongIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sw := &slowWorkers{lost: func(int) bool { return true }}
-		ln := newLane(sw, time.Now)
-		ln.patience = orderTime / 2
+		ln := newOrderQueue(sw, time.Now)
+		ln.maxWait = orderTime / 2
 		outcomes := make(chan cell.Outcome, 10)
 		for range 5 {
-			ln.add(context.Background(), cell.Stop{}, func(od cell.Ordered) { outcomes <- od.Outcome })
+			ln.enqueue(context.Background(), cell.Stop{}, func(od cell.Ordered) { outcomes <- od.Outcome })
 		}
 		count := map[cell.Outcome]int{}
 		for range 5 {
 			count[<-outcomes]++
 		}
-		if count[cell.Silent] != laneMost || count[cell.Unsent] != 5-laneMost {
+		if count[cell.Silent] != maxOrdersInFlight || count[cell.Unsent] != 5-maxOrdersInFlight {
 			t.Errorf("outcomes %v", count)
 		}
 	})
--- a/fleet/link.go
+++ b/fleet/link.go
@@ -15,10 +15,10 @@
 const (
 	// directAgain is how often the direct way is tried while calls go through a peer, and directTimeout bounds the try. It is a read of its
 	// own: a feed that tried the direct way was silent for 2.4 s of each 4 s of a cut, and with it the registrations of new workers.
-	directAgain   = time.Second
-	directTimeout = 400 * time.Millisecond
+	directProbeInterval   = time.Second
+	directProbeTimeout = 400 * time.Millisecond
 	// quietAfter is how many calls in a row must fail before the store counts as not to be reached.
-	quietAfter = 3
+	unreachableAfter = 3
 )
 
 // callKind names a store call that a peer carries.
@@ -32,7 +32,7 @@
 )
 
 // carried is a store call on its way through a peer.
-type carried struct {
+type storeCall struct {
 	Kind  callKind      `json:"kind"`
 	Tx    *Tx           `json:"tx,omitempty"`
 	Query *Query        `json:"query,omitempty"`
@@ -42,7 +42,7 @@
 }
 
 // answer is what became of a store call.
-type answer struct {
+type storeResult struct {
 	Version  int64     `json:"version,omitempty"`
 	Page     *Page     `json:"page,omitempty"`
 	Parts    []string  `json:"parts,omitempty"`
@@ -50,7 +50,7 @@
 }
 
 // link reaches the store directly, or through a peer while the store turns this entry instance away.
-type link struct {
+type storeClient struct {
 	store Store
 	peers *peers
 	log   *event.Logger
@@ -58,267 +58,267 @@
 	fig   figures
 	mu    sync.Mutex // guards what follows
 	// detour is set while calls go through a peer first.
-	detour bool
-	fails  int
+	viaPeers bool
+	failures  int
 	// answered is when the store was heard of last, in either way.
-	answered time.Time
+	lastAnswerAt time.Time
 	// answer is the smoothed time that a transaction takes which is answered, vain how many in a row were not.
-	answer time.Duration
-	vain   int
+	latency time.Duration
+	timeouts   int
 }
 
 // How long a transaction may take before it is tried again.
 const (
-	patienceLeast = 500 * time.Millisecond
-	patienceMost  = 1600 * time.Millisecond
-	patienceTimes = 4
+	commitTimeoutMin = 500 * time.Millisecond
+	commitTimeoutMax  = 1600 * time.Millisecond
+	commitTimeoutFactor = 4
 	// answerShare is the weight of the newest transaction in the smoothed time.
-	answerShare = 0.2
+	latencyWeight = 0.2
 	// vainMost bounds how often the wait doubles.
-	vainMost = 2
+	maxTimeoutDoublings = 2
 )
 
 // patience is how long to wait for a transaction: some times what one takes that is answered, and twice as long for each in a row that was
 // waited for in vain, since the store may have become slower. Where answers are lost now and then others come between, so that a lost one is
 // missed soon.
-func (ln *link) patience() time.Duration {
-	ln.mu.Lock()
-	defer ln.mu.Unlock()
-	return min(patienceMost, ln.expected()<<min(ln.vain, vainMost))
+func (sc *storeClient) commitTimeout() time.Duration {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	return min(commitTimeoutMax, sc.baseTimeout()<<min(sc.timeouts, maxTimeoutDoublings))
 }
 
 // haste is how long to wait for a transaction without which a lease ends: not longer because others were waited for in vain.
-func (ln *link) haste() time.Duration {
-	ln.mu.Lock()
-	defer ln.mu.Unlock()
-	return min(patienceMost, ln.expected())
+func (sc *storeClient) leaseCommitTimeout() time.Duration {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	return min(commitTimeoutMax, sc.baseTimeout())
 }
 
 // expected is how long most transactions that are answered take at the most. The caller holds the lock.
-func (ln *link) expected() time.Duration { return max(patienceLeast, patienceTimes*ln.answer) }
+func (sc *storeClient) baseTimeout() time.Duration { return max(commitTimeoutMin, commitTimeoutFactor*sc.latency) }
 
 // usual is the smoothed time that a transaction takes which is answered. An outage does not count: after it the dead are told as soon as
 // before.
-func (ln *link) usual() time.Duration {
-	ln.mu.Lock()
-	defer ln.mu.Unlock()
-	return ln.answer
+func (sc *storeClient) commitLatency() time.Duration {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	return sc.latency
 }
 
 // took notes how long a transaction took, or was waited for in vain.
-func (ln *link) took(span time.Duration, answered bool) {
-	ln.mu.Lock()
-	defer ln.mu.Unlock()
+func (sc *storeClient) recordCommit(span time.Duration, answered bool) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
 	if !answered {
-		ln.vain++
+		sc.timeouts++
 		return
 	}
-	ln.vain = 0
-	ln.answer += time.Duration(answerShare * float64(span-ln.answer))
+	sc.timeouts = 0
+	sc.latency += time.Duration(latencyWeight * float64(span-sc.latency))
 }
 
-func newLink(store Store, pr *peers, lg *event.Logger, now func() time.Time, fig figures) *link {
-	return &link{store: store, peers: pr, log: lg, now: now, fig: fig}
+func newStoreClient(store Store, pr *peers, lg *event.Logger, now func() time.Time, fig figures) *storeClient {
+	return &storeClient{store: store, peers: pr, log: lg, now: now, fig: fig}
 }
 
 // Reachable reports whether the store has answered recently, in one way or the other.
-func (ln *link) Reachable() bool {
-	ln.mu.Lock()
-	defer ln.mu.Unlock()
-	return ln.fails < quietAfter
+func (sc *storeClient) Reachable() bool {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	return sc.failures < unreachableAfter
 }
 
 // Commit carries out a transaction.
-func (ln *link) Commit(ctx context.Context, tx Tx) (int64, error) {
-	asked := ln.now()
-	an, err := ln.call(ctx, carried{Kind: callCommit, Tx: &tx})
-	span := ln.now().Sub(asked)
+func (sc *storeClient) Commit(ctx context.Context, tx Tx) (int64, error) {
+	sentAt := sc.now()
+	sr, err := sc.call(ctx, storeCall{Kind: callCommit, Tx: &tx})
+	span := sc.now().Sub(sentAt)
 	if !errors.Is(err, ErrRefused) {
-		ln.took(span, !errors.Is(err, ErrSilent))
+		sc.recordCommit(span, !errors.Is(err, ErrSilent))
 	}
-	ln.tell(tx, span, err)
-	return an.Version, err
+	sc.tell(tx, span, err)
+	return sr.Version, err
 }
 
 // Read returns rows.
-func (ln *link) Read(ctx context.Context, qu Query) (Page, error) {
-	an, err := ln.call(ctx, carried{Kind: callRead, Query: &qu})
-	return an.page(), err
+func (sc *storeClient) Read(ctx context.Context, qu Query) (Page, error) {
+	sr, err := sc.call(ctx, storeCall{Kind: callRead, Query: &qu})
+	return sr.page(), err
 }
 
 // Feed returns changes.
-func (ln *link) Feed(ctx context.Context, table string, after int64, wait time.Duration) (Page, error) {
-	an, err := ln.call(ctx, carried{Kind: callFeed, Table: table, After: after, Wait: wait})
-	return an.page(), err
+func (sc *storeClient) Feed(ctx context.Context, table string, after int64, wait time.Duration) (Page, error) {
+	sr, err := sc.call(ctx, storeCall{Kind: callFeed, Table: table, After: after, Wait: wait})
+	return sr.page(), err
 }
 
 // Parts lists the parts of a table.
-func (ln *link) Parts(ctx context.Context, table string) ([]string, error) {
-	an, err := ln.call(ctx, carried{Kind: callParts, Table: table})
-	return an.Parts, err
+func (sc *storeClient) Parts(ctx context.Context, table string) ([]string, error) {
+	sr, err := sc.call(ctx, storeCall{Kind: callParts, Table: table})
+	return sr.Parts, err
 }
 
-func (an answer) page() Page {
-	if an.Page == nil {
+func (sr storeResult) page() Page {
+	if sr.Page == nil {
 		return Page{}
 	}
-	return *an.Page
+	return *sr.Page
 }
 
 // call tries the direct way, and a peer's if the store did nothing or has been silent of late.
-func (ln *link) call(ctx context.Context, cd carried) (answer, error) {
-	if ln.onDetour() {
-		an, err := ln.viaPeer(ctx, cd)
+func (sc *storeClient) call(ctx context.Context, cd storeCall) (storeResult, error) {
+	if sc.proxying() {
+		sr, err := sc.callPeer(ctx, cd)
 		if err == nil || !errors.Is(err, ErrRefused) {
-			ln.note(err)
-			return an, err
+			sc.recordResult(err)
+			return sr, err
 		}
 	}
-	an, err := perform(ctx, ln.store, cd)
+	sr, err := perform(ctx, sc.store, cd)
 	if errors.Is(ctx.Err(), context.Canceled) {
 		// The caller gave up; that says nothing of the store.
-		return an, err
+		return sr, err
 	}
-	if unreached(err) {
-		ln.startDetour(err)
+	if unavailable(err) {
+		sc.startProxying(err)
 	}
 	if errors.Is(err, ErrRefused) && ctx.Err() == nil {
-		if carriedAnswer, peerErr := ln.viaPeer(ctx, cd); !errors.Is(peerErr, ErrRefused) {
-			an, err = carriedAnswer, peerErr
+		if peerResult, peerErr := sc.callPeer(ctx, cd); !errors.Is(peerErr, ErrRefused) {
+			sr, err = peerResult, peerErr
 		}
 	}
-	ln.note(err)
-	return an, err
+	sc.recordResult(err)
+	return sr, err
 }
 
 // unreached reports whether the store itself did not do a call.
-func unreached(err error) bool { return errors.Is(err, ErrRefused) || errors.Is(err, ErrSilent) }
+func unavailable(err error) bool { return errors.Is(err, ErrRefused) || errors.Is(err, ErrSilent) }
 
-func (ln *link) onDetour() bool {
-	ln.mu.Lock()
-	defer ln.mu.Unlock()
-	return ln.detour
+func (sc *storeClient) proxying() bool {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	return sc.viaPeers
 }
 
-func (ln *link) startDetour(err error) {
-	ln.mu.Lock()
-	defer ln.mu.Unlock()
-	if ln.detour {
+func (sc *storeClient) startProxying(err error) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	if sc.viaPeers {
 		return
 	}
-	ln.detour = true
-	ln.log.Emit(event.StoreDetour, zap.Error(err))
-	go ln.tryDirect(ln.peers.fl.background)
+	sc.viaPeers = true
+	sc.log.Emit(event.StoreDetour, zap.Error(err))
+	go sc.probeDirect(sc.peers.fl.background)
 }
 
 // tryDirect ends the detour once the store answers directly.
-func (ln *link) tryDirect(ctx context.Context) {
+func (sc *storeClient) probeDirect(ctx context.Context) {
 	for ctx.Err() == nil {
-		sleep(ctx, directAgain)
-		callCtx, cancel := context.WithTimeout(ctx, directTimeout)
-		_, err := ln.store.Read(callCtx, Query{Table: tableControl, Part: machinesCell, Limit: 1})
+		sleep(ctx, directProbeInterval)
+		callCtx, cancel := context.WithTimeout(ctx, directProbeTimeout)
+		_, err := sc.store.Read(callCtx, Query{Table: tableControl, Part: machinesCell, Limit: 1})
 		cancel()
-		if !unreached(err) {
-			ln.mu.Lock()
-			ln.detour = false
-			ln.mu.Unlock()
+		if !unavailable(err) {
+			sc.mu.Lock()
+			sc.viaPeers = false
+			sc.mu.Unlock()
 			return
 		}
 	}
 }
 
 // note counts calls that failed in both ways.
-func (ln *link) note(err error) {
-	ln.mu.Lock()
-	defer ln.mu.Unlock()
-	if unreached(err) {
-		ln.fails++
-		ln.fig.storeFailed.Inc(1)
+func (sc *storeClient) recordResult(err error) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	if unavailable(err) {
+		sc.failures++
+		sc.fig.storeFailed.Inc(1)
 		return
 	}
-	ln.fails, ln.answered = 0, ln.now()
+	sc.failures, sc.lastAnswerAt = 0, sc.now()
 }
 
 // heard is when the store was heard of last.
-func (ln *link) heard() time.Time {
-	ln.mu.Lock()
-	defer ln.mu.Unlock()
-	return ln.answered
+func (sc *storeClient) lastAnswer() time.Time {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	return sc.lastAnswerAt
 }
 
 // viaPeer has a peer carry the call; ErrRefused if no peer could.
-func (ln *link) viaPeer(ctx context.Context, cd carried) (answer, error) {
+func (sc *storeClient) callPeer(ctx context.Context, cd storeCall) (storeResult, error) {
 	raw, err := json.Marshal(cd)
 	if err != nil {
-		return answer{}, ErrRefused
+		return storeResult{}, ErrRefused
 	}
-	return ln.peers.carry(ctx, raw)
+	return sc.peers.carry(ctx, raw)
 }
 
 // perform carries out a call at the store.
-func perform(ctx context.Context, st Store, cd carried) (answer, error) {
+func perform(ctx context.Context, st Store, cd storeCall) (storeResult, error) {
 	switch {
 	case cd.Kind == callCommit && cd.Tx != nil:
 		version, err := st.Commit(ctx, *cd.Tx)
-		return answer{Version: version}, err
+		return storeResult{Version: version}, err
 	case cd.Kind == callRead && cd.Query != nil:
 		pg, err := st.Read(ctx, *cd.Query)
-		return answer{Page: &pg}, err
+		return storeResult{Page: &pg}, err
 	case cd.Kind == callFeed:
 		pg, err := st.Feed(ctx, cd.Table, cd.After, cd.Wait)
-		return answer{Page: &pg}, err
+		return storeResult{Page: &pg}, err
 	case cd.Kind == callParts:
 		parts, err := st.Parts(ctx, cd.Table)
-		return answer{Parts: parts}, err
+		return storeResult{Parts: parts}, err
 	}
-	return answer{}, ErrRefused
+	return storeResult{}, ErrRefused
 }
 
 // Words for what became of a carried call.
 const (
-	wordDone     = "done"
-	wordConflict = "conflict"
-	wordRefused  = "refused"
-	wordSilent   = "silent"
-	wordHistory  = "history"
+	carryDone     = "done"
+	carryConflict = "conflict"
+	carryRefused  = "refused"
+	carrySilent   = "silent"
+	carryHistory  = "history"
 )
 
 // wordOf names an error for a peer.
-func wordOf(err error) string {
+func carryOutcome(err error) string {
 	var cf *Conflict
 	switch {
 	case err == nil:
-		return wordDone
+		return carryDone
 	case errors.As(err, &cf):
-		return wordConflict
+		return carryConflict
 	case errors.Is(err, ErrHistory):
-		return wordHistory
+		return carryHistory
 	case errors.Is(err, ErrRefused):
-		return wordRefused
+		return carryRefused
 	}
-	return wordSilent
+	return carrySilent
 }
 
 // errorOf is the error that a peer's word stands for.
-func errorOf(word string, an answer) error {
-	switch word {
-	case wordDone:
+func carryError(outcome string, sr storeResult) error {
+	switch outcome {
+	case carryDone:
 		return nil
-	case wordConflict:
-		if an.Conflict != nil {
-			return an.Conflict
+	case carryConflict:
+		if sr.Conflict != nil {
+			return sr.Conflict
 		}
 		return &Conflict{}
-	case wordHistory:
+	case carryHistory:
 		return ErrHistory
-	case wordRefused:
+	case carryRefused:
 		return ErrRefused
 	}
 	return ErrSilent
 }
 
 // conflictOf returns the rows that a transaction's conditions met.
-func conflictOf(err error) *Conflict {
+func asConflict(err error) *Conflict {
 	var cf *Conflict
 	if errors.As(err, &cf) {
 		return cf
--- a/fleet/matter.go
+++ b/fleet/matter.go
@@ -49,15 +49,15 @@
 }
 
 // tell counts a transaction, and writes down one that took long or failed.
-func (ln *link) tell(tx Tx, span time.Duration, err error) {
+func (sc *storeClient) tell(tx Tx, span time.Duration, err error) {
 	mt, part := matterOf(tx)
-	ln.fig.commits[mt].Update(span.Microseconds())
-	word := wordOf(err)
-	if word == wordSilent {
-		ln.fig.unanswered[mt].Inc(1)
+	sc.fig.commits[mt].Update(span.Microseconds())
+	word := carryOutcome(err)
+	if word == carrySilent {
+		sc.fig.unanswered[mt].Inc(1)
 	}
-	if span < slowCommit && (word == wordDone || word == wordConflict) {
+	if span < slowCommit && (word == carryDone || word == carryConflict) {
 		return
 	}
-	ln.log.Emit(event.StoreSlow, zap.String("matter", string(mt)), zap.String("part", part), zap.Int("rows", len(tx.Write)), zap.Duration("took", span), zap.String("outcome", word))
+	sc.log.Emit(event.StoreSlow, zap.String("matter", string(mt)), zap.String("part", part), zap.Int("rows", len(tx.Write)), zap.Duration("took", span), zap.String("outcome", word))
 }
--- a/fleet/members.go
+++ b/fleet/members.go
@@ -31,17 +31,17 @@
 
 // layoutApart is the layout in which payloads lie apart from jobs. An instance that reads only older ones would start a job without its
 // payload, so rows are written in it only while all that live read it.
-const layoutApart = 1
+const layoutSeparatePayloads = 1
 
 // agreeLayout notes whether all instances that live read payloads apart from jobs.
-func (fl *Fleet) agreeLayout(live map[string]node) {
-	for _, nd := range live {
-		if nd.Layout < layoutApart {
+func (fl *Fleet) updateLayout(nodes map[string]node) {
+	for _, nd := range nodes {
+		if nd.Layout < layoutSeparatePayloads {
 			fl.apart.Store(false)
 			return
 		}
 	}
-	fl.apart.Store(len(live) > 0)
+	fl.apart.Store(len(nodes) > 0)
 }
 
 // ownerRow is the row of a cell; its version is the epoch when its epoch field is 0.
@@ -61,7 +61,7 @@
 	Released bool `json:"released,omitempty"`
 	// version is that of the row, seen when it was first seen here.
 	version int64
-	seen    time.Time
+	seenAt    time.Time
 }
 
 // epoch is that of the owner.
@@ -80,47 +80,47 @@
 	nodes map[string]node
 	// versions are those of the rows of instances.
 	versions map[string]int64
-	seen     map[string]time.Time
+	nodeSeenAt     map[string]time.Time
 	owners   map[string]ownerRow
 	// ownedAt is when a cell's row was last seen to change.
-	ownedAt map[string]time.Time
+	ownerChangedAt map[string]time.Time
 	drains  map[cell.MachineID]drainRow
 	// vacant is since when a cell has had no owner that lives.
-	vacant map[string]time.Time
+	vacantSince map[string]time.Time
 }
 
 func newMembers(now func() time.Time, log *event.Logger) *members {
-	return &members{now: now, log: log, nodes: map[string]node{}, versions: map[string]int64{}, seen: map[string]time.Time{}, owners: map[string]ownerRow{}, ownedAt: map[string]time.Time{}, drains: map[cell.MachineID]drainRow{}, vacant: map[string]time.Time{}}
+	return &members{now: now, log: log, nodes: map[string]node{}, versions: map[string]int64{}, nodeSeenAt: map[string]time.Time{}, owners: map[string]ownerRow{}, ownerChangedAt: map[string]time.Time{}, drains: map[cell.MachineID]drainRow{}, vacantSince: map[string]time.Time{}}
 }
 
 // controlChanged takes changes of the control table. An answer of the store's, with rows or without, confirms what is owned.
-func (fl *Fleet) controlChanged(rows []Row, asked time.Time) {
+func (fl *Fleet) applyControlRows(rows []Row, sentAt time.Time) {
 	drained := false
 	for _, rw := range rows {
 		switch {
 		case rw.Key == ownerKey:
-			fl.takeOwner(rw)
+			fl.applyOwner(rw)
 		case strings.HasPrefix(rw.Key, nodePrefix):
-			fl.members.takeNode(rw)
+			fl.members.applyNode(rw)
 		case strings.HasPrefix(rw.Key, drainPrefix):
-			fl.members.takeDrain(rw)
+			fl.members.applyDrain(rw)
 			drained = true
 		case strings.HasPrefix(rw.Key, wavePrefix):
-			fl.duty.takeRecord(rw)
+			fl.controller.applyWaveRecord(rw)
 		case strings.HasPrefix(rw.Key, pausePrefix):
 			fl.takePause(rw)
 		}
 	}
 	for _, ow := range fl.owned() {
-		ow.post(func(cr *cell.Core, _ time.Time) { cr.Confirmed(asked) })
+		ow.post(func(cr *cell.Core, _ time.Time) { cr.Confirmed(sentAt) })
 	}
 	if drained {
-		fl.cordon()
+		fl.cordonWorkers()
 	}
 }
 
 // takeNode takes the row of an entry instance. One of another version may have left an older row in another part.
-func (mb *members) takeNode(rw Row) {
+func (mb *members) applyNode(rw Row) {
 	name := strings.TrimPrefix(rw.Key, nodePrefix)
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
@@ -135,24 +135,24 @@
 	}
 	if rw.Deleted || err != nil {
 		delete(mb.nodes, name)
-		delete(mb.seen, name)
+		delete(mb.nodeSeenAt, name)
 		return
 	}
-	mb.nodes[name], mb.seen[name] = nd, mb.now()
+	mb.nodes[name], mb.nodeSeenAt[name] = nd, mb.now()
 }
 
 // takeOwner takes a cell's row, and ends the work of an owner that has been replaced.
-func (fl *Fleet) takeOwner(rw Row) {
+func (fl *Fleet) applyOwner(rw Row) {
 	var or ownerRow
 	if !rw.Deleted && json.Unmarshal(rw.Value, &or) != nil {
 		fl.opts.Log.Emit(event.ControlRowRejected, zap.String("cell", rw.Part))
 		return
 	}
-	or.version, or.seen = rw.Version, fl.opts.Now()
+	or.version, or.seenAt = rw.Version, fl.opts.Now()
 	fl.members.mu.Lock()
 	if old, ok := fl.members.owners[rw.Part]; !ok || old.version < or.version {
-		fl.members.owners[rw.Part], fl.members.ownedAt[rw.Part] = or, fl.opts.Now()
-		delete(fl.members.vacant, rw.Part)
+		fl.members.owners[rw.Part], fl.members.ownerChangedAt[rw.Part] = or, fl.opts.Now()
+		delete(fl.members.vacantSince, rw.Part)
 	}
 	fl.members.mu.Unlock()
 	ow := fl.ownerOf(rw.Part)
@@ -169,10 +169,10 @@
 }
 
 // changed is when a cell's row was last seen to change.
-func (mb *members) changed(name string) time.Time {
+func (mb *members) ownerChanged(name string) time.Time {
 	mb.mu.RLock()
 	defer mb.mu.RUnlock()
-	return mb.ownedAt[name]
+	return mb.ownerChangedAt[name]
 }
 
 // node returns an entry instance's row.
@@ -205,7 +205,7 @@
 }
 
 // owning lists the other entry instances that own cells, or all others.
-func (mb *members) owning(name string, all bool) []node {
+func (mb *members) cellOwners(name string, all bool) []node {
 	list := mb.others(name)
 	if all {
 		return list
@@ -220,25 +220,25 @@
 }
 
 // alive lists the entry instances whose rows move, as far as the store has been answering.
-func (fl *Fleet) alive() map[string]node {
-	since, until := fl.control.healthy()
-	most := fl.deadSpan()
+func (fl *Fleet) liveNodes() map[string]node {
+	since, until := fl.control.healthyPeriod()
+	maxSpan := fl.ownerDeadAfter()
 	mb := fl.members
 	mb.mu.RLock()
 	defer mb.mu.RUnlock()
-	tookAt := map[string]time.Time{}
+	cellTakenAt := map[string]time.Time{}
 	for name, or := range mb.owners {
-		tookAt[or.Holder] = later(tookAt[or.Holder], mb.ownedAt[name])
+		cellTakenAt[or.Holder] = later(cellTakenAt[or.Holder], mb.ownerChangedAt[name])
 	}
 	live := map[string]node{}
 	for name, nd := range mb.nodes {
-		span := deadIdle(len(mb.nodes))
-		heard := later(mb.seen[name], since)
-		if took, owns := tookAt[name]; owns {
+		span := idleDeadAfter(len(mb.nodes))
+		lastSeen := later(mb.nodeSeenAt[name], since)
+		if tookCellAt, owns := cellTakenAt[name]; owns {
 			// It beats faster from when it took the cell.
-			span, heard = most, later(heard, took)
+			span, lastSeen = maxSpan, later(lastSeen, tookCellAt)
 		}
-		if until.Sub(heard) < span {
+		if until.Sub(lastSeen) < span {
 			live[name] = nd
 		}
 	}
@@ -246,16 +246,16 @@
 }
 
 // idleBeat is how often an instance that owns nothing renews its row among so many.
-func idleBeat(nodes int) time.Duration {
+func idleHeartbeat(nodes int) time.Duration {
 	return max(beatIdle, beatIdle*time.Duration(nodes)/idleNodes)
 }
 
 // deadIdle is how long the row of an instance that owns nothing may stand still among so many.
-func deadIdle(nodes int) time.Duration { return 3*idleBeat(nodes) + deadLeast }
+func idleDeadAfter(nodes int) time.Duration { return 3*idleHeartbeat(nodes) + deadLeast }
 
 // deadSpan is how long the row of an entry instance may stand still before it counts as dead.
-func (fl *Fleet) deadSpan() time.Duration {
-	return min(deadAfter, deadLeast+deadPaces*fl.link.usual())
+func (fl *Fleet) ownerDeadAfter() time.Duration {
+	return min(deadAfter, deadLeast+deadPaces*fl.store.commitLatency())
 }
 
 func later(one, other time.Time) time.Time {
@@ -266,39 +266,39 @@
 }
 
 // beat renews this instance's row until the context ends.
-func (fl *Fleet) beat(ctx context.Context) {
+func (fl *Fleet) heartbeat(ctx context.Context) {
 	at := nodePlace(fl.opts.Name)
-	nd := node{Name: fl.opts.Name, Address: fl.opts.Address, Hall: fl.opts.Hall, Incarnation: fl.opts.Incarnation, Power: fl.opts.Power, Layout: layoutApart}
+	nd := node{Name: fl.opts.Name, Address: fl.opts.Address, Hall: fl.opts.Hall, Incarnation: fl.opts.Incarnation, Power: fl.opts.Power, Layout: layoutSeparatePayloads}
 	for ctx.Err() == nil {
 		nd.Beat++
 		nd.Leaving = fl.stopping.Load()
 		raw, err := json.Marshal(nd)
 		if err == nil {
-			callCtx, cancel := context.WithTimeout(ctx, fl.link.patience())
-			_, err = fl.link.Commit(callCtx, Tx{Write: []Row{{Table: at.Table, Part: at.Part, Key: at.Key, Value: raw}}})
+			callCtx, cancel := context.WithTimeout(ctx, fl.store.commitTimeout())
+			_, err = fl.store.Commit(callCtx, Tx{Write: []Row{{Table: at.Table, Part: at.Part, Key: at.Key, Value: raw}}})
 			cancel()
 		}
 		// The watch of the control table logs that the store is lost.
-		pause := fl.beatPause()
+		pause := fl.heartbeatInterval()
 		if err != nil {
 			pause = beatAgain
 		}
-		fl.restUntilOwner(ctx, pause)
+		fl.heartbeatPause(ctx, pause)
 	}
 }
 
 // beatPause is how long this instance's row may stand still.
-func (fl *Fleet) beatPause() time.Duration {
-	if fl.ownsNothing() && !fl.duty.held() && !fl.stopping.Load() {
-		return idleBeat(fl.members.count())
+func (fl *Fleet) heartbeatInterval() time.Duration {
+	if fl.ownsNoCells() && !fl.controller.isLeader() && !fl.stopping.Load() {
+		return idleHeartbeat(fl.members.count())
 	}
 	return beatEvery
 }
 
 // restUntilOwner waits, not longer than an owner may, once this instance has become one.
-func (fl *Fleet) restUntilOwner(ctx context.Context, pause time.Duration) {
+func (fl *Fleet) heartbeatPause(ctx context.Context, pause time.Duration) {
 	for slept := time.Duration(0); slept < pause && ctx.Err() == nil; slept += beatEvery {
-		if slept >= fl.beatPause() {
+		if slept >= fl.heartbeatInterval() {
 			return
 		}
 		sleep(ctx, min(beatEvery, pause-slept))
@@ -306,7 +306,7 @@
 }
 
 // burden is how much so many cells are for an instance.
-func (nd node) burden(cells int) float64 {
+func (nd node) load(cells int) float64 {
 	if nd.Power <= 0 {
 		return float64(cells)
 	}
@@ -314,7 +314,7 @@
 }
 
 // held counts the cells of each instance.
-func (mb *members) held() map[string]int {
+func (mb *members) cellCounts() map[string]int {
 	mb.mu.RLock()
 	defer mb.mu.RUnlock()
 	count := map[string]int{}
--- a/fleet/orderbook_test.go
+++ b/fleet/orderbook_test.go
@@ -11,54 +11,54 @@
 )
 
 // given is a span in which an order to a machine was under way.
-type given struct {
+type sentOrder struct {
 	node     string
 	token    cell.Token
 	from, to time.Time
 }
 
 // orderBook notes every order that nodes give.
-type orderBook struct {
+type orderRecorder struct {
 	mu   sync.Mutex
-	list []given
+	list []sentOrder
 }
 
-func (ob *orderBook) add(gv given) {
-	ob.mu.Lock()
-	defer ob.mu.Unlock()
-	ob.list = append(ob.list, gv)
+func (or *orderRecorder) add(so sentOrder) {
+	or.mu.Lock()
+	defer or.mu.Unlock()
+	or.list = append(or.list, so)
 }
 
-func (ob *orderBook) of(node string) []given {
-	ob.mu.Lock()
-	defer ob.mu.Unlock()
-	var list []given
-	for _, gv := range ob.list {
-		if gv.node == node {
-			list = append(list, gv)
+func (or *orderRecorder) byNode(node string) []sentOrder {
+	or.mu.Lock()
+	defer or.mu.Unlock()
+	var list []sentOrder
+	for _, so := range or.list {
+		if so.node == node {
+			list = append(list, so)
 		}
 	}
 	return list
 }
 
 // press has a node give orders without end, most of which get no answer, and several of which are under way at any time.
-func (ob *orderBook) press(t *testing.T, nd *testNode) {
-	const atOnce, gap = 16, 37 * time.Millisecond
+func (or *orderRecorder) sendConstantly(t *testing.T, nd *testNode) {
+	const parallel, gap = 16, 37 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for ctx.Err() == nil {
-			if nd.duty.leased(time.Now()) {
-				nd.duty.announce(ctx, []cell.MachineID{pressed})
+			if nd.controller.leaseValid(time.Now()) {
+				nd.controller.announce(ctx, []cell.MachineID{busyMachine})
 			}
 			sleep(ctx, time.Second)
 		}
 	})
-	for turn := range atOnce {
+	for turn := range parallel {
 		wg.Go(func() {
 			sleep(ctx, time.Duration(turn)*gap)
 			for count := 0; ctx.Err() == nil; count++ {
-				ob.give(ctx, nd, count%4 != 0)
+				or.sendOne(ctx, nd, count%4 != 0)
 				sleep(ctx, time.Millisecond)
 			}
 		})
@@ -70,35 +70,35 @@
 }
 
 // pressed is the machine for which orders are given without end.
-const pressed = "m0"
+const busyMachine = "m0"
 
 // give gives one order, which hangs until it is given up or is answered at once.
-func (ob *orderBook) give(ctx context.Context, nd *testNode, hangs bool) {
-	nd.duty.order(ctx, pressed, func(ctx context.Context) machine.Outcome {
-		gv := given{node: nd.opts.Name, token: nd.duty.tokenNow(), from: time.Now()}
+func (or *orderRecorder) sendOne(ctx context.Context, nd *testNode, hangs bool) {
+	nd.controller.sendOrder(ctx, busyMachine, func(ctx context.Context) machine.Outcome {
+		so := sentOrder{node: nd.opts.Name, token: nd.controller.tokenNow(), from: time.Now()}
 		if hangs {
 			<-ctx.Done()
 		}
-		gv.to = time.Now()
-		ob.add(gv)
+		so.to = time.Now()
+		or.add(so)
 		return machine.Silent
 	})
 }
 
 // tokenNow is the token of the present tenure.
-func (du *duty) tokenNow() cell.Token {
-	du.mu.Lock()
-	defer du.mu.Unlock()
-	return du.token
+func (ct *machineController) tokenNow() cell.Token {
+	ct.mu.Lock()
+	defer ct.mu.Unlock()
+	return ct.token
 }
 
 // holder waits until one of the nodes may give orders.
-func (st *site) holder(nodes ...*testNode) *testNode {
+func (st *site) leader(nodes ...*testNode) *testNode {
 	st.t.Helper()
 	var found *testNode
 	st.eventually("a holder of the machines' duty", func() bool {
 		for _, nd := range nodes {
-			if nd.duty.leased(time.Now()) {
+			if nd.controller.leaseValid(time.Now()) {
 				found = nd
 			}
 		}
--- a/fleet/organisations.go
+++ b/fleet/organisations.go
@@ -136,7 +136,7 @@
 func askOrganisations(ctx context.Context, address string, loads map[job.OrganisationID][]cell.OrganisationLoad) bool {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	cl := peer.NewCellsProtobufClient("http://"+address, tcp.NewClient(tcp.DialTimeout(peerDial)))
+	cl := peer.NewCellsProtobufClient("http://"+address, tcp.NewClient(tcp.DialTimeout(peerDialTimeout)))
 	rp, err := cl.Organisations(ctx, &peer.OrganisationsRequest{})
 	if err != nil {
 		return false
--- a/fleet/owner.go
+++ b/fleet/owner.go
@@ -45,12 +45,12 @@
 	done       chan struct{}
 	signal     chan struct{}
 	writes     *writes
-	jobs       *watch
+	jobs       *tableWatch
 	mu         sync.Mutex // guards what follows
 	core       *cell.Core
 	events     []func(*cell.Core, time.Time)
 	progress   map[job.ID]Row
-	lanes      map[cell.WorkerID]*lane
+	orderQueues      map[cell.WorkerID]*orderQueue
 	relays     *relays
 	silenced   bool
 	// since is when the cell was claimed, claimed the row by which it was.
@@ -66,13 +66,13 @@
 func newOwner(fl *Fleet, name string, row ownerRow, cancel context.CancelFunc) *owner {
 	ow := &owner{
 		fl: fl, name: name, epoch: row.epoch(), cancel: cancel, done: make(chan struct{}), signal: make(chan struct{}, 1),
-		writes: newWrites(), progress: map[job.ID]Row{}, lanes: map[cell.WorkerID]*lane{},
+		writes: newWrites(), progress: map[job.ID]Row{}, orderQueues: map[cell.WorkerID]*orderQueue{},
 		since: fl.opts.Now(), claimed: row,
 	}
 	ow.relays = newRelays(ow)
 	ow.rowVersion.Store(row.version)
 	ow.core = cell.New(job.PoolID(name), ow.epoch, ow.cellOptions())
-	ow.jobs = newWatch(fl, jobTable(name), fixed(jobsGap), jobsWait, ow.jobsChanged)
+	ow.jobs = newTableWatch(fl, jobTable(name), fixedInterval(jobsInterval), jobsWait, ow.jobsChanged)
 	return ow
 }
 
@@ -98,7 +98,7 @@
 		ow.core.Configure(cf.Queues)
 		ow.core.Organise(cf)
 	}
-	for _, wk := range fl.roster.of(job.PoolID(name)) {
+	for _, wk := range fl.workerCache.inPool(job.PoolID(name)) {
 		ow.core.Register(claimed, wk)
 	}
 	ow.core.Enlisted(row.Workers)
@@ -114,7 +114,7 @@
 	go ow.census(ctx)
 	go ow.relays.run(ctx)
 	go ow.run(ctx)
-	fl.cordon()
+	fl.cordonWorkers()
 }
 
 // pool is the cell's.
@@ -235,7 +235,7 @@
 	ow.events = nil
 	now := ow.fl.opts.Now()
 	ow.core.TimeOfDay(now, ow.fl.opts.Day())
-	_, registered := ow.fl.registry.healthy()
+	_, registered := ow.fl.registry.healthyPeriod()
 	ow.core.Registered(registered)
 	for _, ev := range events {
 		ev(ow.core, now)
@@ -279,7 +279,7 @@
 	if ow.relays.send(ctx, id, od) {
 		return
 	}
-	ow.fl.complete(ctx, od, func(od cell.Order) { ow.lane(id).add(ctx, od, ow.ordered) }, func() {
+	ow.fl.complete(ctx, od, func(od cell.Order) { ow.orderQueue(id).enqueue(ctx, od, ow.ordered) }, func() {
 		now := ow.fl.opts.Now()
 		ow.ordered(cell.Ordered{Order: od, Outcome: cell.Unprepared, Sent: now, Received: now})
 	})
@@ -295,15 +295,15 @@
 }
 
 // lane returns the lane of a worker whose orders are carried out here.
-func (ow *owner) lane(id cell.WorkerID) *lane {
+func (ow *owner) orderQueue(id cell.WorkerID) *orderQueue {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	ln, ok := ow.lanes[id]
+	oq, ok := ow.orderQueues[id]
 	if !ok {
-		ln = newLane(ow.fl.opts.Workers, ow.fl.opts.Now)
-		ow.lanes[id] = ln
+		oq = newOrderQueue(ow.fl.opts.Workers, ow.fl.opts.Now)
+		ow.orderQueues[id] = oq
 	}
-	return ln
+	return oq
 }
 
 func (ow *owner) advise(ctx context.Context, ad cell.Advise) {
--- a/fleet/patience.go
+++ b/fleet/patience.go
@@ -52,7 +52,7 @@
 		pw.vain++
 	case span > held:
 		// An answer that came before its time was held back for an end tells nothing of the way.
-		pw.answer += time.Duration(answerShare * float64(span-held-pw.answer))
+		pw.answer += time.Duration(latencyWeight * float64(span-held-pw.answer))
 		pw.vain = 0
 	default:
 		pw.vain = 0
--- a/fleet/payloads.go
+++ b/fleet/payloads.go
@@ -127,15 +127,15 @@
 
 // payload asks a peer for the payload of a job that it accepted.
 func (pr *peers) payload(ctx context.Context, address string, id job.ID) (string, bool) {
-	if address == pr.fl.opts.Address || pr.isBad(address) {
+	if address == pr.fl.opts.Address || pr.backingOff(address) {
 		// It was accepted by an earlier process here, or its instance has just been silent.
 		return "", false
 	}
 	ctx, cancel := context.WithTimeout(ctx, payloadTimeout)
 	defer cancel()
-	rp, err := pr.at(address).Payload(ctx, &peer.PayloadRequest{Job: string(id)})
+	rp, err := pr.clientFor(address).Payload(ctx, &peer.PayloadRequest{Job: string(id)})
 	if err != nil {
-		pr.passOver(address)
+		pr.backOff(address)
 		pr.fl.logPeer("payload", string(id), err)
 		return "", false
 	}
--- a/fleet/payloads_test.go
+++ b/fleet/payloads_test.go
@@ -80,13 +80,13 @@
 func TestPayloadStaysWithItsJobForOlderInstances(t *testing.T) {
 	st := newSite(t, time.Hour)
 	fl := st.start("one").Fleet
-	fl.agreeLayout(map[string]node{"one": {Layout: layoutApart}, "old": {}})
+	fl.updateLayout(map[string]node{"one": {Layout: layoutSeparatePayloads}, "old": {}})
 	sp := spec("a")
 	sp.Payload = "text"
 	if kept := fl.kept(sp); kept.Payload != "text" || kept.Acceptor != "" {
 		t.Errorf("kept as %+v beside an older instance", kept)
 	}
-	fl.agreeLayout(map[string]node{"one": {Layout: layoutApart}})
+	fl.updateLayout(map[string]node{"one": {Layout: layoutSeparatePayloads}})
 	if kept := fl.kept(sp); kept.Payload != "" || kept.Acceptor == "" || sp.Payload != "text" {
 		t.Errorf("kept as %+v", kept)
 	}
@@ -112,16 +112,16 @@
 func TestMorePeersShareStartsThatQueue(t *testing.T) {
 	breadth := 1.0
 	for range 3 {
-		breadth = nextBreadth(breadth, 2*relaySlow)
+		breadth = nextScale(breadth, 2*slowStart)
 	}
 	if breadth < 3 {
 		t.Errorf("%.1f times as many peers after three slow rounds", breadth)
 	}
-	if same := nextBreadth(breadth, (relaySlow+relayQuick)/2); same != breadth {
+	if same := nextScale(breadth, (slowStart+fastStart)/2); same != breadth {
 		t.Errorf("from %.1f to %.1f without a reason", breadth, same)
 	}
 	for range 200 {
-		breadth = nextBreadth(breadth, 0)
+		breadth = nextScale(breadth, 0)
 	}
 	if breadth != 1 {
 		t.Errorf("%.1f times as many peers after the queue is gone", breadth)
--- a/fleet/peers.go
+++ b/fleet/peers.go
@@ -17,18 +17,18 @@
 
 // Times of calls to peers.
 const (
-	peerDial    = 300 * time.Millisecond
+	peerDialTimeout    = 300 * time.Millisecond
 	peerTimeout = 500 * time.Millisecond
 	// peerIdle is how long an unused connection to a peer is kept.
-	peerIdle = 20 * time.Second
+	peerIdleTimeout = 20 * time.Second
 	// peerConnections is how many unused connections to a peer are kept.
-	peerConnections = 4
+	peerIdleConnections = 4
 	// maxCellBytes bounds what a peer may send.
-	maxCellBytes = 4 << 20
+	maxPeerRequestBytes = 4 << 20
 	// carryTries is how many peers are asked to carry a call.
-	carryTries = 2
+	carryAttempts = 2
 	// carryBad is how long a peer that could not carry a call is passed over.
-	carryBad = time.Second
+	carryBackoff = time.Second
 )
 
 // peers speaks to the other entry instances.
@@ -37,23 +37,23 @@
 	client  *http.Client
 	mu      sync.Mutex // guards what follows
 	clients map[string]peer.Cells
-	bad     map[string]time.Time
-	turn    int
+	backoffUntil     map[string]time.Time
+	rotation    int
 }
 
 func newPeers(fl *Fleet) *peers {
-	options := []tcp.Option{tcp.DialTimeout(peerDial), tcp.IdleConnections(peerConnections), tcp.IdleTime(peerIdle)}
+	options := []tcp.Option{tcp.DialTimeout(peerDialTimeout), tcp.IdleConnections(peerIdleConnections), tcp.IdleTime(peerIdleTimeout)}
 	if fl.opts.Bytes != nil {
 		options = append(options, tcp.Metered(fl.opts.Bytes, PeerCall))
 	}
 	return &peers{
 		fl:      fl,
 		client:  tcp.NewClient(options...),
-		clients: map[string]peer.Cells{}, bad: map[string]time.Time{},
+		clients: map[string]peer.Cells{}, backoffUntil: map[string]time.Time{},
 	}
 }
 
-func (pr *peers) at(address string) peer.Cells {
+func (pr *peers) clientFor(address string) peer.Cells {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
 	cl, ok := pr.clients[address]
@@ -65,18 +65,18 @@
 }
 
 // owner returns the peer that owns a cell, as far as is known here.
-func (pr *peers) owner(name string) (peer.Cells, bool) {
+func (pr *peers) ownerClient(name string) (peer.Cells, bool) {
 	or := pr.fl.members.owner(name)
 	nd, ok := pr.fl.members.node(or.Holder)
 	if !ok || nd.Name == pr.fl.opts.Name || nd.Incarnation != or.Incarnation {
 		return nil, false
 	}
-	return pr.at(nd.Address), true
+	return pr.clientFor(nd.Address), true
 }
 
 // offer tells a cell's owner of accepted jobs.
 func (pr *peers) offer(name string, specs [][]byte) {
-	cl, ok := pr.owner(name)
+	cl, ok := pr.ownerClient(name)
 	if !ok {
 		return
 	}
@@ -88,7 +88,7 @@
 }
 
 func (pr *peers) jobState(ctx context.Context, name string, id job.ID) (word, bool) {
-	cl, ok := pr.owner(name)
+	cl, ok := pr.ownerClient(name)
 	if !ok {
 		return word{}, false
 	}
@@ -103,7 +103,7 @@
 }
 
 func (pr *peers) cancelJob(name string, id job.ID) {
-	cl, ok := pr.owner(name)
+	cl, ok := pr.ownerClient(name)
 	if !ok {
 		return
 	}
@@ -115,7 +115,7 @@
 }
 
 func (pr *peers) pending(ctx context.Context, name string, queue job.QueueID) (int, bool) {
-	cl, ok := pr.owner(name)
+	cl, ok := pr.ownerClient(name)
 	if !ok {
 		return 0, false
 	}
@@ -130,12 +130,12 @@
 }
 
 // tellReleased tells all peers that a cell has no owner.
-func (pr *peers) tellReleased(rw Row) {
+func (pr *peers) notifyReleased(rw Row) {
 	for _, nd := range pr.fl.members.others(pr.fl.opts.Name) {
 		go func() {
 			ctx, cancel := context.WithTimeout(pr.fl.background, peerTimeout)
 			defer cancel()
-			if _, err := pr.at(nd.Address).Released(ctx, &peer.ReleasedRequest{Cell: rw.Part, Version: rw.Version, Row: rw.Value}); err != nil {
+			if _, err := pr.clientFor(nd.Address).Released(ctx, &peer.ReleasedRequest{Cell: rw.Part, Version: rw.Version, Row: rw.Value}); err != nil {
 				pr.fl.logPeer("released", rw.Part, err)
 			}
 		}()
@@ -160,8 +160,8 @@
 	now := pr.fl.opts.Now()
 	var list []string
 	for at := range addresses {
-		address := addresses[(at+pr.turn)%len(addresses)]
-		if now.After(pr.bad[address]) && len(list) < carryTries {
+		address := addresses[(at+pr.rotation)%len(addresses)]
+		if now.After(pr.backoffUntil[address]) && len(list) < carryAttempts {
 			list = append(list, address)
 		}
 	}
@@ -169,41 +169,41 @@
 }
 
 // carry has a peer hand a call to the store; ErrRefused if none could have done it.
-func (pr *peers) carry(ctx context.Context, raw []byte) (answer, error) {
+func (pr *peers) carry(ctx context.Context, raw []byte) (storeResult, error) {
 	for _, address := range pr.carriers() {
-		rp, err := pr.at(address).Carry(ctx, &peer.CarryRequest{Call: raw})
+		rp, err := pr.clientFor(address).Carry(ctx, &peer.CarryRequest{Call: raw})
 		if err != nil {
-			pr.passOver(address)
+			pr.backOff(address)
 			// The peer may have handed it on before it fell silent.
-			return answer{}, ErrSilent
+			return storeResult{}, ErrSilent
 		}
-		var an answer
+		var sr storeResult
 		if len(rp.Answer) > 0 {
-			if err := json.Unmarshal(rp.Answer, &an); err != nil {
-				return answer{}, ErrSilent
+			if err := json.Unmarshal(rp.Answer, &sr); err != nil {
+				return storeResult{}, ErrSilent
 			}
 		}
-		if rp.Outcome != wordRefused {
-			return an, errorOf(rp.Outcome, an)
+		if rp.Outcome != carryRefused {
+			return sr, carryError(rp.Outcome, sr)
 		}
-		pr.passOver(address)
+		pr.backOff(address)
 	}
-	return answer{}, ErrRefused
+	return storeResult{}, ErrRefused
 }
 
 // isBad reports whether a peer is left out at this time.
-func (pr *peers) isBad(address string) bool {
+func (pr *peers) backingOff(address string) bool {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
-	return pr.fl.opts.Now().Before(pr.bad[address])
+	return pr.fl.opts.Now().Before(pr.backoffUntil[address])
 }
 
 // passOver leaves a peer out for a while.
-func (pr *peers) passOver(address string) {
+func (pr *peers) backOff(address string) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
-	pr.bad[address] = pr.fl.opts.Now().Add(carryBad)
-	pr.turn++
+	pr.backoffUntil[address] = pr.fl.opts.Now().Add(carryBackoff)
+	pr.rotation++
 }
 
 // cellsServer answers other entry instances.
@@ -213,7 +213,7 @@
 func (fl *Fleet) Handler() http.Handler {
 	twirp := peer.NewCellsServer(cellsServer{fl})
 	return http.HandlerFunc(func(wr http.ResponseWriter, rq *http.Request) {
-		rq.Body = http.MaxBytesReader(wr, rq.Body, maxCellBytes)
+		rq.Body = http.MaxBytesReader(wr, rq.Body, maxPeerRequestBytes)
 		twirp.ServeHTTP(wr, rq)
 	})
 }
@@ -262,25 +262,25 @@
 
 // Released takes the row of a cell that has no owner any more.
 func (sv cellsServer) Released(_ context.Context, rq *peer.ReleasedRequest) (*peer.ReleasedResponse, error) {
-	sv.fl.takeOwner(Row{Table: tableControl, Part: rq.Cell, Key: ownerKey, Value: rq.Row, Version: rq.Version})
+	sv.fl.applyOwner(Row{Table: tableControl, Part: rq.Cell, Key: ownerKey, Value: rq.Row, Version: rq.Version})
 	return &peer.ReleasedResponse{}, nil
 }
 
 // Carry hands a call to the store.
 func (sv cellsServer) Carry(ctx context.Context, rq *peer.CarryRequest) (*peer.CarryResponse, error) {
-	var cd carried
-	if err := json.Unmarshal(rq.Call, &cd); err != nil {
+	var call storeCall
+	if err := json.Unmarshal(rq.Call, &call); err != nil {
 		sv.fl.opts.Log.Emit(event.CarryRejected, zap.Error(err))
-		return &peer.CarryResponse{Outcome: wordRefused}, nil
+		return &peer.CarryResponse{Outcome: carryRefused}, nil
 	}
-	an, err := perform(ctx, sv.fl.opts.Store, cd)
-	word := wordOf(err)
-	if word == wordConflict {
-		an.Conflict = conflictOf(err)
+	sr, err := perform(ctx, sv.fl.opts.Store, call)
+	outcome := carryOutcome(err)
+	if outcome == carryConflict {
+		sr.Conflict = asConflict(err)
 	}
-	raw, err := json.Marshal(an)
+	raw, err := json.Marshal(sr)
 	if err != nil {
-		return &peer.CarryResponse{Outcome: wordSilent}, nil
+		return &peer.CarryResponse{Outcome: carrySilent}, nil
 	}
-	return &peer.CarryResponse{Outcome: word, Answer: raw}, nil
+	return &peer.CarryResponse{Outcome: outcome, Answer: raw}, nil
 }
--- a/fleet/reach_test.go
+++ b/fleet/reach_test.go
@@ -11,7 +11,7 @@
 )
 
 // cutSite has two nodes in the hall here and one elsewhere, all of which know each other.
-func cutSite(t *testing.T) (st *site, here, beside, far *testNode) {
+func partitionSite(t *testing.T) (st *site, here, beside, far *testNode) {
 	st = newSite(t, time.Millisecond)
 	st.halls = map[string]string{"here": "a", "beside": "a", "far": "b"}
 	here, beside, far = st.start("here"), st.start("beside"), st.start("far")
@@ -24,7 +24,7 @@
 // TestCutOffInstanceSendsCallersElsewhere: nothing answers but the neighbour in its own hall, which is cut off as well. A job that the
 // store may have taken gets its answer at once, since another hall can find out.
 func TestCutOffInstanceSendsCallersElsewhere(t *testing.T) {
-	st, here, beside, far := cutSite(t)
+	st, here, beside, far := partitionSite(t)
 	for _, nd := range []*testNode{here, beside} {
 		nd.way.set(func(sw *storeWay) { sw.silent = true })
 	}
@@ -57,11 +57,11 @@
 
 // TestStoreThatIsDownIsNoCut: the other hall answers, and callers are no better off there.
 func TestStoreThatIsDownIsNoCut(t *testing.T) {
-	st, here, beside, far := cutSite(t)
+	st, here, beside, far := partitionSite(t)
 	for _, nd := range []*testNode{here, beside, far} {
 		nd.way.set(func(sw *storeWay) { sw.silent = true })
 	}
-	st.eventually("the store has been silent for long", func() bool { return time.Since(here.link.heard()) > 4*reachSilent })
+	st.eventually("the store has been silent for long", func() bool { return time.Since(here.store.lastAnswer()) > 4*partitionSilence })
 	if here.CutOff() || !here.Ready() {
 		t.Error("an outage of the store was taken for a cut")
 	}
@@ -69,18 +69,18 @@
 
 // TestInstancesThatAreGoneTellNothing: the rows of replaced instances stay; only those that lived of late are asked.
 func TestInstancesThatAreGoneTellNothing(t *testing.T) {
-	st, here, _, _ := cutSite(t)
+	st, here, _, _ := partitionSite(t)
 	here.members.mu.Lock()
 	for _, name := range []string{"gone1", "gone2", "gone3", "gone4"} {
 		here.members.nodes[name] = node{Name: name, Address: "127.0.0.1:1", Hall: "b"}
 	}
 	here.members.nodes["leaves"] = node{Name: "leaves", Address: "127.0.0.1:1", Hall: "b", Leaving: true}
-	here.members.seen["leaves"] = time.Now().Add(longWait)
+	here.members.nodeSeenAt["leaves"] = time.Now().Add(longWait)
 	here.members.mu.Unlock()
-	st.eventually("the gone are told from the living", func() bool { return len(here.alive()) == 4 })
-	rc := &reach{fl: here.Fleet}
+	st.eventually("the gone are told from the living", func() bool { return len(here.liveNodes()) == 4 })
+	rc := &partitionDetector{fl: here.Fleet}
 	for range 10 {
-		for _, nd := range rc.elsewhere() {
+		for _, nd := range rc.probeTargets() {
 			if nd.Name != "far" {
 				t.Fatalf("%s is asked", nd.Name)
 			}
@@ -97,7 +97,7 @@
 	two := st.start("two")
 	st.eventually("the peer is known", func() bool { return two.Ready() && len(one.members.others("one")) > 0 })
 	owner.way.set(func(sw *storeWay) { sw.silent = true })
-	st.eventually("it goes through peers", owner.link.onDetour)
+	st.eventually("it goes through peers", owner.store.proxying)
 	before := 0
 	for at := range 8 {
 		id := fmt.Sprintf("late%d", at)
@@ -108,16 +108,16 @@
 				// On a busy machine the beats through the peer may be too late, and the cell changes hands.
 				now = two
 			}
-			return slices.ContainsFunc(now.roster.of("pool"), func(wk cell.Worker) bool { return string(wk.ID) == id })
+			return slices.ContainsFunc(now.workerCache.inPool("pool"), func(wk cell.Worker) bool { return string(wk.ID) == id })
 		})
 		if at == 0 {
 			before = owner.way.fed("registry")
 		}
-		time.Sleep(directAgain / 2)
+		time.Sleep(directProbeInterval / 2)
 	}
 	if tries := owner.way.fed("registry") - before; tries > 1 {
 		t.Errorf("the direct way was tried with %d feeds", tries)
 	}
 	owner.way.set(func(sw *storeWay) { sw.silent = false })
-	st.eventually("it goes the direct way again", func() bool { return !owner.link.onDetour() })
+	st.eventually("it goes the direct way again", func() bool { return !owner.store.proxying() })
 }
--- a/fleet/relay.go
+++ b/fleet/relay.go
@@ -12,13 +12,13 @@
 // Times and bounds of carrying out orders for other entry instances.
 const (
 	// relayForget is how long the results for a sender that does not ask are kept.
-	relayForget = 10 * time.Second
+	senderRetention = 10 * time.Second
 	// relayMost is how many results wait for one sender; later ones are dropped, as lost answers are.
-	relayMost = 4096
+	maxPendingResults = 4096
 	// relayPatience is how long an order may wait in a worker's lane; after that it goes back as not sent.
-	relayPatience = 1200 * time.Millisecond
+	relayQueueTimeout = 1200 * time.Millisecond
 	// relayWait bounds how long an answer waits for a result.
-	relayWait = 500 * time.Millisecond
+	relayPollTimeout = 500 * time.Millisecond
 )
 
 // relay carries out orders for the owners of cells. It keeps nothing that a promise rests on: what it loses, its sender takes for
@@ -27,26 +27,26 @@
 	fl      *Fleet
 	mu      sync.Mutex // guards what follows
 	senders map[string]*sender
-	lanes   map[cell.WorkerID]*lane
-	swept   time.Time
+	queues   map[cell.WorkerID]*orderQueue
+	lastSweep   time.Time
 }
 
 // sender is an entry instance whose orders are carried out here.
 type sender struct {
 	mu      sync.Mutex // guards what follows
-	results []waitingResult
+	results []pendingResult
 	signal  chan struct{}
-	asked   time.Time
+	lastPoll   time.Time
 }
 
 // waitingResult is a result that its sender has not fetched.
-type waitingResult struct {
+type pendingResult struct {
 	result *peer.RelayResult
-	since  time.Time
+	queuedAt  time.Time
 }
 
 func newRelay(fl *Fleet) *relay {
-	return &relay{fl: fl, senders: map[string]*sender{}, lanes: map[cell.WorkerID]*lane{}}
+	return &relay{fl: fl, senders: map[string]*sender{}, queues: map[cell.WorkerID]*orderQueue{}}
 }
 
 // Relay takes orders of a peer's, and returns what has become of its earlier ones.
@@ -54,11 +54,11 @@
 	rl := sv.fl.relay
 	sd := rl.sender(rq.Sender)
 	for _, ro := range rq.Orders {
-		rl.carryOut(sd, ro)
+		rl.execute(sd, ro)
 	}
 	rp := &peer.RelayResponse{Incarnation: sv.fl.opts.Incarnation}
 	if rq.WaitMillis > 0 {
-		rp.Results = sd.collect(ctx, sv.fl.opts.Now, min(relayWait, time.Duration(rq.WaitMillis)*time.Millisecond))
+		rp.Results = sd.collect(ctx, sv.fl.opts.Now, min(relayPollTimeout, time.Duration(rq.WaitMillis)*time.Millisecond))
 	}
 	return rp, nil
 }
@@ -68,7 +68,7 @@
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
 	now := rl.fl.opts.Now()
-	if now.Sub(rl.swept) > relayForget {
+	if now.Sub(rl.lastSweep) > senderRetention {
 		rl.sweep(now)
 	}
 	sd, ok := rl.senders[name]
@@ -77,70 +77,70 @@
 		rl.senders[name] = sd
 	}
 	sd.mu.Lock()
-	sd.asked = now
+	sd.lastPoll = now
 	sd.mu.Unlock()
 	return sd
 }
 
 // sweep forgets senders that do not ask, and lanes that are idle. The caller holds the lock.
 func (rl *relay) sweep(now time.Time) {
-	rl.swept = now
+	rl.lastSweep = now
 	for name, sd := range rl.senders {
 		sd.mu.Lock()
-		if now.Sub(sd.asked) > relayForget {
+		if now.Sub(sd.lastPoll) > senderRetention {
 			delete(rl.senders, name)
 		}
 		sd.mu.Unlock()
 	}
-	for id, ln := range rl.lanes {
-		if ln.idle() {
-			delete(rl.lanes, id)
+	for id, oq := range rl.queues {
+		if oq.idle() {
+			delete(rl.queues, id)
 		}
 	}
 }
 
 // carryOut begins to carry out one order.
-func (rl *relay) carryOut(sd *sender, ro *peer.RelayOrder) {
+func (rl *relay) execute(sd *sender, ro *peer.RelayOrder) {
 	ctx, now := rl.fl.background, rl.fl.opts.Now
-	switch order := orderOf(ro).(type) {
+	switch order := fromRelayOrder(ro).(type) {
 	case nil:
-		sd.add(&peer.RelayResult{Id: ro.Id, Outcome: int32(cell.Invalid)}, now())
+		sd.addResult(&peer.RelayResult{Id: ro.Id, Outcome: int32(cell.Invalid)}, now())
 	case cell.Look:
 		go func() {
 			lk := rl.fl.opts.Workers.Look(ctx, order)
-			sd.add(relayLooked(ro.Id, lk), lk.Received)
+			sd.addResult(toRelayLookResult(ro.Id, lk), lk.Received)
 		}()
 	default:
-		rl.fl.complete(ctx, order, func(od cell.Order) { rl.command(sd, ro, od) }, func() {
-			sd.add(&peer.RelayResult{Id: ro.Id, Outcome: int32(cell.Unprepared)}, now())
+		rl.fl.complete(ctx, order, func(od cell.Order) { rl.enqueueOrder(sd, ro, od) }, func() {
+			sd.addResult(&peer.RelayResult{Id: ro.Id, Outcome: int32(cell.Unprepared)}, now())
 		})
 	}
 }
 
 // command gives a worker an order, and its sender the result.
-func (rl *relay) command(sd *sender, ro *peer.RelayOrder, od cell.Order) {
-	rl.lane(cell.WorkerID(ro.Worker), rl.fl.opts.Now()).add(rl.fl.background, od, func(od cell.Ordered) {
-		sd.add(&peer.RelayResult{Id: ro.Id, Outcome: int32(od.Outcome), Clock: od.Clock}, od.Received)
+func (rl *relay) enqueueOrder(sd *sender, ro *peer.RelayOrder, od cell.Order) {
+	rl.orderQueue(cell.WorkerID(ro.Worker), rl.fl.opts.Now()).enqueue(rl.fl.background, od, func(od cell.Ordered) {
+		sd.addResult(&peer.RelayResult{Id: ro.Id, Outcome: int32(od.Outcome), Clock: od.Clock}, od.Received)
 	})
 }
 
-func (rl *relay) lane(id cell.WorkerID, now time.Time) *lane {
+func (rl *relay) orderQueue(id cell.WorkerID, now time.Time) *orderQueue {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
-	ln, ok := rl.lanes[id]
+	oq, ok := rl.queues[id]
 	if !ok {
-		ln = newLane(rl.fl.opts.Workers, rl.fl.opts.Now)
-		ln.patience = relayPatience
-		rl.lanes[id] = ln
+		oq = newOrderQueue(rl.fl.opts.Workers, rl.fl.opts.Now)
+		oq.maxWait = relayQueueTimeout
+		rl.queues[id] = oq
 	}
-	return ln
+	return oq
 }
 
 // add keeps a result until its sender asks for it.
-func (sd *sender) add(rr *peer.RelayResult, at time.Time) {
+func (sd *sender) addResult(rr *peer.RelayResult, at time.Time) {
 	sd.mu.Lock()
-	if len(sd.results) < relayMost {
-		sd.results = append(sd.results, waitingResult{rr, at})
+	if len(sd.results) < maxPendingResults {
+		sd.results = append(sd.results, pendingResult{rr, at})
 	}
 	sd.mu.Unlock()
 	select {
@@ -153,30 +153,30 @@
 func (sd *sender) collect(ctx context.Context, now func() time.Time, wait time.Duration) []*peer.RelayResult {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	if !sd.any() {
+	if !sd.hasResults() {
 		select {
 		case <-sd.signal:
 		case <-timer.C:
 		case <-ctx.Done():
 		}
 	}
-	return sd.take(now())
+	return sd.takeResults(now())
 }
 
-func (sd *sender) any() bool {
+func (sd *sender) hasResults() bool {
 	sd.mu.Lock()
 	defer sd.mu.Unlock()
 	return len(sd.results) > 0
 }
 
 // take returns what waits, each with how long it has waited.
-func (sd *sender) take(now time.Time) []*peer.RelayResult {
+func (sd *sender) takeResults(now time.Time) []*peer.RelayResult {
 	sd.mu.Lock()
 	defer sd.mu.Unlock()
 	list := make([]*peer.RelayResult, 0, len(sd.results))
-	for _, wr := range sd.results {
-		wr.result.HeldMicros = now.Sub(wr.since).Microseconds()
-		list = append(list, wr.result)
+	for _, pr := range sd.results {
+		pr.result.HeldMicros = now.Sub(pr.queuedAt).Microseconds()
+		list = append(list, pr.result)
 	}
 	sd.results = nil
 	return list
--- a/fleet/relay_test.go
+++ b/fleet/relay_test.go
@@ -26,11 +26,11 @@
 		cell.Stop{Worker: "w", Address: "a:1", Token: 9, Task: relayedTask, Attempt: 4},
 		cell.Pace{Worker: "w", Address: "a:1", Token: 9, Task: relayedTask, Attempt: 4, Percent: 30},
 	} {
-		if got := orderOf(relayOrder(6, od)); !reflect.DeepEqual(got, od) {
+		if got := fromRelayOrder(toRelayOrder(6, od)); !reflect.DeepEqual(got, od) {
 			t.Errorf("%+v came as %+v", od, got)
 		}
 	}
-	if ro := relayOrder(7, cell.Save{}); ro != nil {
+	if ro := toRelayOrder(7, cell.Save{}); ro != nil {
 		t.Errorf("a save is handed to a peer: %v", ro)
 	}
 }
@@ -45,13 +45,13 @@
 		Running: []cell.Running{{Task: relayedTask, Attempt: 2, Checkpoint: "point", Progress: 41, Figure: 700}},
 		Ended:   []cell.End{{Number: 12, Task: relayedTask, Attempt: 1, How: cell.EndFailed, Checkpoint: "old"}},
 	}
-	rr := relayLooked(3, want)
+	rr := toRelayLookResult(3, want)
 	rr.HeldMicros = 30_000
-	if got := lookedOf(rr, lk, sent, came); !reflect.DeepEqual(got, want) {
+	if got := fromRelayLookResult(rr, lk, sent, came); !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v came as %+v", want, got)
 	}
 	rr.Outcome = 99
-	if got := lookedOf(rr, lk, sent, came); got.Outcome != cell.Silent {
+	if got := fromRelayLookResult(rr, lk, sent, came); got.Outcome != cell.Silent {
 		t.Errorf("an outcome that is not known here counts as %s", got.Outcome)
 	}
 }
@@ -101,7 +101,7 @@
 	fl := New(Options{Name: "one", Store: &storeWay{mm: newMemory()}, Workers: newWorkers(time.Second), Machines: noMachines{}, Format: plainFormat{}})
 	ow := &owner{fl: fl, name: "pool", signal: make(chan struct{}, 1)}
 	ow.relays = newRelays(ow)
-	ln := &relayLink{rs: ow.relays, node: node{Name: "two", Incarnation: "i2"}, peer: relayPeer{call: call}, open: map[uint64]errand{}}
+	ln := &relayLink{rs: ow.relays, node: node{Name: "two", Incarnation: "i2"}, peer: relayPeer{call: call}, pending: map[uint64]pendingOrder{}}
 	return ln, ow
 }
 
@@ -137,7 +137,7 @@
 			for range 3 {
 				ln.send(t.Context(), cell.Stop{Worker: "w", Task: relayedTask, Attempt: 1})
 			}
-			waitEvents(t, ow, int(ow.fl.errands.Load()))
+			waitEvents(t, ow, int(ow.fl.relayIDs.Load()))
 			if ln.send(t.Context(), cell.Stop{Worker: "w"}) {
 				t.Error("an order is given to a peer that has just failed")
 			}
@@ -192,8 +192,8 @@
 	for range 3 {
 		earlier.send(t.Context(), cell.Look{Worker: "one"})
 	}
-	waitEvents(t, ow, int(ow.fl.errands.Load()))
-	before := int(ow.fl.errands.Load())
+	waitEvents(t, ow, int(ow.fl.relayIDs.Load()))
+	before := int(ow.fl.relayIDs.Load())
 	later := &relayLink{rs: ow.relays, node: node{Name: "two", Incarnation: "i3"}, peer: relayPeer{call: func(rq *peer.RelayRequest) (*peer.RelayResponse, error) {
 		rp, err := call(rq)
 		mu.Lock()
@@ -202,7 +202,7 @@
 			rp.Results = append(rp.Results, &peer.RelayResult{Id: given[0], Outcome: int32(cell.Done)})
 		}
 		return rp, err
-	}}, open: map[uint64]errand{}}
+	}}, pending: map[uint64]pendingOrder{}}
 	later.setPause(time.Millisecond)
 	later.send(t.Context(), cell.Look{Worker: "other"})
 	time.Sleep(50 * time.Millisecond)
@@ -219,17 +219,17 @@
 	now := time.Unix(1_700_000_000, 0)
 	ow.fl.opts.Now = func() time.Time { return now }
 	fail := func() time.Duration {
-		ln.passOver("hand over", errRestarted)
-		return ln.bad.Sub(now)
+		ln.backOff("hand over", errRestarted)
+		return ln.backoffUntil.Sub(now)
 	}
-	for _, want := range []time.Duration{relayBad, 2 * relayBad, 4 * relayBad, relayBadMost, relayBadMost} {
+	for _, want := range []time.Duration{relayBackoffMin, 2 * relayBackoffMin, 4 * relayBackoffMin, relayBackoffMax, relayBackoffMax} {
 		if got := fail(); got != want {
 			t.Errorf("passed over for %v, want %v", got, want)
 		}
-		now = ln.bad
+		now = ln.backoffUntil
 	}
-	ln.well()
-	if got := fail(); got != relayBad {
+	ln.recordAnswer()
+	if got := fail(); got != relayBackoffMin {
 		t.Errorf("passed over for %v after it answered", got)
 	}
 }
@@ -247,11 +247,11 @@
 		t.Fatal("not taken")
 	}
 	ln.expire()
-	if ow.mu.Lock(); len(ow.events) != 0 && time.Since(began) < relayLate {
+	if ow.mu.Lock(); len(ow.events) != 0 && time.Since(began) < relayResultTimeout {
 		t.Error("settled before its time")
 	}
 	ow.mu.Unlock()
-	ahead.Store(int64(relayLate + 2*time.Second))
+	ahead.Store(int64(relayResultTimeout + 2*time.Second))
 	waitEvents(t, ow, 1)
 }
 
@@ -259,11 +259,11 @@
 // the peers are taken away one after the other.
 func TestLargeCellRunsThroughPeers(t *testing.T) {
 	st := newSite(t, 50*time.Millisecond)
-	for at := range relayAfter + 10 {
+	for at := range relayThreshold + 10 {
 		st.write(Row{Table: "registry", Key: fmt.Sprintf("x%d", at), Value: []byte("{}")})
 	}
 	counts := &callCount{fakeWorkers: st.workers, by: map[string]int{}}
-	st.workersAt = func(name string) Workers { return countedWorkers{counts, name} }
+	st.workersAt = func(name string) Workers { return countingWorkers{counts, name} }
 	var nodes []*testNode
 	for _, name := range []string{"one", "two", "three"} {
 		nodes = append(nodes, st.start(name))
@@ -273,7 +273,7 @@
 		rs := ow.ownerOf("pool").relays
 		rs.mu.Lock()
 		defer rs.mu.Unlock()
-		return len(rs.chosen) > relayAfter
+		return len(rs.assigned) > relayThreshold
 	})
 	submitted := 0
 	submit := func() {
@@ -329,12 +329,12 @@
 }
 
 // countedWorkers are the workers as one node calls them.
-type countedWorkers struct {
+type countingWorkers struct {
 	*callCount
 	name string
 }
 
-func (cw countedWorkers) Order(ctx context.Context, od cell.Order) cell.Ordered {
+func (cw countingWorkers) Order(ctx context.Context, od cell.Order) cell.Ordered {
 	cw.callCount.mu.Lock()
 	cw.by[cw.name]++
 	cw.callCount.mu.Unlock()
--- a/fleet/relays.go
+++ b/fleet/relays.go
@@ -21,28 +21,28 @@
 // calls of a large one: some 100 calls a second and a tenth of a core are as much as a small instance has left.
 const (
 	// relayAfter is the number of workers from which on a cell's owner has peers carry out orders.
-	relayAfter = 40
+	relayThreshold = 40
 	// relayWorkers is how many workers an instance with a whole core carries out orders for.
-	relayWorkers = 100
+	relayWorkersPerCore = 100
 	// relayPlanEvery is how often the peers are chosen.
-	relayPlanEvery = 400 * time.Millisecond
+	relayAssignInterval = 400 * time.Millisecond
 	// relaySpread is the pause after each call to a peer, for each peer that carries out orders, so that calls in all stay bounded.
-	relaySpread = 1500 * time.Microsecond
+	relayPausePerPeer = 1500 * time.Microsecond
 	// relayTimeout bounds a call that hands over orders, beside the wait of one that collects results.
 	relayTimeout = 900 * time.Millisecond
 	// relayBad is how long a peer that failed is passed over, twice as long after each further failure in a row, up to relayBadMost: a
 	// peer that is cut off from this instance alone stays a member.
-	relayBad     = 2500 * time.Millisecond
-	relayBadMost = 20 * time.Second
+	relayBackoffMin     = 2500 * time.Millisecond
+	relayBackoffMax = 20 * time.Second
 	// relaySlow and relayQuick are the times of a start, from its decision to the worker's answer, from which on more or fewer peers are
 	// used: on a link of 250 KB/s five starts of 2.9 KB that go one after the other take the longer one.
-	relaySlow  = 60 * time.Millisecond
-	relayQuick = 30 * time.Millisecond
+	slowStart  = 60 * time.Millisecond
+	fastStart = 30 * time.Millisecond
 	// relayWiden and relayNarrow are by how much it changes at a time, relayBroadest is the most.
-	relayWiden, relayNarrow = 1.5, 0.95
-	relayBroadest           = 4.0
+	relayScaleUp, relayScaleDown = 1.5, 0.95
+	relayScaleMax           = 4.0
 	// relayLate is when an order without a result counts as silent: it may have waited in the peer's lane, and then for its worker.
-	relayLate = relayPatience + 1200*time.Millisecond
+	relayResultTimeout = relayQueueTimeout + 1200*time.Millisecond
 )
 
 // relays are the peers that carry out a cell's orders.
@@ -51,53 +51,53 @@
 	mu    sync.Mutex // guards what follows
 	links map[string]*relayLink
 	// chosen maps workers to peers; a worker without one is called directly.
-	chosen map[cell.WorkerID]*relayLink
+	assigned map[cell.WorkerID]*relayLink
 	// breadth is how many times as many peers are used as the number of workers asks for.
-	breadth float64
+	scale float64
 	// pause is that after each call to a peer. Starts wait for it when they are handed over and when they are answered, so it does not count
 	// as queueing: more peers would mean longer pauses, and those more peers.
 	pause time.Duration
 }
 
 func newRelays(ow *owner) *relays {
-	return &relays{ow: ow, links: map[string]*relayLink{}, chosen: map[cell.WorkerID]*relayLink{}, breadth: 1}
+	return &relays{ow: ow, links: map[string]*relayLink{}, assigned: map[cell.WorkerID]*relayLink{}, scale: 1}
 }
 
 // run chooses peers until the context ends.
 func (rs *relays) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		rs.choose(rs.ow.fl.opts.Now())
-		sleep(ctx, relayPlanEvery)
+		rs.assign(rs.ow.fl.opts.Now())
+		sleep(ctx, relayAssignInterval)
 	}
 }
 
 // send hands an order to the peer that carries out the worker's orders; false if there is none.
 func (rs *relays) send(ctx context.Context, id cell.WorkerID, od cell.Order) bool {
 	rs.mu.Lock()
-	ln := rs.chosen[id]
+	ln := rs.assigned[id]
 	rs.mu.Unlock()
 	return ln != nil && ln.send(ctx, od)
 }
 
 // choose gives each worker of a large cell a peer, in its own hall if there is one.
-func (rs *relays) choose(now time.Time) {
+func (rs *relays) assign(now time.Time) {
 	fl := rs.ow.fl
-	workers := fl.roster.of(rs.ow.pool())
-	chosen := map[cell.WorkerID]*relayLink{}
+	workers := fl.workerCache.inPool(rs.ow.pool())
+	assigned := map[cell.WorkerID]*relayLink{}
 	var links []*relayLink
-	rs.breadth = nextBreadth(rs.breadth, rs.ow.startTime()-2*rs.pause)
-	if len(workers) > relayAfter || rs.breadth > 1 {
-		links = rs.candidates(now, float64(len(workers))*rs.breadth)
+	rs.scale = nextScale(rs.scale, rs.ow.startTime()-2*rs.pause)
+	if len(workers) > relayThreshold || rs.scale > 1 {
+		links = rs.candidates(now, float64(len(workers))*rs.scale)
 	}
 	for _, wk := range workers {
 		if ln := bestRelay(string(wk.ID), wk.Hall, links); ln != nil {
-			chosen[wk.ID] = ln
+			assigned[wk.ID] = ln
 		}
 	}
 	rs.mu.Lock()
-	rs.chosen = chosen
+	rs.assigned = assigned
 	rs.mu.Unlock()
-	rs.pause = time.Duration(len(links)) * relaySpread
+	rs.pause = time.Duration(len(links)) * relayPausePerPeer
 	for _, ln := range links {
 		ln.setPause(rs.pause)
 	}
@@ -105,36 +105,36 @@
 
 // nextBreadth follows how long starts take: where they queue, at the owner's link or processor or at those of its peers, more peers share
 // them; where they do not, fewer do, since each peer that is asked for results is a further call.
-func nextBreadth(breadth float64, starts time.Duration) float64 {
+func nextScale(scale float64, startTime time.Duration) float64 {
 	switch {
-	case starts > relaySlow:
-		return min(relayBroadest, breadth*relayWiden)
-	case starts < relayQuick:
-		return max(1, breadth*relayNarrow)
+	case startTime > slowStart:
+		return min(relayScaleMax, scale*relayScaleUp)
+	case startTime < fastStart:
+		return max(1, scale*relayScaleDown)
 	}
-	return breadth
+	return scale
 }
 
 // candidates are the peers that are needed for so many workers. The same ones come first each time, so that more workers add peers and
 // change none; owners of cells come last.
 func (rs *relays) candidates(now time.Time, workers float64) []*relayLink {
 	fl := rs.ow.fl
-	held := fl.members.held()
+	cells := fl.members.cellCounts()
 	var list []*relayLink
-	for name, nd := range fl.alive() {
+	for name, nd := range fl.liveNodes() {
 		if name == fl.opts.Name || nd.Leaving {
 			continue
 		}
-		if ln := rs.link(nd); !ln.isBad(now) {
+		if ln := rs.link(nd); !ln.backingOff(now) {
 			list = append(list, ln)
 		}
 	}
 	slices.SortFunc(list, func(one, other *relayLink) int {
-		return cmp.Or(cmp.Compare(held[one.node.Name], held[other.node.Name]), -cmp.Compare(weight(rs.ow.name, one.node), weight(rs.ow.name, other.node)), cmp.Compare(one.node.Name, other.node.Name))
+		return cmp.Or(cmp.Compare(cells[one.node.Name], cells[other.node.Name]), -cmp.Compare(weight(rs.ow.name, one.node), weight(rs.ow.name, other.node)), cmp.Compare(one.node.Name, other.node.Name))
 	})
 	room := 0.0
 	for at, ln := range list {
-		room += ln.node.power() * relayWorkers
+		room += ln.node.cpuShare() * relayWorkersPerCore
 		if room >= workers {
 			return list[:at+1]
 		}
@@ -143,7 +143,7 @@
 }
 
 // power is an instance's share of a core, a whole one if it did not say.
-func (nd node) power() float64 {
+func (nd node) cpuShare() float64 {
 	if nd.Power <= 0 {
 		return 1
 	}
@@ -154,16 +154,16 @@
 // coming and going do not change (weighted rendezvous hashing).
 func weight(name string, nd node) float64 {
 	unit := (float64(xxhash.Sum64String(name+"/"+nd.Name)) + 1) / (math.MaxUint64 + 2)
-	return -nd.power() / math.Log(unit)
+	return -nd.cpuShare() / math.Log(unit)
 }
 
 // bestRelay returns the peer for a worker, nil if there is none.
 func bestRelay(worker, hall string, links []*relayLink) *relayLink {
 	var best *relayLink
 	var bestWeight float64
-	for _, near := range []bool{true, false} {
+	for _, sameHall := range []bool{true, false} {
 		for _, ln := range links {
-			if near && ln.node.Hall != hall {
+			if sameHall && ln.node.Hall != hall {
 				continue
 			}
 			if wt := weight(worker, ln.node); best == nil || wt > bestWeight {
@@ -183,7 +183,7 @@
 	defer rs.mu.Unlock()
 	ln, ok := rs.links[nd.Name]
 	if !ok || ln.node.Incarnation != nd.Incarnation || ln.node.Address != nd.Address {
-		ln = &relayLink{rs: rs, node: nd, peer: rs.ow.fl.peers.at(nd.Address), open: map[uint64]errand{}}
+		ln = &relayLink{rs: rs, node: nd, peer: rs.ow.fl.peers.clientFor(nd.Address), pending: map[uint64]pendingOrder{}}
 		rs.links[nd.Name] = ln
 	}
 	return ln
@@ -196,25 +196,25 @@
 	peer       peer.Cells
 	mu         sync.Mutex // guards what follows
 	queue      []*peer.RelayOrder
-	open       map[uint64]errand
+	pending       map[uint64]pendingOrder
 	sending    bool
 	collecting bool
-	bad        time.Time
+	backoffUntil        time.Time
 	// fails counts failures in a row.
-	fails int
+	failures int
 	pause time.Duration
 }
 
 // errand is an order that a peer has been given.
-type errand struct {
+type pendingOrder struct {
 	order cell.Order
-	since time.Time
+	sentAt time.Time
 }
 
-func (ln *relayLink) isBad(now time.Time) bool {
+func (ln *relayLink) backingOff(now time.Time) bool {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
-	return now.Before(ln.bad)
+	return now.Before(ln.backoffUntil)
 }
 
 func (ln *relayLink) setPause(pause time.Duration) {
@@ -228,20 +228,20 @@
 	now := ln.rs.ow.fl.opts.Now()
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
-	if now.Before(ln.bad) {
+	if now.Before(ln.backoffUntil) {
 		return false
 	}
 	// Numbers are never used twice by a process: results that were meant for an earlier link to the peer may still come.
-	id := ln.rs.ow.fl.errands.Add(1)
-	ro := relayOrder(id, od)
+	id := ln.rs.ow.fl.relayIDs.Add(1)
+	ro := toRelayOrder(id, od)
 	if ro == nil {
 		return false
 	}
-	ln.open[id] = errand{od, now}
+	ln.pending[id] = pendingOrder{od, now}
 	ln.queue = append(ln.queue, ro)
 	if !ln.sending {
 		ln.sending = true
-		go ln.hand(ctx)
+		go ln.sendQueued(ctx)
 	}
 	if !ln.collecting {
 		ln.collecting = true
@@ -251,7 +251,7 @@
 }
 
 // hand gives the peer what waits for it, until nothing does.
-func (ln *relayLink) hand(ctx context.Context) {
+func (ln *relayLink) sendQueued(ctx context.Context) {
 	for {
 		ln.mu.Lock()
 		batch, pause := ln.queue, ln.pause
@@ -262,7 +262,7 @@
 			return
 		}
 		if _, err := ln.call(ctx, batch, 0); err != nil {
-			ln.failed(batch, err)
+			ln.failBatch(batch, err)
 		}
 		sleep(ctx, pause)
 	}
@@ -273,21 +273,21 @@
 	for {
 		ln.mu.Lock()
 		pause := ln.pause
-		ln.collecting = len(ln.open) > 0 && ctx.Err() == nil
+		ln.collecting = len(ln.pending) > 0 && ctx.Err() == nil
 		busy := ln.collecting
 		ln.mu.Unlock()
 		if !busy {
 			return
 		}
-		rp, err := ln.call(ctx, nil, relayWait)
+		rp, err := ln.call(ctx, nil, relayPollTimeout)
 		switch {
 		case err != nil:
-			ln.lose("collect", err)
+			ln.failPending("collect", err)
 		case rp.Incarnation != ln.node.Incarnation:
-			ln.lose("collect", errRestarted)
+			ln.failPending("collect", errRestarted)
 		default:
-			ln.well()
-			ln.take(rp.Results)
+			ln.recordAnswer()
+			ln.handleResults(rp.Results)
 			ln.expire()
 		}
 		sleep(ctx, pause)
@@ -295,10 +295,10 @@
 }
 
 // well notes that the peer answers.
-func (ln *relayLink) well() {
+func (ln *relayLink) recordAnswer() {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
-	ln.fails = 0
+	ln.failures = 0
 }
 
 // errRestarted says that a peer has been started anew and knows nothing of what it was given.
@@ -312,99 +312,99 @@
 }
 
 // take hands results to the core.
-func (ln *relayLink) take(results []*peer.RelayResult) {
-	came := ln.rs.ow.fl.opts.Now()
+func (ln *relayLink) handleResults(results []*peer.RelayResult) {
+	receivedAt := ln.rs.ow.fl.opts.Now()
 	for _, rr := range results {
 		ln.mu.Lock()
-		er, open := ln.open[rr.Id]
-		delete(ln.open, rr.Id)
+		po, found := ln.pending[rr.Id]
+		delete(ln.pending, rr.Id)
 		ln.mu.Unlock()
-		if open {
-			ln.settle(er, rr, came)
+		if found {
+			ln.deliver(po, rr, receivedAt)
 		}
 	}
 }
 
 // settle tells the core what became of an order.
-func (ln *relayLink) settle(er errand, rr *peer.RelayResult, came time.Time) {
-	if look, ok := er.order.(cell.Look); ok {
-		ln.rs.ow.looked(lookedOf(rr, look, er.since, came))
+func (ln *relayLink) deliver(po pendingOrder, rr *peer.RelayResult, receivedAt time.Time) {
+	if look, ok := po.order.(cell.Look); ok {
+		ln.rs.ow.looked(fromRelayLookResult(rr, look, po.sentAt, receivedAt))
 		return
 	}
-	ln.rs.ow.ordered(orderedOf(rr, er.order, er.since, came))
+	ln.rs.ow.ordered(fromRelayOrderResult(rr, po.order, po.sentAt, receivedAt))
 }
 
 // end settles orders of which nothing more will be heard.
-func (ln *relayLink) end(list []errand, oc cell.Outcome) {
+func (ln *relayLink) deliverAll(list []pendingOrder, oc cell.Outcome) {
 	now := ln.rs.ow.fl.opts.Now()
-	for _, er := range list {
-		ln.settle(er, &peer.RelayResult{Outcome: int32(oc)}, now)
+	for _, po := range list {
+		ln.deliver(po, &peer.RelayResult{Outcome: int32(oc)}, now)
 	}
 }
 
 // failed settles a batch that could not be handed over: not sent if no connection was to be had, else perhaps carried out.
-func (ln *relayLink) failed(batch []*peer.RelayOrder, err error) {
+func (ln *relayLink) failBatch(batch []*peer.RelayOrder, err error) {
 	oc := cell.Silent
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		oc = cell.Unsent
 	}
-	ln.passOver("hand over", err)
-	var list []errand
+	ln.backOff("hand over", err)
+	var list []pendingOrder
 	ln.mu.Lock()
 	for _, ro := range batch {
-		if er, open := ln.open[ro.Id]; open {
-			delete(ln.open, ro.Id)
-			list = append(list, er)
+		if po, found := ln.pending[ro.Id]; found {
+			delete(ln.pending, ro.Id)
+			list = append(list, po)
 		}
 	}
 	ln.mu.Unlock()
-	ln.end(list, oc)
+	ln.deliverAll(list, oc)
 }
 
 // lose settles all that is open: results may have been lost with the answer.
-func (ln *relayLink) lose(call string, err error) {
-	ln.passOver(call, err)
+func (ln *relayLink) failPending(call string, err error) {
+	ln.backOff(call, err)
 	ln.mu.Lock()
-	list := make([]errand, 0, len(ln.open))
-	for id, er := range ln.open {
-		delete(ln.open, id)
-		list = append(list, er)
+	list := make([]pendingOrder, 0, len(ln.pending))
+	for id, po := range ln.pending {
+		delete(ln.pending, id)
+		list = append(list, po)
 	}
 	ln.mu.Unlock()
-	ln.end(list, cell.Silent)
+	ln.deliverAll(list, cell.Silent)
 }
 
 // expire settles orders that should have had a result by now.
 func (ln *relayLink) expire() {
 	now := ln.rs.ow.fl.opts.Now()
-	var list []errand
+	var list []pendingOrder
 	ln.mu.Lock()
-	for id, er := range ln.open {
-		late := relayLate
-		if look, ok := er.order.(cell.Look); ok {
-			late += look.Wait
+	for id, po := range ln.pending {
+		timeout := relayResultTimeout
+		if look, ok := po.order.(cell.Look); ok {
+			timeout += look.Wait
 		}
-		if now.Sub(er.since) > late {
-			delete(ln.open, id)
-			list = append(list, er)
+		if now.Sub(po.sentAt) > timeout {
+			delete(ln.pending, id)
+			list = append(list, po)
 		}
 	}
 	ln.mu.Unlock()
-	ln.end(list, cell.Silent)
+	ln.deliverAll(list, cell.Silent)
 }
 
 // passOver leaves the peer out for a while.
-func (ln *relayLink) passOver(call string, err error) {
+func (ln *relayLink) backOff(call string, err error) {
 	fl := ln.rs.ow.fl
 	if errors.Is(err, context.Canceled) {
 		return
 	}
 	ln.mu.Lock()
-	first := !fl.opts.Now().Before(ln.bad)
+	first := !fl.opts.Now().Before(ln.backoffUntil)
 	if first {
-		ln.bad = fl.opts.Now().Add(min(relayBadMost, relayBad<<min(ln.fails, 4)))
-		ln.fails++
+		ln.backoffUntil = fl.opts.Now().Add(min(relayBackoffMax, relayBackoffMin<<min(ln.failures, 4)))
+		ln.failures++
 	}
 	ln.mu.Unlock()
 	if first {
--- a/fleet/release.go
+++ b/fleet/release.go
@@ -24,7 +24,7 @@
 			fl.opts.Log.Emit(event.CellLost, zap.String("cell", ow.name), zap.Int64("epoch", int64(ow.epoch)))
 		}
 	}
-	fl.duty.dropLost()
+	fl.controller.stepDownIfReplaced()
 }
 
 // pressedRatio is by how many times less laden another instance must be for a cell some of whose jobs wait. Its next owner looks at all workers
@@ -51,11 +51,11 @@
 
 // lighter is by how many times less laden than this instance another one would be with one more cell, at the most.
 func (fl *Fleet) lighter(live map[string]node) float64 {
-	held := fl.members.held()
-	mine, most := live[fl.opts.Name].burden(held[fl.opts.Name]), 0.0
+	held := fl.members.cellCounts()
+	mine, most := live[fl.opts.Name].load(held[fl.opts.Name]), 0.0
 	for name, nd := range live {
 		if name != fl.opts.Name && !nd.Leaving {
-			most = max(most, mine/nd.burden(held[name]+1))
+			most = max(most, mine/nd.load(held[name]+1))
 		}
 	}
 	return most
@@ -84,15 +84,15 @@
 	callCtx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	place := Place{tableControl, name, ownerKey}
-	newest, err := fl.link.Commit(callCtx, Tx{Expect: []Expect{{place, version}}, Write: []Row{{Table: place.Table, Part: place.Part, Key: place.Key, Value: raw}}})
+	newest, err := fl.store.Commit(callCtx, Tx{Expect: []Expect{{place, version}}, Write: []Row{{Table: place.Table, Part: place.Part, Key: place.Key, Value: raw}}})
 	if err != nil {
 		// Without it the others find this instance leaving or dead, only later.
 		fl.opts.Log.Emit(event.ReleaseFailed, zap.String("cell", name), zap.Error(err))
 		return err
 	}
 	written := Row{Table: place.Table, Part: place.Part, Key: place.Key, Value: raw, Version: newest}
-	fl.takeOwner(written)
-	fl.peers.tellReleased(written)
+	fl.applyOwner(written)
+	fl.peers.notifyReleased(written)
 	return nil
 }
 
@@ -104,6 +104,6 @@
 	for _, ow := range fl.owned() {
 		wg.Go(func() { fl.release(ctx, ow) })
 	}
-	wg.Go(func() { fl.duty.handOver(ctx) })
+	wg.Go(func() { fl.controller.handOver(ctx) })
 	wg.Wait()
 }
--- a/fleet/release_test.go
+++ b/fleet/release_test.go
@@ -67,10 +67,10 @@
 		mb.nodes[name] = node{Name: name}
 	}
 	mb.owners["pool"] = ownerRow{Holder: "b"}
-	if got := mb.owning("a", false); len(got) != 1 || got[0].Name != "b" {
+	if got := mb.cellOwners("a", false); len(got) != 1 || got[0].Name != "b" {
 		t.Errorf("owners: %v", got)
 	}
-	if got := mb.owning("a", true); len(got) != 2 {
+	if got := mb.cellOwners("a", true); len(got) != 2 {
 		t.Errorf("all: %v", got)
 	}
 }
--- a/fleet/roster_test.go
+++ b/fleet/roster_test.go
@@ -20,7 +20,7 @@
 }
 
 // unused says of which workers the owner gives nothing to.
-func unused(ow *owner) map[cell.WorkerID]bool {
+func unusableWorkers(ow *owner) map[cell.WorkerID]bool {
 	ow.step()
 	leaving := map[cell.WorkerID]bool{}
 	for _, ld := range ow.core.Load(time.Now()).Workers {
@@ -34,19 +34,19 @@
 func TestWorkerWhoseEntryCannotBeReadGetsNothingNew(t *testing.T) {
 	fl, ow := newRegistry(t)
 	row := func(id, value string) Row { return Row{Table: "registry", Key: id, Value: []byte(value)} }
-	fl.registryChanged([]Row{row("w0", "{}"), row("w1", foreignEntry), row("w2", "{}")}, time.Time{})
-	if got := unused(ow); len(got) != 2 || got["w0"] || got["w2"] {
+	fl.applyRegistrations([]Row{row("w0", "{}"), row("w1", foreignEntry), row("w2", "{}")}, time.Time{})
+	if got := unusableWorkers(ow); len(got) != 2 || got["w0"] || got["w2"] {
 		t.Errorf("workers %v, want w0 and w2 in use", got)
 	}
-	fl.registryChanged([]Row{row("w0", foreignEntry)}, time.Time{})
-	if got := unused(ow); !got["w0"] || got["w2"] {
+	fl.applyRegistrations([]Row{row("w0", foreignEntry)}, time.Time{})
+	if got := unusableWorkers(ow); !got["w0"] || got["w2"] {
 		t.Errorf("workers without new tasks %v, want w0 alone", got)
 	}
 	if got := fl.fig.registrationsRejected.Count(); got < 2 {
 		t.Errorf("%d rejected registrations counted", got)
 	}
-	fl.registryChanged([]Row{row("w0", "{}")}, time.Time{})
-	if got := unused(ow); got["w0"] {
+	fl.applyRegistrations([]Row{row("w0", "{}")}, time.Time{})
+	if got := unusableWorkers(ow); got["w0"] {
 		t.Error("w0 is not used again")
 	}
 }
@@ -56,7 +56,7 @@
 	fl, ow := newRegistry(t)
 	fl.register(cell.Worker{ID: "w0", Pool: "pool", Address: "a"})
 	fl.register(cell.Worker{ID: "w0", Pool: "nowhere", Address: "a"})
-	if got := unused(ow); !got["w0"] {
+	if got := unusableWorkers(ow); !got["w0"] {
 		t.Errorf("workers without new tasks %v, want w0", got)
 	}
 }
@@ -66,17 +66,17 @@
 	for machine, want := range map[cell.MachineID]int{"m0": 1, "": 2} {
 		fl, ow := newRegistry(t)
 		fl.register(cell.Worker{ID: "w0", Pool: "pool", Address: "a", Machine: machine})
-		fl.registryChanged([]Row{{Table: "registry", Key: "w1", Value: []byte("{}")}}, time.Time{})
-		if got := unused(ow); len(got) != want {
+		fl.applyRegistrations([]Row{{Table: "registry", Key: "w1", Value: []byte("{}")}}, time.Time{})
+		if got := unusableWorkers(ow); len(got) != want {
 			t.Errorf("beside a worker on machine %q: %d workers are known, want %d", machine, len(got), want)
 		}
 	}
 }
 
 // bornFormat reads when a worker's life began from its row.
-type bornFormat struct{ plainFormat }
+type startTimeFormat struct{ plainFormat }
 
-func (bornFormat) Worker(rw Row) (cell.Worker, error) {
+func (startTimeFormat) Worker(rw Row) (cell.Worker, error) {
 	born, err := strconv.ParseInt(string(rw.Value), 10, 64)
 	return cell.Worker{ID: cell.LifeOf(cell.WorkerName(rw.Key), born), Pool: "pool", Address: rw.Key, Room: job.Size{CPUMillis: 4000, MemoryMB: 4000}}, err
 }
@@ -85,7 +85,7 @@
 // owner took the numbers and leases of one life for those of the other.
 func TestWorkerThatStartsAgainIsAnother(t *testing.T) {
 	fl, ow := newRegistry(t)
-	fl.opts.Format = bornFormat{}
+	fl.opts.Format = startTimeFormat{}
 	row := func(value string) Row { return Row{Table: "registry", Key: "w0", Value: []byte(value)} }
 	first, second := cell.LifeOf("w0", 1000), cell.LifeOf("w0", 2000)
 	for _, tc := range []struct {
@@ -99,8 +99,8 @@
 		{"second life again", row("2000"), map[cell.WorkerID]bool{second: false}},
 		{"gone", Row{Table: "registry", Key: "w0", Deleted: true}, map[cell.WorkerID]bool{}},
 	} {
-		fl.registryChanged([]Row{tc.row}, time.Time{})
-		if got := unused(ow); !maps.Equal(got, tc.want) {
+		fl.applyRegistrations([]Row{tc.row}, time.Time{})
+		if got := unusableWorkers(ow); !maps.Equal(got, tc.want) {
 			t.Errorf("%s: workers without new tasks %v, want %v", tc.what, got, tc.want)
 		}
 	}
@@ -112,11 +112,11 @@
 	fl, _ := newRegistry(t)
 	start := time.Now()
 	read := func(asked time.Time) time.Time {
-		fl.registryChanged([]Row{{Table: "registry", Key: "w0", Value: []byte("{}")}}, asked)
-		wk, _ := fl.roster.get("w0")
+		fl.applyRegistrations([]Row{{Table: "registry", Key: "w0", Value: []byte("{}")}}, asked)
+		wk, _ := fl.workerCache.get("w0")
 		return wk.Told
 	}
-	fl.control.succeeded(start)
+	fl.control.recordSuccess(start)
 	if got := read(start.Add(time.Second)); start.Sub(got) < cell.DefaultRoomFor {
 		t.Errorf("read whole a second after the store was back: told %v before that", start.Sub(got))
 	}
@@ -125,7 +125,7 @@
 		t.Errorf("read whole long after: told %v before it was asked for", late.Sub(got))
 	}
 	fl.registry.ready.Store(true)
-	fl.registry.succeeded(late)
+	fl.registry.recordSuccess(late)
 	if got := read(late.Add(4 * time.Second)); got.Sub(late).Abs() > time.Millisecond {
 		t.Errorf("the answer before was asked for at %v, told at %v", late, got)
 	}
--- a/fleet/save.go
+++ b/fleet/save.go
@@ -16,9 +16,9 @@
 // commit tries a transaction until it is done, or another owner is met.
 func (ow *owner) commit(ctx context.Context, tx Tx) (int64, bool) {
 	for ctx.Err() == nil && !ow.lost.Load() {
-		callCtx, cancel := context.WithTimeout(ctx, ow.fl.link.patience())
+		callCtx, cancel := context.WithTimeout(ctx, ow.fl.store.commitTimeout())
 		asked := ow.fl.opts.Now()
-		version, err := ow.fl.link.Commit(callCtx, tx)
+		version, err := ow.fl.store.Commit(callCtx, tx)
 		cancel()
 		if err == nil {
 			ow.post(func(cr *cell.Core, _ time.Time) { cr.Confirmed(asked) })
@@ -64,7 +64,7 @@
 	for ctx.Err() == nil {
 		sleep(ctx, pause)
 		pause = archiveEvery
-		if ow.fl.link.usual() > slowCommit {
+		if ow.fl.store.commitLatency() > slowCommit {
 			continue
 		}
 		ow.sweep(ctx)
@@ -152,7 +152,7 @@
 func (ow *owner) try(ctx context.Context, tx Tx) bool {
 	callCtx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	_, err := ow.fl.link.Commit(callCtx, tx)
+	_, err := ow.fl.store.Commit(callCtx, tx)
 	return err == nil
 }
 
--- a/fleet/sizes.go
+++ b/fleet/sizes.go
@@ -18,16 +18,16 @@
 // Times of sizing pools.
 const (
 	// sizeEvery is how often the holder of the machines' duty looks at the loads.
-	sizeEvery = 250 * time.Millisecond
+	sizeInterval = 250 * time.Millisecond
 	// sizeList is how old the list of machines may be for it.
-	sizeList = 600 * time.Millisecond
+	machineListMaxAge = 600 * time.Millisecond
 	// grabTimeout bounds asking for idle workers; a machine that was given up must be moved soon, before its cell may change hands.
-	grabTimeout = 300 * time.Millisecond
+	reserveTimeout = 300 * time.Millisecond
 )
 
 // loads asks every owner for its cells' loads; cells whose owners do not answer are missing. The other instances are called only to be told of
 // queues that are full: all of them at each round were 1,200 calls a second at 300 instances.
-func (fl *Fleet) loads(ctx context.Context, limits map[job.PoolID]int, firm bool, full []*peer.FullQueue, tellAll bool) map[job.PoolID]cell.Load {
+func (fl *Fleet) loads(ctx context.Context, limits map[job.PoolID]int, firm bool, full []*peer.FullQueue, notifyAll bool) map[job.PoolID]cell.Load {
 	fl.full.take(fl.opts.Now(), full)
 	found := map[job.PoolID]cell.Load{}
 	var mu sync.Mutex
@@ -45,12 +45,12 @@
 	for pool, machines := range limits {
 		request.Limits = append(request.Limits, &peer.PoolLimit{Pool: string(pool), Machines: int32(machines)})
 	}
-	ctx, cancel := context.WithTimeout(ctx, grabTimeout)
+	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
-	for _, nd := range fl.members.owning(fl.opts.Name, tellAll) {
+	for _, nd := range fl.members.cellOwners(fl.opts.Name, notifyAll) {
 		wg.Go(func() {
-			rp, err := fl.peers.at(nd.Address).Loads(ctx, request)
+			rp, err := fl.peers.clientFor(nd.Address).Loads(ctx, request)
 			if err != nil {
 				return
 			}
@@ -78,7 +78,7 @@
 		ow.core.Yield(now, machines, firm)
 	}
 	ld := ow.core.Load(now)
-	ld.Clear = ow.clears(now)
+	ld.Clear = ow.drainedWorkers(now)
 	return ld, true
 }
 
@@ -109,13 +109,13 @@
 		ids[at] = cell.WorkerName(id)
 	}
 	rp := &peer.GrabResponse{}
-	for _, id := range sv.fl.grabHere(rq.Cell, ids) {
+	for _, id := range sv.fl.reserveLocal(rq.Cell, ids) {
 		rp.Granted = append(rp.Granted, string(id))
 	}
 	return rp, nil
 }
 
-func (fl *Fleet) grabHere(name string, ids []cell.WorkerName) []cell.WorkerName {
+func (fl *Fleet) reserveLocal(name string, ids []cell.WorkerName) []cell.WorkerName {
 	ow := fl.ownerOf(name)
 	if ow == nil {
 		return nil
@@ -129,15 +129,15 @@
 }
 
 // grab asks a cell's owner, here or at a peer, to keep idle workers free.
-func (fl *Fleet) grab(ctx context.Context, name string, ids []cell.WorkerName) []cell.WorkerName {
+func (fl *Fleet) reserve(ctx context.Context, name string, ids []cell.WorkerName) []cell.WorkerName {
 	if fl.ownerOf(name) != nil {
-		return fl.grabHere(name, ids)
+		return fl.reserveLocal(name, ids)
 	}
-	cl, ok := fl.peers.owner(name)
+	cl, ok := fl.peers.ownerClient(name)
 	if !ok {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, grabTimeout)
+	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
 	rq := &peer.GrabRequest{Cell: name}
 	for _, id := range ids {
@@ -156,42 +156,42 @@
 }
 
 // size moves machines between pools as their loads want it.
-func (du *duty) size(ctx context.Context) {
+func (ct *machineController) sizePools(ctx context.Context) {
 	listed := time.Time{}
 	var full []*peer.FullQueue
-	told := false
+	notified := false
 	for ctx.Err() == nil {
-		sleep(ctx, sizeEvery)
-		now := du.fl.opts.Now()
-		cf := du.fl.config.Load()
-		if cf == nil || !du.leased(now) {
+		sleep(ctx, sizeInterval)
+		now := ct.fl.opts.Now()
+		cf := ct.fl.config.Load()
+		if cf == nil || !ct.leaseValid(now) {
 			continue
 		}
-		if now.Sub(listed) >= sizeList {
+		if now.Sub(listed) >= machineListMaxAge {
 			listed = now
-			du.list(ctx, now)
+			ct.listMachines(ctx, now)
 		}
-		du.mu.Lock()
-		limits, firm := du.sizer.Limits(), du.sizer.Firm()
-		du.mu.Unlock()
-		loads := du.fl.loads(ctx, limits, firm, full, told || len(full) > 0)
+		ct.mu.Lock()
+		limits, firm := ct.sizer.Limits(), ct.sizer.Firm()
+		ct.mu.Unlock()
+		loads := ct.fl.loads(ctx, limits, firm, full, notified || len(full) > 0)
 		// Once more when none is full any more.
-		told = len(full) > 0
+		notified = len(full) > 0
 		full = fullQueues(loads)
-		du.noteClear(loads)
+		ct.recordDrained(loads)
 		for _, ld := range loads {
-			du.fl.opts.Log.Emit(event.PoolLoad, zap.String("pool", string(ld.Pool)), zap.Float64("needed", ld.Needed), zap.Float64("placed", ld.Placed), zap.Float64("lasting", ld.Lasting), zap.Duration("slack", ld.Slack), zap.Int("workers", len(ld.Workers)), zap.Int("open", ld.Open))
+			ct.fl.opts.Log.Emit(event.PoolLoad, zap.String("pool", string(ld.Pool)), zap.Float64("needed", ld.Needed), zap.Float64("placed", ld.Placed), zap.Float64("lasting", ld.Lasting), zap.Duration("slack", ld.Slack), zap.Int("workers", len(ld.Workers)), zap.Int("open", ld.Open))
 		}
-		du.mu.Lock()
-		machines := maps.Clone(du.keeper.Machines())
-		shifts := du.sizer.Plan(now, cf.Pools, machines, loads, du.keeper.Holds)
-		du.mu.Unlock()
-		du.shift(ctx, machines, shifts)
+		ct.mu.Lock()
+		machines := maps.Clone(ct.keeper.Machines())
+		shifts := ct.sizer.Plan(now, cf.Pools, machines, loads, ct.keeper.Holds)
+		ct.mu.Unlock()
+		ct.moveMachines(ctx, machines, shifts)
 	}
 }
 
 // shift asks for the workers and moves the machines that it gets.
-func (du *duty) shift(ctx context.Context, machines map[cell.MachineID]machine.Machine, shifts []machine.Shift) {
+func (ct *machineController) moveMachines(ctx context.Context, machines map[cell.MachineID]machine.Machine, shifts []machine.Shift) {
 	wanted := map[job.PoolID][]cell.WorkerName{}
 	for _, sh := range shifts {
 		if sh.Worker != "" {
@@ -200,7 +200,7 @@
 	}
 	granted := map[cell.WorkerName]bool{"": true}
 	for pool, ids := range wanted {
-		for _, id := range du.fl.grab(ctx, cellName(pool), ids) {
+		for _, id := range ct.fl.reserve(ctx, cellName(pool), ids) {
 			granted[id] = true
 		}
 	}
@@ -210,27 +210,27 @@
 			moved = append(moved, sh.Machine)
 		}
 	}
-	du.announce(ctx, moved)
+	ct.announce(ctx, moved)
 	for _, sh := range shifts {
 		if !granted[sh.Worker] {
-			du.mu.Lock()
-			du.sizer.Forget(sh.Machine)
-			du.mu.Unlock()
+			ct.mu.Lock()
+			ct.sizer.Forget(sh.Machine)
+			ct.mu.Unlock()
 			continue
 		}
-		du.begin(func() { du.move(ctx, machines[sh.Machine], sh) })
+		ct.spawn(func() { ct.moveMachine(ctx, machines[sh.Machine], sh) })
 	}
 }
 
-func (du *duty) move(ctx context.Context, mc machine.Machine, sh machine.Shift) {
-	oc := du.order(ctx, sh.Machine, func(ctx context.Context) machine.Outcome {
-		return du.fl.opts.Machines.Move(ctx, sh.Machine, sh.To, du.fl.opts.Name, du.token)
+func (ct *machineController) moveMachine(ctx context.Context, mc machine.Machine, sh machine.Shift) {
+	oc := ct.sendOrder(ctx, sh.Machine, func(ctx context.Context) machine.Outcome {
+		return ct.fl.opts.Machines.Move(ctx, sh.Machine, sh.To, ct.fl.opts.Name, ct.token)
 	})
-	du.fl.opts.Log.Emit(event.MachineMoved, zap.String("machine", string(sh.Machine)), zap.String("worker", string(sh.Worker)), zap.String("from", string(sh.From)), zap.String("to", string(sh.To)), zap.Int("outcome", int(oc)), zap.Int64("token", int64(du.token)))
-	du.mu.Lock()
-	defer du.mu.Unlock()
-	du.sizer.Moved(mc, sh, oc)
+	ct.fl.opts.Log.Emit(event.MachineMoved, zap.String("machine", string(sh.Machine)), zap.String("worker", string(sh.Worker)), zap.String("from", string(sh.From)), zap.String("to", string(sh.To)), zap.Int("outcome", int(oc)), zap.Int64("token", int64(ct.token)))
+	ct.mu.Lock()
+	defer ct.mu.Unlock()
+	ct.sizer.Moved(mc, sh, oc)
 	if oc == machine.Overtaken {
-		du.keeper.Overtaken()
+		ct.keeper.Overtaken()
 	}
 }
--- a/fleet/start_test.go
+++ b/fleet/start_test.go
@@ -13,7 +13,7 @@
 	st := newSite(t, 20*time.Millisecond)
 	for at := range 300 {
 		name := fmt.Sprintf("edge-%d", at)
-		raw, err := json.Marshal(node{Name: name, Address: "127.0.0.1:1", Hall: "h", Incarnation: "i", Layout: layoutApart})
+		raw, err := json.Marshal(node{Name: name, Address: "127.0.0.1:1", Hall: "h", Incarnation: "i", Layout: layoutSeparatePayloads})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -50,15 +50,15 @@
 // TestBeatsOfManyDoNotGrowWithTheirSquare: each reads what all write, so that idle instances of a large fleet write less often; up to a hundred
 // nothing changes.
 func TestBeatsOfManyDoNotGrowWithTheirSquare(t *testing.T) {
-	if idleBeat(1) != beatIdle || idleBeat(100) != beatIdle {
-		t.Errorf("small fleets: %v %v", idleBeat(1), idleBeat(100))
+	if idleHeartbeat(1) != beatIdle || idleHeartbeat(100) != beatIdle {
+		t.Errorf("small fleets: %v %v", idleHeartbeat(1), idleHeartbeat(100))
 	}
 	for _, nodes := range []int{100, 300, 1000, 20000} {
-		if perSecond := float64(nodes) / idleBeat(nodes).Seconds(); perSecond > 51 {
+		if perSecond := float64(nodes) / idleHeartbeat(nodes).Seconds(); perSecond > 51 {
 			t.Errorf("%d instances: %.0f rows a second", nodes, perSecond)
 		}
-		if deadIdle(nodes) < 3*idleBeat(nodes) {
-			t.Errorf("%d instances: dead after %v, beats each %v", nodes, deadIdle(nodes), idleBeat(nodes))
+		if idleDeadAfter(nodes) < 3*idleHeartbeat(nodes) {
+			t.Errorf("%d instances: dead after %v, beats each %v", nodes, idleDeadAfter(nodes), idleHeartbeat(nodes))
 		}
 	}
 }
@@ -70,7 +70,7 @@
 		{Part: "nodes/1", Key: "node/a", Value: []byte(`{"name":"a","incarnation":"new"}`), Version: 9},
 		{Part: "node/a", Key: "node/a", Value: []byte(`{"name":"a","incarnation":"old"}`), Version: 3},
 	} {
-		mb.takeNode(rw)
+		mb.applyNode(rw)
 	}
 	if nd, _ := mb.node("a"); nd.Incarnation != "new" {
 		t.Errorf("incarnation %q", nd.Incarnation)
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -74,7 +74,7 @@
 func (fl *Fleet) readRow(ctx context.Context, at Place) (Row, bool, error) {
 	for {
 		callCtx, cancel := context.WithTimeout(ctx, intakeTimeout)
-		pg, err := fl.link.Read(callCtx, Query{Table: at.Table, Part: at.Part, From: at.Key, To: at.Key + "!", Limit: 1})
+		pg, err := fl.store.Read(callCtx, Query{Table: at.Table, Part: at.Part, From: at.Key, To: at.Key + "!", Limit: 1})
 		cancel()
 		if err == nil {
 			if len(pg.Rows) == 0 || pg.Rows[0].Key != at.Key {
@@ -178,8 +178,8 @@
 	name := hm.Cell
 	tx := Tx{Write: []Row{{Table: jobTable(name), Part: partName(homePart(id)), Key: string(id) + cancelSuffix, Value: []byte("{}")}}}
 	for {
-		callCtx, cancel := context.WithTimeout(ctx, fl.link.patience())
-		_, err = fl.link.Commit(callCtx, tx)
+		callCtx, cancel := context.WithTimeout(ctx, fl.store.commitTimeout())
+		_, err = fl.store.Commit(callCtx, tx)
 		cancel()
 		if err == nil {
 			break
--- a/fleet/turns_test.go
+++ b/fleet/turns_test.go
@@ -17,12 +17,12 @@
 
 // turnStore is a store whose parts take their transactions in turn, as its pages say, on a synthetic clock. A transaction that was given
 // up is carried out all the same; one that would wait for longer than a second is refused.
-type turnStore struct {
+type serialStore struct {
 	mm *memory
 	// turn is how long a part is taken by a transaction, answer how long its answer takes besides.
-	turn, answer time.Duration
+	perPart, answer time.Duration
 	mu           sync.Mutex // guards what follows
-	free         map[string]time.Time
+	freeAt         map[string]time.Time
 	commits      int
 	// lost tells whether the next transaction is done and not answered.
 	lost func() bool
@@ -30,57 +30,57 @@
 
 const (
 	// fastTurn and fastAnswer are those of a store that is well: 300 transactions a second in a part, some 4 ms an answer.
-	fastTurn   = 3333 * time.Microsecond
+	fastCommit   = 3333 * time.Microsecond
 	fastAnswer = 4 * time.Millisecond
 	// turnWait is the longest wait for a turn.
-	turnWait = time.Second
+	maxCommitWait = time.Second
 )
 
-func newTurnStore(times int) *turnStore {
-	return &turnStore{mm: newMemory(), turn: fastTurn * time.Duration(times), answer: fastAnswer * time.Duration(times), free: map[string]time.Time{}}
+func newSerialStore(factor int) *serialStore {
+	return &serialStore{mm: newMemory(), perPart: fastCommit * time.Duration(factor), answer: fastAnswer * time.Duration(factor), freeAt: map[string]time.Time{}}
 }
 
 // lossy makes a share of the transactions be done and not answered.
-func (ts *turnStore) lossy(seed uint64, share float64) {
+func (ss *serialStore) loseAnswers(seed uint64, share float64) {
 	rd := rand.New(rand.NewPCG(seed, seed))
-	ts.lost = func() bool { return rd.Float64() < share }
+	ss.lost = func() bool { return rd.Float64() < share }
 }
 
 // loses reports whether the answer of a transaction is lost.
-func (ts *turnStore) loses() bool {
-	ts.mu.Lock()
-	defer ts.mu.Unlock()
-	return ts.lost != nil && ts.lost()
+func (ss *serialStore) answerLost() bool {
+	ss.mu.Lock()
+	defer ss.mu.Unlock()
+	return ss.lost != nil && ss.lost()
 }
 
 // take reserves a turn in every part of a transaction and returns when it is over, or false if that is too far away.
-func (ts *turnStore) take(tx Tx) (time.Time, bool) {
-	ts.mu.Lock()
-	defer ts.mu.Unlock()
-	ts.commits++
+func (ss *serialStore) reserve(tx Tx) (time.Time, bool) {
+	ss.mu.Lock()
+	defer ss.mu.Unlock()
+	ss.commits++
 	parts := partsOf(tx)
 	now := time.Now()
-	begin, turn := now, ts.turn
+	begin, turn := now, ss.perPart
 	if len(parts) > 1 {
 		turn *= 2
 	}
 	for _, part := range parts {
-		begin = later(begin, ts.free[part])
+		begin = later(begin, ss.freeAt[part])
 	}
-	if begin.Sub(now) > turnWait {
+	if begin.Sub(now) > maxCommitWait {
 		return begin, false
 	}
 	for _, part := range parts {
-		ts.free[part] = begin.Add(turn)
+		ss.freeAt[part] = begin.Add(turn)
 	}
 	return begin.Add(turn), true
 }
 
 // count is how many transactions there were.
-func (ts *turnStore) count() int {
-	ts.mu.Lock()
-	defer ts.mu.Unlock()
-	return ts.commits
+func (ss *serialStore) count() int {
+	ss.mu.Lock()
+	defer ss.mu.Unlock()
+	return ss.commits
 }
 
 func partsOf(tx Tx) []string {
@@ -95,10 +95,10 @@
 	return slices.Compact(parts)
 }
 
-func (ts *turnStore) Commit(ctx context.Context, tx Tx) (int64, error) {
-	done, taken := ts.take(tx)
+func (ss *serialStore) Commit(ctx context.Context, tx Tx) (int64, error) {
+	done, taken := ss.reserve(tx)
 	if !taken {
-		sleep(ctx, ts.answer)
+		sleep(ctx, ss.answer)
 		return 0, ErrRefused
 	}
 	type result struct {
@@ -106,9 +106,9 @@
 		err     error
 	}
 	answer := make(chan result, 1)
-	time.AfterFunc(time.Until(done)+ts.answer, func() {
-		version, err := ts.mm.commit(tx)
-		if !ts.loses() {
+	time.AfterFunc(time.Until(done)+ss.answer, func() {
+		version, err := ss.mm.commit(tx)
+		if !ss.answerLost() {
 			answer <- result{version, err}
 		}
 	})
@@ -120,27 +120,27 @@
 	}
 }
 
-func (ts *turnStore) Read(ctx context.Context, qu Query) (Page, error) {
-	sleep(ctx, ts.answer)
-	return ts.mm.read(qu), ctx.Err()
+func (ss *serialStore) Read(ctx context.Context, qu Query) (Page, error) {
+	sleep(ctx, ss.answer)
+	return ss.mm.read(qu), ctx.Err()
 }
 
-func (ts *turnStore) Feed(ctx context.Context, table string, after int64, wait time.Duration) (Page, error) {
-	sleep(ctx, ts.answer)
-	return ts.mm.feed(ctx, table, after, wait), ctx.Err()
+func (ss *serialStore) Feed(ctx context.Context, table string, after int64, wait time.Duration) (Page, error) {
+	sleep(ctx, ss.answer)
+	return ss.mm.feed(ctx, table, after, wait), ctx.Err()
 }
 
-func (ts *turnStore) Parts(ctx context.Context, _ string) ([]string, error) {
-	sleep(ctx, ts.answer)
+func (ss *serialStore) Parts(ctx context.Context, _ string) ([]string, error) {
+	sleep(ctx, ss.answer)
 	return nil, ctx.Err()
 }
 
 // inBubble plays a test on a synthetic clock, and ends what it started with the context when it is over.
-func inBubble(t *testing.T, play func(ctx context.Context, t *testing.T)) {
+func withFakeClock(t *testing.T, run func(ctx context.Context, t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		play(ctx, t)
+		run(ctx, t)
 		cancel()
 		synctest.Wait()
 	})
@@ -149,11 +149,11 @@
 // intakeFleet is a number of instances that only accept jobs, over one store.
 type intakeFleet struct {
 	nodes []*Fleet
-	store *turnStore
+	store *serialStore
 }
 
 // startIntake starts the intakes of some instances until the context ends.
-func startIntake(ctx context.Context, store *turnStore, count int) intakeFleet {
+func startIntake(ctx context.Context, store *serialStore, count int) intakeFleet {
 	fl := intakeFleet{store: store}
 	for at := range count {
 		nd := New(Options{Name: fmt.Sprintf("n%d", at), Store: store, Machines: noMachines{}, Format: plainFormat{}})
@@ -165,7 +165,7 @@
 		go func() {
 			for ctx.Err() == nil {
 				// The feed of the control table is answered; only transactions are late.
-				nd.control.succeeded(time.Now())
+				nd.control.recordSuccess(time.Now())
 				sleep(ctx, 200*time.Millisecond)
 			}
 		}()
@@ -174,7 +174,7 @@
 }
 
 // handedIn is what became of the jobs that were handed in.
-type handedIn struct {
+type submissions struct {
 	verdicts map[Verdict]int
 	// late counts the callers that had no answer when their time was over.
 	late int
@@ -183,18 +183,18 @@
 }
 
 // callerTime is how long a caller waits for an answer.
-const callerTime = 2850 * time.Millisecond
+const callerTimeout = 2850 * time.Millisecond
 
 // handIn hands in so many jobs a second for a while, each at one instance, and waits for all verdicts.
-func (fl intakeFleet) handIn(seed uint64, perSecond int, span time.Duration) handedIn {
+func (fl intakeFleet) submitJobs(seed uint64, perSecond int, span time.Duration) submissions {
 	rd := rand.New(rand.NewPCG(seed, seed))
-	res := handedIn{verdicts: map[Verdict]int{}}
+	res := submissions{verdicts: map[Verdict]int{}}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for range int(span.Seconds() * float64(perSecond)) {
 		nd, id := fl.nodes[rd.IntN(len(fl.nodes))], job.ID(fmt.Sprintf("%016x", rd.Uint64()))
 		wg.Go(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), callerTime)
+			ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 			defer cancel()
 			began := time.Now()
 			vd, _ := nd.Submit(ctx, spec(id))
@@ -204,7 +204,7 @@
 			if vd == Refused {
 				res.refused = append(res.refused, id)
 			}
-			if time.Since(began) > callerTime {
+			if time.Since(began) > callerTimeout {
 				res.late++
 			}
 		})
@@ -216,7 +216,7 @@
 
 // check checks that all callers were answered in time, and that no job is kept whose caller was told that it was not taken, whatever was
 // still on its way to the store then.
-func (fl intakeFleet) check(t *testing.T, res handedIn) {
+func (fl intakeFleet) check(t *testing.T, res submissions) {
 	t.Helper()
 	t.Logf("accepted %d, refused %d, unknown %d, late %d; %d transactions", res.verdicts[Accepted], res.verdicts[Refused], res.verdicts[Unknown], res.late, fl.store.count())
 	if res.late > 0 {
@@ -235,9 +235,9 @@
 func TestCallersAreAnsweredInTime(t *testing.T) {
 	for _, times := range []int{150, 400, 1000} {
 		t.Run(fmt.Sprintf("%d times slower", times), func(t *testing.T) {
-			inBubble(t, func(ctx context.Context, t *testing.T) {
-				fl := startIntake(ctx, newTurnStore(times), 6)
-				fl.check(t, fl.handIn(2, 100, 4*time.Second))
+			withFakeClock(t, func(ctx context.Context, t *testing.T) {
+				fl := startIntake(ctx, newSerialStore(times), 6)
+				fl.check(t, fl.submitJobs(2, 100, 4*time.Second))
 			})
 		})
 	}
@@ -248,9 +248,9 @@
 func TestSlowStoreAcceptsFromManyInstances(t *testing.T) {
 	for _, count := range []int{6, 33} {
 		t.Run(fmt.Sprintf("%d instances", count), func(t *testing.T) {
-			inBubble(t, func(ctx context.Context, t *testing.T) {
-				fl := startIntake(ctx, newTurnStore(60), count)
-				res := fl.handIn(1, 100, 4*time.Second)
+			withFakeClock(t, func(ctx context.Context, t *testing.T) {
+				fl := startIntake(ctx, newSerialStore(60), count)
+				res := fl.submitJobs(1, 100, 4*time.Second)
 				if got := res.verdicts[Accepted]; got < 380 {
 					t.Errorf("%d of 400 jobs were accepted", got)
 				}
@@ -264,14 +264,14 @@
 // the duty's lease and must not hold up its renewals.
 func TestWaveOnASlowStoreKeepsTheLease(t *testing.T) {
 	const wanted = 70
-	inBubble(t, func(ctx context.Context, t *testing.T) {
-		store := newTurnStore(60)
-		du := startDutyHolder(ctx, t, store)
+	withFakeClock(t, func(ctx context.Context, t *testing.T) {
+		store := newSerialStore(60)
+		du := startLeaseHolder(ctx, t, store)
 		time.Sleep(10 * time.Second)
 		for at := range wanted {
-			du.carryOut(ctx, machine.Want{Drain: machine.Drain{Machine: cell.MachineID(fmt.Sprintf("m%d", at)), Pool: "pool"}})
+			du.execute(ctx, machine.Want{Drain: machine.Drain{Machine: cell.MachineID(fmt.Sprintf("m%d", at)), Pool: "pool"}})
 		}
-		if lost := gaps(du, 100); lost > 0 {
+		if lost := countLeaseGaps(du, 100); lost > 0 {
 			t.Errorf("the lease was lost at %d of 100 moments", lost)
 		}
 		if got := len(store.mm.read(Query{Table: tableControl, Part: machinesCell, From: drainPrefix}).Rows) - 1; got != wanted {
@@ -285,13 +285,13 @@
 // the duty learns it from their owner, and not from one that has been replaced.
 func TestEmptyWorkersAreToldWithoutTheStore(t *testing.T) {
 	const wanted = 70
-	store := newTurnStore(60)
+	store := newSerialStore(60)
 	fl := New(Options{Name: "one", Store: store, Machines: noMachines{}, Format: plainFormat{}})
 	ids := map[cell.WorkerName]bool{}
 	for at := range wanted {
 		id := fmt.Sprintf("%02d", at)
 		ids[cell.WorkerName("w"+id)] = true
-		fl.members.takeDrain(Row{Key: drainPrefix + "m" + id, Version: 7, Value: fmt.Appendf(nil, `{"machine":"m%s","worker":"w%s","pool":"pool"}`, id, id)})
+		fl.members.applyDrain(Row{Key: drainPrefix + "m" + id, Version: 7, Value: fmt.Appendf(nil, `{"machine":"m%s","worker":"w%s","pool":"pool"}`, id, id)})
 	}
 	ow := newOwner(fl, "pool", ownerRow{version: 5}, func() {})
 	ow.began = true
@@ -302,8 +302,8 @@
 		clear int
 	}{{5, wanted}, {6, 0}} {
 		fl.members.owners["pool"] = ownerRow{Holder: "one", version: tc.epoch}
-		fl.duty.noteClear(fl.loads(context.Background(), nil, false, nil, false))
-		if got := len(fl.duty.clear); got != tc.clear {
+		fl.controller.recordDrained(fl.loads(context.Background(), nil, false, nil, false))
+		if got := len(fl.controller.drained); got != tc.clear {
 			t.Errorf("%d empty workers are known while the cell's epoch is %d, want %d", got, tc.epoch, tc.clear)
 		}
 	}
@@ -313,7 +313,7 @@
 }
 
 // startDutyHolder starts what renews the lease of the machines' duty over a store.
-func startDutyHolder(ctx context.Context, t *testing.T, store *turnStore) *duty {
+func startLeaseHolder(ctx context.Context, t *testing.T, store *serialStore) *machineController {
 	t.Helper()
 	fl := New(Options{Name: "one", Store: store, Machines: noMachines{}, Format: plainFormat{}})
 	fl.background = ctx
@@ -321,20 +321,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	du := fl.duty
-	du.keeper, du.cancel, du.tasks = machine.NewKeeper(time.Now(), dutyQuiet), func() {}, &sync.WaitGroup{}
+	du := fl.controller
+	du.keeper, du.cancel, du.tasks = machine.NewKeeper(time.Now(), machineCooldown), func() {}, &sync.WaitGroup{}
 	du.row = ownerRow{Holder: "one", Incarnation: fl.opts.Incarnation, version: version}
-	du.lease = dutyLease{version: version, ordered: map[cell.MachineID]*orderedMachine{}}
-	go du.renew(ctx)
+	du.lease = machineLease{version: version, ordered: map[cell.MachineID]*machineOrders{}}
+	go du.renewLoop(ctx)
 	return du
 }
 
 // gaps counts at how many of some moments the lease is not held.
-func gaps(du *duty, moments int) int {
+func countLeaseGaps(du *machineController, samples int) int {
 	count := 0
-	for range moments {
+	for range samples {
 		time.Sleep(100 * time.Millisecond)
-		if !du.leased(time.Now()) {
+		if !du.leaseValid(time.Now()) {
 			count++
 		}
 	}
@@ -344,12 +344,12 @@
 // TestLostAnswersSeldomCostTheLease: a third of all answers are lost, also those that would tell of an earlier try. With every lost answer
 // counted as no renewal, and longer waits after each, the lease was lost at more than half of the moments.
 func TestLostAnswersSeldomCostTheLease(t *testing.T) {
-	inBubble(t, func(ctx context.Context, t *testing.T) {
-		store := newTurnStore(1)
-		store.lossy(3, 0.35)
-		du := startDutyHolder(ctx, t, store)
+	withFakeClock(t, func(ctx context.Context, t *testing.T) {
+		store := newSerialStore(1)
+		store.loseAnswers(3, 0.35)
+		du := startLeaseHolder(ctx, t, store)
 		time.Sleep(2 * time.Second)
-		got := gaps(du, 600)
+		got := countLeaseGaps(du, 600)
 		t.Logf("the lease was lost at %d of 600 moments, %d transactions", got, store.count())
 		if got > 200 {
 			t.Errorf("the lease was lost at %d of 600 moments", got)
--- a/fleet/watch.go
+++ b/fleet/watch.go
@@ -15,39 +15,39 @@
 
 // Times of following tables. Each feed call has its price, so rows that come close together share one.
 const (
-	controlGap = 150 * time.Millisecond
+	controlInterval = 150 * time.Millisecond
 	// controlMost is the gap of a large fleet: with more instances more rows change, and each feed call carries more of them.
-	controlMost = 500 * time.Millisecond
+	controlIntervalMax = 500 * time.Millisecond
 	// controlNodes is how many instances share one controlGap.
-	controlNodes = 10
+	controlNodesPerInterval = 10
 	controlWait  = time.Second
-	operatorGap  = 50 * time.Millisecond
-	registryGap  = 250 * time.Millisecond
-	jobsGap      = 600 * time.Millisecond
+	operatorInterval  = 50 * time.Millisecond
+	registryInterval  = 250 * time.Millisecond
+	jobsInterval      = 600 * time.Millisecond
 	jobsWait     = 2 * time.Second
-	quietWait    = 1500 * time.Millisecond
+	feedWait    = 1500 * time.Millisecond
 	// feedMargin is added to a feed's wait before the call is given up on which nothing comes.
-	feedMargin = 900 * time.Millisecond
+	feedTimeoutMargin = 900 * time.Millisecond
 	// feedRetry is the pause after a feed call that failed.
-	feedRetry = 250 * time.Millisecond
+	feedRetryDelay = 250 * time.Millisecond
 	// readTimeout bounds for how long a read may receive nothing.
 	readTimeout = 1500 * time.Millisecond
 	// longAgo is how long before its start a watch counts as heard of last.
-	longAgo = time.Hour
+	staleAge = time.Hour
 	// readLimit is how many rows are read at once.
-	readLimit = 500
+	readPageSize = 500
 	// readAtOnce is how many parts are read at once, so that a table of many parts is read soon though the store is slow.
-	readAtOnce = 12
+	parallelReads = 12
 )
 
 // watch follows one table: it reads it whole, then takes its changes.
-type watch struct {
+type tableWatch struct {
 	fl    *Fleet
 	table string
-	gap   func() time.Duration
+	interval   func() time.Duration
 	wait  time.Duration
 	// changed is told of rows that are new to this watch, and of when the store was asked.
-	changed func(rows []Row, asked time.Time)
+	onChange func(rows []Row, asked time.Time)
 	mu      sync.Mutex // guards rows
 	rows    map[Place]Row
 	version int64
@@ -55,91 +55,91 @@
 	// origin is the time from which good and since count, on the steady clock: the time of day may jump.
 	origin time.Time
 	// good is when the last call that succeeded was sent, since is when the calls began to succeed; 0 for never.
-	good, since atomic.Int64
+	lastSuccess, successSince atomic.Int64
 	failing     bool
 	// idle tells whether nobody needs the table at this time, nil for never. forget is called when that begins.
 	idle   func() bool
-	forget func()
+	onIdle func()
 	// woken ends a rest.
-	woken chan struct{}
+	wakeup chan struct{}
 }
 
-func newWatch(fl *Fleet, table string, gap func() time.Duration, wait time.Duration, changed func([]Row, time.Time)) *watch {
-	origin := fl.opts.Now().Add(-longAgo)
-	return &watch{fl: fl, table: table, gap: gap, wait: wait, changed: changed, rows: map[Place]Row{}, origin: origin, woken: make(chan struct{}, 1)}
+func newTableWatch(fl *Fleet, table string, interval func() time.Duration, wait time.Duration, onChange func([]Row, time.Time)) *tableWatch {
+	origin := fl.opts.Now().Add(-staleAge)
+	return &tableWatch{fl: fl, table: table, interval: interval, wait: wait, onChange: onChange, rows: map[Place]Row{}, origin: origin, wakeup: make(chan struct{}, 1)}
 }
 
 // fixed is a gap that does not change.
-func fixed(gap time.Duration) func() time.Duration {
-	return func() time.Duration { return gap }
+func fixedInterval(interval time.Duration) func() time.Duration {
+	return func() time.Duration { return interval }
 }
 
 // controlPause is the gap between two feed calls for the control table.
-func (fl *Fleet) controlPause() time.Duration {
+func (fl *Fleet) controlPollInterval() time.Duration {
 	nodes := fl.members.count()
-	return min(controlMost, max(1, time.Duration(nodes)/controlNodes)*controlGap)
+	return min(controlIntervalMax, max(1, time.Duration(nodes)/controlNodesPerInterval)*controlInterval)
 }
 
 // ownsNothing reports whether this instance owns no cell. Then it needs no registrations: workers renew theirs all the time, each renewal is
 // a row of the feed, and 63 a second of 390 bytes (95 workers) were more than half of what an instance without cells read from the store. It
 // reads them whole when it takes a cell.
-func (fl *Fleet) ownsNothing() bool { return len(fl.owned()) == 0 }
+func (fl *Fleet) ownsNoCells() bool { return len(fl.owned()) == 0 }
 
 // loaded reports whether the table has been read whole since somebody needs it.
-func (wt *watch) loaded() bool { return wt.ready.Load() }
+func (wt *tableWatch) loaded() bool { return wt.ready.Load() }
 
 // healthy returns since when, and until when, the store has answered.
-func (wt *watch) healthy() (since, until time.Time) {
-	return wt.origin.Add(time.Duration(wt.since.Load())), wt.origin.Add(time.Duration(wt.good.Load()))
+func (wt *tableWatch) healthyPeriod() (since, until time.Time) {
+	return wt.origin.Add(time.Duration(wt.successSince.Load())), wt.origin.Add(time.Duration(wt.lastSuccess.Load()))
 }
 
 // run follows the table until the context ends, while somebody needs it.
-func (wt *watch) run(ctx context.Context) {
-	whole := true
-	wt.pass(ctx)
+func (wt *tableWatch) run(ctx context.Context) {
+	reload := true
+	wt.waitWhileIdle(ctx)
 	for ctx.Err() == nil {
 		var err error
-		if whole {
+		if reload {
 			err = wt.load(ctx)
 		} else {
-			err = wt.follow(ctx)
+			err = wt.fetchChanges(ctx)
 		}
-		pause := wt.gap()
+		pause := wt.interval()
 		switch {
 		case err == nil:
-			whole = false
+			reload = false
 		case errors.Is(err, ErrHistory):
-			whole, pause = true, 0
+			reload, pause = true, 0
 		default:
-			pause = feedRetry
+			pause = feedRetryDelay
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		wt.judge(err)
-		wt.rest(ctx, pause)
-		if err == nil && wt.pass(ctx) {
-			whole = true
+		wt.logHealth(err)
+		wt.pause(ctx, pause)
+		if err == nil && wt.waitWhileIdle(ctx) {
+			reload = true
 		}
 	}
 }
 
 // rest waits until the next call is due or wanted.
-func (wt *watch) rest(ctx context.Context, pause time.Duration) {
-	if pause <= 0 {
+func (wt *tableWatch) pause(ctx context.Context, span time.Duration) {
+	if span <= 0 {
 		return
 	}
-	timer := time.NewTimer(pause)
+	timer := time.NewTimer(span)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-wt.woken:
+	case <-wt.wakeup:
 	}
 }
 
 // pass waits while nobody needs the table, and reports whether it has to be read whole.
-func (wt *watch) pass(ctx context.Context) bool {
+func (wt *tableWatch) waitWhileIdle(ctx context.Context) bool {
 	if wt.idle == nil || !wt.idle() {
 		return false
 	}
@@ -147,22 +147,22 @@
 	wt.rows = map[Place]Row{}
 	wt.mu.Unlock()
 	wt.ready.Store(false)
-	wt.forget()
+	wt.onIdle()
 	for wt.idle() && ctx.Err() == nil {
-		wt.rest(ctx, longAgo)
+		wt.pause(ctx, staleAge)
 	}
 	return true
 }
 
 // wake ends a rest.
-func (wt *watch) wake() {
+func (wt *tableWatch) wake() {
 	select {
-	case wt.woken <- struct{}{}:
+	case wt.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-func (wt *watch) judge(err error) {
+func (wt *tableWatch) logHealth(err error) {
 	if err == nil || errors.Is(err, ErrHistory) {
 		if wt.failing {
 			wt.fl.opts.Log.Emit(event.StoreReached, zap.String("table", wt.table))
@@ -174,35 +174,35 @@
 		wt.fl.opts.Log.Emit(event.StoreLost, zap.String("table", wt.table), zap.Error(err))
 	}
 	wt.failing = true
-	wt.since.Store(0)
+	wt.successSince.Store(0)
 }
 
 // succeeded notes a call that was answered.
-func (wt *watch) succeeded(asked time.Time) {
-	if wt.since.Load() == 0 {
-		wt.since.Store(int64(asked.Sub(wt.origin)))
+func (wt *tableWatch) recordSuccess(sentAt time.Time) {
+	if wt.successSince.Load() == 0 {
+		wt.successSince.Store(int64(sentAt.Sub(wt.origin)))
 	}
-	wt.good.Store(int64(asked.Sub(wt.origin)))
+	wt.lastSuccess.Store(int64(sentAt.Sub(wt.origin)))
 }
 
 // follow takes the next changes.
-func (wt *watch) follow(ctx context.Context) error {
-	ctx, cancel := tcp.UntilQuiet(ctx, wt.wait+feedMargin)
+func (wt *tableWatch) fetchChanges(ctx context.Context) error {
+	ctx, cancel := tcp.UntilQuiet(ctx, wt.wait+feedTimeoutMargin)
 	defer cancel()
-	asked := wt.fl.opts.Now()
-	pg, err := wt.fl.link.Feed(ctx, wt.table, wt.version, wt.wait)
+	sentAt := wt.fl.opts.Now()
+	pg, err := wt.fl.store.Feed(ctx, wt.table, wt.version, wt.wait)
 	if err != nil {
 		return err
 	}
-	wt.take(pg.Rows, asked)
+	wt.merge(pg.Rows, sentAt)
 	wt.version = max(wt.version, pg.Version)
 	// Only now: whoever sees that the store answered sees what it said.
-	wt.succeeded(asked)
+	wt.recordSuccess(sentAt)
 	return nil
 }
 
 // take merges rows and tells of those that are new.
-func (wt *watch) take(rows []Row, asked time.Time) {
+func (wt *tableWatch) merge(rows []Row, sentAt time.Time) {
 	var fresh []Row
 	wt.mu.Lock()
 	for _, rw := range rows {
@@ -217,31 +217,31 @@
 		wt.rows[rw.Place()] = rw
 	}
 	wt.mu.Unlock()
-	wt.changed(fresh, asked)
+	wt.onChange(fresh, sentAt)
 }
 
 // load reads the table whole. Rows that it no longer holds are told as deleted.
-func (wt *watch) load(ctx context.Context) error {
-	asked := wt.fl.opts.Now()
+func (wt *tableWatch) load(ctx context.Context) error {
+	sentAt := wt.fl.opts.Now()
 	rows, version, err := wt.fl.readTable(ctx, wt.table)
 	if err != nil {
 		return err
 	}
-	held := make(map[Place]bool, len(rows))
+	present := make(map[Place]bool, len(rows))
 	for _, rw := range rows {
-		held[rw.Place()] = true
+		present[rw.Place()] = true
 	}
 	var gone []Row
 	wt.mu.Lock()
 	for at, rw := range wt.rows {
-		if !held[at] {
+		if !present[at] {
 			gone = append(gone, Row{Table: rw.Table, Part: rw.Part, Key: rw.Key, Version: rw.Version + 1, Deleted: true})
 		}
 	}
 	wt.mu.Unlock()
 	wt.version = version
-	wt.take(append(rows, gone...), asked)
-	wt.succeeded(asked)
+	wt.merge(append(rows, gone...), sentAt)
+	wt.recordSuccess(sentAt)
 	wt.ready.Store(true)
 	return nil
 }
@@ -253,7 +253,7 @@
 		return rows, version, err
 	}
 	callCtx, cancel := context.WithTimeout(ctx, readTimeout)
-	parts, err := fl.link.Parts(callCtx, table)
+	parts, err := fl.store.Parts(callCtx, table)
 	cancel()
 	if err != nil {
 		return nil, 0, err
@@ -282,10 +282,10 @@
 func (fl *Fleet) readPart(ctx context.Context, table, part string) ([]Row, int64, error) {
 	var rows []Row
 	var version int64
-	qu := Query{Table: table, Part: part, Limit: readLimit}
+	qu := Query{Table: table, Part: part, Limit: readPageSize}
 	for {
 		callCtx, cancel := tcp.UntilQuiet(ctx, readTimeout)
-		pg, err := fl.link.Read(callCtx, qu)
+		pg, err := fl.store.Read(callCtx, qu)
 		cancel()
 		if err != nil {
 			return nil, 0, err
--- a/fleet/watch_test.go
+++ b/fleet/watch_test.go
@@ -16,7 +16,7 @@
 	if err := fl.operator.load(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	since, until := fl.operator.healthy()
+	since, until := fl.operator.healthyPeriod()
 	for _, at := range []time.Time{since, until} {
 		if age := steady().Sub(at); age < 0 || age > longWait {
 			t.Errorf("the store was heard of %v ago", age)
@@ -28,18 +28,18 @@
 func TestWatchTellsWhatItReadBeforeItCountsAsRead(t *testing.T) {
 	st := newSite(t, time.Millisecond)
 	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &storeWay{mm: st.mm}, Workers: st.workers, Machines: noMachines{}, Format: plainFormat{}})
-	var wt *watch
+	var wt *tableWatch
 	told := 0
-	wt = newWatch(fl, "registry", fixed(time.Millisecond), time.Millisecond, func(rows []Row, asked time.Time) {
+	wt = newTableWatch(fl, "registry", fixedInterval(time.Millisecond), time.Millisecond, func(rows []Row, asked time.Time) {
 		told++
-		if _, until := wt.healthy(); !until.Before(asked) {
+		if _, until := wt.healthyPeriod(); !until.Before(asked) {
 			t.Error("the answer counts before its rows are known")
 		}
 	})
 	if err := wt.load(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	if err := wt.follow(context.Background()); err != nil {
+	if err := wt.fetchChanges(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	if told != 2 {
--- a/fleet/writes_test.go
+++ b/fleet/writes_test.go
@@ -19,7 +19,7 @@
 		gap    = 50 * time.Millisecond
 		saveAt = 40
 	)
-	inBubble(t, func(ctx context.Context, t *testing.T) {
+	withFakeClock(t, func(ctx context.Context, t *testing.T) {
 		ow, store := startWriter(ctx, t)
 		var refs []cell.Ref
 		var asked int
@@ -61,10 +61,10 @@
 // TestLostAnswersHoldUpProgressBriefly: a third of the transactions are done and not answered; progress comes five times a second.
 func TestLostAnswersHoldUpProgressBriefly(t *testing.T) {
 	const saves = 100
-	inBubble(t, func(ctx context.Context, t *testing.T) {
+	withFakeClock(t, func(ctx context.Context, t *testing.T) {
 		ow, store := startWriter(ctx, t)
-		store.turn, store.answer = fastTurn, fastAnswer
-		store.lossy(5, 0.35)
+		store.perPart, store.answer = fastCommit, fastAnswer
+		store.loseAnswers(5, 0.35)
 		began := time.Now()
 		late := 0
 		for at := range saves {
@@ -96,9 +96,9 @@
 }
 
 // startWriter starts what writes for the owner of a cell, over a slow store.
-func startWriter(ctx context.Context, t *testing.T) (*owner, *turnStore) {
+func startWriter(ctx context.Context, t *testing.T) (*owner, *serialStore) {
 	t.Helper()
-	store := newTurnStore(60)
+	store := newSerialStore(60)
 	fl := New(Options{Name: "one", Store: store, Machines: noMachines{}, Format: plainFormat{}})
 	fl.background = ctx
 	version, err := store.mm.commit(Tx{Write: []Row{{Table: tableControl, Part: "pool", Key: ownerKey, Value: []byte("{}")}}})
@@ -111,7 +111,7 @@
 }
 
 // cellRow is the row of the cell as the store has it.
-func cellRow(t *testing.T, store *turnStore) ownerRow {
+func cellRow(t *testing.T, store *serialStore) ownerRow {
 	t.Helper()
 	var or ownerRow
 	rows := store.mm.read(Query{Table: tableControl, Part: "pool"}).Rows
