--- a/fleet/drain.go
+++ b/fleet/drain.go
@@ -23,7 +23,7 @@
 	Pool    job.PoolID      `json:"pool"`
 	Wave    int             `json:"wave"`
 	version int64
-	seenAt    time.Time
+	seenAt  time.Time
 }
 
 // takeDrain takes the row of a machine that is wanted.
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -69,7 +69,7 @@
 	Log      *event.Logger
 	Registry metrics.Registry
 	// Bytes counts what the instance's connections move; nil if nothing does.
-	Bytes *Bytes
+	Bytes *Traffic
 	Now   func() time.Time
 	// Day is the time of day, in which jobs have due times.
 	Day func() time.Time
@@ -78,7 +78,7 @@
 // Fleet is one entry instance's part in running the jobs.
 type Fleet struct {
 	opts   Options
-	store   *storeClient
+	store  *storeClient
 	peers  *peers
 	config atomic.Pointer[job.Configuration]
 	// control, operator and registry follow the tables of the same matter.
@@ -86,23 +86,23 @@
 	operator *tableWatch
 	registry *tableWatch
 	// accounts follows what cells hold of organisations' maxima.
-	accounts *tableWatch
-	members  *members
-	mu       sync.Mutex // guards owners and claiming
-	owners   map[string]*owner
-	claiming map[string]bool
-	workerCache   *workerCache
-	intakes  [homeParts]*intake
-	pending  pendingCache
-	homes    homeCache
-	payloads *payloads
-	full     full
-	stopping atomic.Bool
+	accounts    *tableWatch
+	members     *members
+	mu          sync.Mutex // guards owners and claiming
+	owners      map[string]*owner
+	claiming    map[string]bool
+	workerCache *workerCache
+	intakes     [homeParts]*intake
+	pending     pendingCache
+	homes       homeCache
+	payloads    *payloads
+	full        full
+	stopping    atomic.Bool
 	// apart is set while all instances that live read payloads apart from jobs.
-	apart atomic.Bool
-	controller  *machineController
-	partition *partitionDetector
-	relay *relay
+	apart      atomic.Bool
+	controller *machineController
+	partition  *partitionDetector
+	relay      *relay
 	// readers read the parts of tables.
 	readers pond.Pool
 	// paused holds the queues that an operator has paused.
--- a/fleet/duty.go
+++ b/fleet/machinecontroller.go
@@ -53,7 +53,7 @@
 	sizer   *machine.Sizer
 	// before is the row of the holder before.
 	previous ownerRow
-	cancel context.CancelFunc
+	cancel   context.CancelFunc
 	// renewing is held while the lease is renewed.
 	renewing sync.Mutex
 	// tasks are the goroutines of the present tenure.
@@ -64,7 +64,7 @@
 	// clear are the wanted workers that were empty when their owners were asked last.
 	drained map[cell.WorkerName]bool
 	// rows wait for a renewal to write them; hurry tells that there are new ones.
-	pendingRows  []*pendingRow
+	pendingRows []*pendingRow
 	rowsPending chan struct{}
 }
 
@@ -254,7 +254,9 @@
 	}
 }
 
-func (ct *machineController) recordWave(wave int, rc waveRecord) { ct.putRow(wavePrefix+strconv.Itoa(wave), rc) }
+func (ct *machineController) recordWave(wave int, rc waveRecord) {
+	ct.putRow(wavePrefix+strconv.Itoa(wave), rc)
+}
 
 // dropLost ends the duty once another holder was met.
 func (ct *machineController) stepDownIfReplaced() {
--- a/fleet/dutylease.go
+++ b/fleet/machinelease.go
@@ -17,13 +17,13 @@
 // version in which it has stood still for longer than the term that it tells.
 const (
 	// dutyRenew is how often the holder renews its lease, renewAgain the least time between a try that failed and the next.
-	machineLeaseRenewInterval  = 300 * time.Millisecond
-	machineLeaseRetryDelay = 200 * time.Millisecond
+	machineLeaseRenewInterval = 300 * time.Millisecond
+	machineLeaseRetryDelay    = 200 * time.Millisecond
 	// dutyTerm is how long orders may be under way after a renewal was sent to a store that is fast. A slow one adds termPaces times what a
 	// transaction takes, up to dutyTermMost; else no renewal would be answered in time, and no order given. The row tells the term.
-	machineLeaseTermMin     = 1100 * time.Millisecond
-	machineLeaseTermMax = 3 * time.Second
-	machineLeaseLatencyFactor    = 4
+	machineLeaseTermMin       = 1100 * time.Millisecond
+	machineLeaseTermMax       = 3 * time.Second
+	machineLeaseLatencyFactor = 4
 	// announceTries is how often machines are announced before the orders for them are dropped: where an answer is lost the next try finds the
 	// row written, which may be one that does not name them yet.
 	announceAttempts = 3
@@ -44,16 +44,16 @@
 	// tried is when the first try at the present renewal was sent; zero if none is under way.
 	firstAttempt time.Time
 	// ordered are the machines that orders have been given for of late, or are to be; named those that the duty's row names.
-	ordered map[cell.MachineID]*machineOrders
-	published   map[cell.MachineID]time.Duration
+	ordered   map[cell.MachineID]*machineOrders
+	published map[cell.MachineID]time.Duration
 }
 
 // orderedMachine is what is known of the orders for a machine.
 type machineOrders struct {
 	// over is when the last order was over, announced whether another may follow, and active how many are under way.
-	lastDone      time.Time
+	lastDone  time.Time
 	announced bool
-	inFlight    int
+	inFlight  int
 }
 
 // recent are the machines that a holder after this one must leave alone, and for how long from now. Orders that may still be given, or are
--- a/fleet/members.go
+++ b/fleet/members.go
@@ -61,7 +61,7 @@
 	Released bool `json:"released,omitempty"`
 	// version is that of the row, seen when it was first seen here.
 	version int64
-	seenAt    time.Time
+	seenAt  time.Time
 }
 
 // epoch is that of the owner.
@@ -79,12 +79,12 @@
 	mu    sync.RWMutex // guards what follows
 	nodes map[string]node
 	// versions are those of the rows of instances.
-	versions map[string]int64
-	nodeSeenAt     map[string]time.Time
-	owners   map[string]ownerRow
+	versions   map[string]int64
+	nodeSeenAt map[string]time.Time
+	owners     map[string]ownerRow
 	// ownedAt is when a cell's row was last seen to change.
 	ownerChangedAt map[string]time.Time
-	drains  map[cell.MachineID]drainRow
+	drains         map[cell.MachineID]drainRow
 	// vacant is since when a cell has had no owner that lives.
 	vacantSince map[string]time.Time
 }
--- a/fleet/lane.go
+++ b/fleet/orderqueue.go
@@ -16,7 +16,7 @@
 	maxOrdersInFlight = 3
 	// laneSilent is after how many silent orders in a row the worker counts as gone, and laneQuiet how long no starts are sent to it then.
 	unansweredLimit = 2
-	unansweredPause  = 300 * time.Millisecond
+	unansweredPause = 300 * time.Millisecond
 )
 
 // lane sends orders to one worker in turn, over one connection as long as they are answered.
@@ -25,8 +25,8 @@
 	now     func() time.Time
 	// patience is how long an order may wait for its turn; 0 for any time.
 	maxWait time.Duration
-	mu       sync.Mutex // guards what follows
-	queue    []queuedOrder
+	mu      sync.Mutex // guards what follows
+	queue   []queuedOrder
 	// active counts the orders under way, silent those in a row that were not answered.
 	inFlight, unanswered int
 	pausedUntil          time.Time
@@ -34,9 +34,9 @@
 
 // queued is an order in a lane, with who is told what became of it.
 type queuedOrder struct {
-	order cell.Order
+	order    cell.Order
 	queuedAt time.Time
-	report  func(cell.Ordered)
+	report   func(cell.Ordered)
 }
 
 func newOrderQueue(workers Workers, now func() time.Time) *orderQueue {
--- a/fleet/lane_test.go
+++ b/fleet/orderqueue_test.go
@@ -12,8 +12,8 @@
 
 // slowWorkers answer each order after a time of its own; one that is lost gets no answer within orderTime.
 type slowWorkers struct {
-	mu    sync.Mutex
-	lost  func(number int) bool
+	mu       sync.Mutex
+	lost     func(number int) bool
 	received int
 }
 
--- a/fleet/owner.go
+++ b/fleet/owner.go
@@ -39,20 +39,20 @@
 	name  string
 	epoch job.Epoch
 	// rowVersion is that of the cell's row; each write of progress requires it.
-	rowVersion atomic.Int64
-	lost       atomic.Bool
-	cancel     context.CancelFunc
-	done       chan struct{}
-	signal     chan struct{}
-	writes     *writes
-	jobs       *tableWatch
-	mu         sync.Mutex // guards what follows
-	core       *cell.Core
-	events     []func(*cell.Core, time.Time)
-	progress   map[job.ID]Row
-	orderQueues      map[cell.WorkerID]*orderQueue
-	relays     *relays
-	silenced   bool
+	rowVersion  atomic.Int64
+	lost        atomic.Bool
+	cancel      context.CancelFunc
+	done        chan struct{}
+	signal      chan struct{}
+	writes      *writes
+	jobs        *tableWatch
+	mu          sync.Mutex // guards what follows
+	core        *cell.Core
+	events      []func(*cell.Core, time.Time)
+	progress    map[job.ID]Row
+	orderQueues map[cell.WorkerID]*orderQueue
+	relays      *relays
+	silenced    bool
 	// since is when the cell was claimed, claimed the row by which it was.
 	since   time.Time
 	claimed ownerRow
--- a/fleet/reach.go
+++ b/fleet/partition.go
@@ -30,7 +30,7 @@
 type partitionDetector struct {
 	fl *Fleet
 	// off is set while this instance is cut off.
-	cutOff  atomic.Bool
+	cutOff   atomic.Bool
 	rotation int
 }
 
--- a/fleet/peers.go
+++ b/fleet/peers.go
@@ -17,8 +17,8 @@
 
 // Times of calls to peers.
 const (
-	peerDialTimeout    = 300 * time.Millisecond
-	peerTimeout = 500 * time.Millisecond
+	peerDialTimeout = 300 * time.Millisecond
+	peerTimeout     = 500 * time.Millisecond
 	// peerIdle is how long an unused connection to a peer is kept.
 	peerIdleTimeout = 20 * time.Second
 	// peerConnections is how many unused connections to a peer are kept.
@@ -33,12 +33,12 @@
 
 // peers speaks to the other entry instances.
 type peers struct {
-	fl      *Fleet
-	client  *http.Client
-	mu      sync.Mutex // guards what follows
-	clients map[string]peer.Cells
-	backoffUntil     map[string]time.Time
-	rotation    int
+	fl           *Fleet
+	client       *http.Client
+	mu           sync.Mutex // guards what follows
+	clients      map[string]peer.Cells
+	backoffUntil map[string]time.Time
+	rotation     int
 }
 
 func newPeers(fl *Fleet) *peers {
--- a/fleet/relay.go
+++ b/fleet/relay.go
@@ -24,25 +24,25 @@
 // relay carries out orders for the owners of cells. It keeps nothing that a promise rests on: what it loses, its sender takes for
 // orders without an answer.
 type relay struct {
-	fl      *Fleet
-	mu      sync.Mutex // guards what follows
-	senders map[string]*sender
-	queues   map[cell.WorkerID]*orderQueue
-	lastSweep   time.Time
+	fl        *Fleet
+	mu        sync.Mutex // guards what follows
+	senders   map[string]*sender
+	queues    map[cell.WorkerID]*orderQueue
+	lastSweep time.Time
 }
 
 // sender is an entry instance whose orders are carried out here.
 type sender struct {
-	mu      sync.Mutex // guards what follows
-	results []pendingResult
-	signal  chan struct{}
-	lastPoll   time.Time
+	mu       sync.Mutex // guards what follows
+	results  []pendingResult
+	signal   chan struct{}
+	lastPoll time.Time
 }
 
 // waitingResult is a result that its sender has not fetched.
 type pendingResult struct {
-	result *peer.RelayResult
-	queuedAt  time.Time
+	result   *peer.RelayResult
+	queuedAt time.Time
 }
 
 func newRelay(fl *Fleet) *relay {
--- a/fleet/relays.go
+++ b/fleet/relays.go
@@ -32,15 +32,15 @@
 	relayTimeout = 900 * time.Millisecond
 	// relayBad is how long a peer that failed is passed over, twice as long after each further failure in a row, up to relayBadMost: a
 	// peer that is cut off from this instance alone stays a member.
-	relayBackoffMin     = 2500 * time.Millisecond
+	relayBackoffMin = 2500 * time.Millisecond
 	relayBackoffMax = 20 * time.Second
 	// relaySlow and relayQuick are the times of a start, from its decision to the worker's answer, from which on more or fewer peers are
 	// used: on a link of 250 KB/s five starts of 2.9 KB that go one after the other take the longer one.
-	slowStart  = 60 * time.Millisecond
+	slowStart = 60 * time.Millisecond
 	fastStart = 30 * time.Millisecond
 	// relayWiden and relayNarrow are by how much it changes at a time, relayBroadest is the most.
 	relayScaleUp, relayScaleDown = 1.5, 0.95
-	relayScaleMax           = 4.0
+	relayScaleMax                = 4.0
 	// relayLate is when an order without a result counts as silent: it may have waited in the peer's lane, and then for its worker.
 	relayResultTimeout = relayQueueTimeout + 1200*time.Millisecond
 )
@@ -191,23 +191,23 @@
 
 // relayLink is the way to one peer that carries out orders.
 type relayLink struct {
-	rs         *relays
-	node       node
-	peer       peer.Cells
-	mu         sync.Mutex // guards what follows
-	queue      []*peer.RelayOrder
-	pending       map[uint64]pendingOrder
-	sending    bool
-	collecting bool
-	backoffUntil        time.Time
+	rs           *relays
+	node         node
+	peer         peer.Cells
+	mu           sync.Mutex // guards what follows
+	queue        []*peer.RelayOrder
+	pending      map[uint64]pendingOrder
+	sending      bool
+	collecting   bool
+	backoffUntil time.Time
 	// fails counts failures in a row.
 	failures int
-	pause time.Duration
+	pause    time.Duration
 }
 
 // errand is an order that a peer has been given.
 type pendingOrder struct {
-	order cell.Order
+	order  cell.Order
 	sentAt time.Time
 }
 
--- a/fleet/turns_test.go
+++ b/fleet/serialstore_test.go
@@ -21,16 +21,16 @@
 	mm *memory
 	// turn is how long a part is taken by a transaction, answer how long its answer takes besides.
 	perPart, answer time.Duration
-	mu           sync.Mutex // guards what follows
-	freeAt         map[string]time.Time
-	commits      int
+	mu              sync.Mutex // guards what follows
+	freeAt          map[string]time.Time
+	commits         int
 	// lost tells whether the next transaction is done and not answered.
 	lost func() bool
 }
 
 const (
 	// fastTurn and fastAnswer are those of a store that is well: 300 transactions a second in a part, some 4 ms an answer.
-	fastCommit   = 3333 * time.Microsecond
+	fastCommit = 3333 * time.Microsecond
 	fastAnswer = 4 * time.Millisecond
 	// turnWait is the longest wait for a turn.
 	maxCommitWait = time.Second
--- a/fleet/link.go
+++ b/fleet/storeclient.go
@@ -15,8 +15,8 @@
 const (
 	// directAgain is how often the direct way is tried while calls go through a peer, and directTimeout bounds the try. It is a read of its
 	// own: a feed that tried the direct way was silent for 2.4 s of each 4 s of a cut, and with it the registrations of new workers.
-	directProbeInterval   = time.Second
-	directProbeTimeout = 400 * time.Millisecond
+	directProbeInterval = time.Second
+	directProbeTimeout  = 400 * time.Millisecond
 	// quietAfter is how many calls in a row must fail before the store counts as not to be reached.
 	unreachableAfter = 3
 )
@@ -59,18 +59,18 @@
 	mu    sync.Mutex // guards what follows
 	// detour is set while calls go through a peer first.
 	viaPeers bool
-	failures  int
+	failures int
 	// answered is when the store was heard of last, in either way.
 	lastAnswerAt time.Time
 	// answer is the smoothed time that a transaction takes which is answered, vain how many in a row were not.
-	latency time.Duration
-	timeouts   int
+	latency  time.Duration
+	timeouts int
 }
 
 // How long a transaction may take before it is tried again.
 const (
-	commitTimeoutMin = 500 * time.Millisecond
-	commitTimeoutMax  = 1600 * time.Millisecond
+	commitTimeoutMin    = 500 * time.Millisecond
+	commitTimeoutMax    = 1600 * time.Millisecond
 	commitTimeoutFactor = 4
 	// answerShare is the weight of the newest transaction in the smoothed time.
 	latencyWeight = 0.2
@@ -95,7 +95,9 @@
 }
 
 // expected is how long most transactions that are answered take at the most. The caller holds the lock.
-func (sc *storeClient) baseTimeout() time.Duration { return max(commitTimeoutMin, commitTimeoutFactor*sc.latency) }
+func (sc *storeClient) baseTimeout() time.Duration {
+	return max(commitTimeoutMin, commitTimeoutFactor*sc.latency)
+}
 
 // usual is the smoothed time that a transaction takes which is answered. An outage does not count: after it the dead are told as soon as
 // before.
--- a/fleet/watch.go
+++ b/fleet/tablewatch.go
@@ -20,12 +20,12 @@
 	controlIntervalMax = 500 * time.Millisecond
 	// controlNodes is how many instances share one controlGap.
 	controlNodesPerInterval = 10
-	controlWait  = time.Second
-	operatorInterval  = 50 * time.Millisecond
-	registryInterval  = 250 * time.Millisecond
-	jobsInterval      = 600 * time.Millisecond
-	jobsWait     = 2 * time.Second
-	feedWait    = 1500 * time.Millisecond
+	controlWait             = time.Second
+	operatorInterval        = 50 * time.Millisecond
+	registryInterval        = 250 * time.Millisecond
+	jobsInterval            = 600 * time.Millisecond
+	jobsWait                = 2 * time.Second
+	feedWait                = 1500 * time.Millisecond
 	// feedMargin is added to a feed's wait before the call is given up on which nothing comes.
 	feedTimeoutMargin = 900 * time.Millisecond
 	// feedRetry is the pause after a feed call that failed.
@@ -42,21 +42,21 @@
 
 // watch follows one table: it reads it whole, then takes its changes.
 type tableWatch struct {
-	fl    *Fleet
-	table string
-	interval   func() time.Duration
-	wait  time.Duration
+	fl       *Fleet
+	table    string
+	interval func() time.Duration
+	wait     time.Duration
 	// changed is told of rows that are new to this watch, and of when the store was asked.
 	onChange func(rows []Row, asked time.Time)
-	mu      sync.Mutex // guards rows
-	rows    map[Place]Row
-	version int64
-	ready   atomic.Bool
+	mu       sync.Mutex // guards rows
+	rows     map[Place]Row
+	version  int64
+	ready    atomic.Bool
 	// origin is the time from which good and since count, on the steady clock: the time of day may jump.
 	origin time.Time
 	// good is when the last call that succeeded was sent, since is when the calls began to succeed; 0 for never.
 	lastSuccess, successSince atomic.Int64
-	failing     bool
+	failing                   bool
 	// idle tells whether nobody needs the table at this time, nil for never. forget is called when that begins.
 	idle   func() bool
 	onIdle func()
--- a/fleet/bytes.go
+++ b/fleet/traffic.go
@@ -19,8 +19,8 @@
 // bytesEvery is how often the log tells what moved; a line takes some 400 bytes.
 const trafficLogInterval = 2 * time.Second
 
-// Bytes counts what an instance's connections move, by the kind of call. It implements tcp.Meter.
-type Bytes struct {
+// Traffic counts what an instance's connections move, by the kind of call. It implements tcp.Meter.
+type Traffic struct {
 	registry metrics.Registry
 	kinds    sync.Map // of string to *moved
 }
@@ -32,11 +32,11 @@
 	loggedOut, loggedIn int64
 }
 
-// NewBytes returns counters that show in a registry.
-func NewBytes(registry metrics.Registry) *Bytes { return &Bytes{registry: registry} }
+// NewTraffic returns counters that show in a registry.
+func NewTraffic(registry metrics.Registry) *Traffic { return &Traffic{registry: registry} }
 
 // Moved counts bytes.
-func (tr *Bytes) Moved(kind string, out, in int) {
+func (tr *Traffic) Moved(kind string, out, in int) {
 	found, known := tr.kinds.Load(kind)
 	if !known {
 		fresh := &trafficCount{}
@@ -50,7 +50,7 @@
 	tc.in.Add(int64(in))
 }
 
-func (tr *Bytes) registerGauge(name string, count *atomic.Int64) {
+func (tr *Traffic) registerGauge(name string, count *atomic.Int64) {
 	tr.registry.GetOrRegister(name, metrics.NewFunctionalGauge(count.Load))
 }
 
@@ -64,7 +64,7 @@
 }
 
 // shares returns what moved since it was last asked, the most first. It is for one caller at a time.
-func (tr *Bytes) deltas() []trafficDelta {
+func (tr *Traffic) deltas() []trafficDelta {
 	var list []trafficDelta
 	tr.kinds.Range(func(kind, value any) bool {
 		tc := value.(*trafficCount)
--- a/fleet/roster.go
+++ b/fleet/workercache.go
@@ -13,8 +13,8 @@
 
 // Errors of a registration that lacks what those of others have, so that no worker wrote it.
 var (
-	errNoMachine = errors.New("registration without a machine")
-	errNoStartTime    = errors.New("registration that does not tell when its worker started")
+	errNoMachine   = errors.New("registration without a machine")
+	errNoStartTime = errors.New("registration that does not tell when its worker started")
 )
 
 // traits are what registrations of workers have on some platforms and on others not.
--- a/serve.go
+++ b/serve.go
@@ -92,7 +92,7 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	registry := metrics.NewRegistry()
-	bytes := fleet.NewBytes(registry)
+	bytes := fleet.NewTraffic(registry)
 	fl := fleet.New(fleetOptions(st, cs, lg, registry, bytes))
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -179,7 +179,7 @@
 }
 
 // fleetOptions wires the platform's adapter to the fleet.
-func fleetOptions(st *platform.Settings, cs *settings.Cells, lg *event.Logger, registry metrics.Registry, bytes *fleet.Bytes) fleet.Options {
+func fleetOptions(st *platform.Settings, cs *settings.Cells, lg *event.Logger, registry metrics.Registry, bytes *fleet.Traffic) fleet.Options {
 	sizes := machine.DefaultSizes()
 	sizes.Margin, sizes.Standby, sizes.StandbyLong, sizes.IdleFor, sizes.Ahead = cs.Margin, cs.Standby, cs.StandbyLong, cs.IdleFor, cs.Ahead
 	op := fleet.Options{
