--- a/fleet/drain.go
+++ b/fleet/drain.go
@@ -79,18 +79,18 @@
 // noteClear takes from the loads which wanted workers are empty. Owners tell the holder of the duty each time it asks; in the store, where
 // nobody else needs it, it would take turns from the duty's lease. An owner that has been replaced knows nothing of its successor's tasks.
 func (ct *machineController) recordDrained(loads map[job.PoolID]cell.Load) {
-	found := map[cell.WorkerName]bool{}
+	drained := map[cell.WorkerName]bool{}
 	for pool, ld := range loads {
 		if ld.Epoch != ct.fl.members.owner(cellName(pool)).epoch() {
 			continue
 		}
 		for _, id := range ld.Clear {
-			found[id] = true
+			drained[id] = true
 		}
 	}
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
-	ct.drained = found
+	ct.drained = drained
 }
 
 // isClear reports whether nothing runs on a worker that has been wanted for some time. The caller holds the owner's lock.
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -312,8 +312,8 @@
 	st.owner(one)
 	two := st.start("two")
 	st.eventually("it is ready and knows no workers", func() bool { return two.Ready() && len(two.workerCache.inPool("pool")) == 0 })
-	if two.heartbeatInterval() != beatIdle || one.heartbeatInterval() != beatEvery {
-		t.Errorf("beats each %v and %v", two.heartbeatInterval(), one.heartbeatInterval())
+	if two.heartbeatDelay() != beatIdle || one.heartbeatDelay() != beatEvery {
+		t.Errorf("beats each %v and %v", two.heartbeatDelay(), one.heartbeatDelay())
 	}
 	st.write(Row{Table: "registry", Key: "w3", Value: []byte("{}")})
 	if _, err := st.mm.commit(Tx{Remove: []Place{{Table: "registry", Key: "w0"}}}); err != nil {
@@ -329,8 +329,8 @@
 		slices.Sort(ids)
 		return slices.Equal(ids, []string{"w1", "w2", "w3"})
 	})
-	if two.heartbeatInterval() != beatEvery {
-		t.Errorf("an owner beats each %v", two.heartbeatInterval())
+	if two.heartbeatDelay() != beatEvery {
+		t.Errorf("an owner beats each %v", two.heartbeatDelay())
 	}
 	if vd := st.submit(two, "a1"); vd != Accepted {
 		t.Fatalf("verdict %d", vd)
@@ -352,7 +352,7 @@
 	for _, want := range []struct {
 		after time.Duration
 		live  int
-	}{{deadLeast - 1, 3}, {deadLeast + 1, 2}, {beatIdle + deadLeast + 1, 1}, {idleDeadAfter(3) + 1, 0}} {
+	}{{deadLeast - 1, 3}, {deadLeast + 1, 2}, {beatIdle + deadLeast + 1, 1}, {idleDeadTimeout(3) + 1, 0}} {
 		fl.control.recordSuccess(now.Add(want.after))
 		if got := len(fl.liveNodes()); got != want.live {
 			t.Errorf("%d live %v after their last beat, want %d", got, want.after, want.live)
--- a/fleet/machinecontroller.go
+++ b/fleet/machinecontroller.go
@@ -45,12 +45,12 @@
 
 // duty looks after machines while this instance holds that duty, and remembers the waves while it does not.
 type machineController struct {
-	fl      *Fleet
-	mu      sync.Mutex // guards what follows
-	waves   map[int]machine.Wave
-	records map[int]waveRecord
-	keeper  *machine.Keeper
-	sizer   *machine.Sizer
+	fl         *Fleet
+	mu         sync.Mutex // guards what follows
+	waves      map[int]machine.Wave
+	records    map[int]waveRecord
+	waveRunner *machine.Keeper
+	sizer      *machine.Sizer
 	// before is the row of the holder before.
 	previous ownerRow
 	cancel   context.CancelFunc
@@ -104,7 +104,7 @@
 	if ct.cancel != nil {
 		ct.cancel()
 	}
-	ct.keeper, ct.cancel, ct.row = machine.NewKeeper(fl.opts.Now(), machineCooldown), cancel, row
+	ct.waveRunner, ct.cancel, ct.row = machine.NewKeeper(fl.opts.Now(), machineCooldown), cancel, row
 	ct.sizer, ct.previous = machine.NewSizer(fl.opts.Sizes), previous
 	ct.token = cell.Token(row.epoch()) << tokenShift
 	// What an earlier tenure did not get written is decided anew.
@@ -130,7 +130,7 @@
 		now := ct.fl.opts.Now()
 		ct.updateKeeper(now)
 		ct.mu.Lock()
-		busy := ct.keeper.Busy()
+		busy := ct.waveRunner.Busy()
 		ct.mu.Unlock()
 		if !busy || !ct.leaseValid(now) {
 			continue
@@ -140,7 +140,7 @@
 			ct.listMachines(ctx, now)
 		}
 		ct.mu.Lock()
-		orders := ct.keeper.Plan(now)
+		orders := ct.waveRunner.Plan(now)
 		ct.mu.Unlock()
 		ct.announce(ctx, servicedMachines(orders))
 		for _, od := range orders {
@@ -169,10 +169,10 @@
 	defer ct.mu.Unlock()
 	for number, wv := range ct.waves {
 		rc := ct.records[number]
-		ct.keeper.Begin(now, wv, rc.Done, rc.Finished)
+		ct.waveRunner.Begin(now, wv, rc.Done, rc.Finished)
 	}
 	for _, dr := range drains {
-		ct.keeper.Adopt(machine.Drain{Machine: dr.Machine, Worker: dr.Worker, Pool: dr.Pool, Wave: dr.Wave, Since: now, Clear: ct.drained[dr.Worker], Before: dr.version < ct.row.version})
+		ct.waveRunner.Adopt(machine.Drain{Machine: dr.Machine, Worker: dr.Worker, Pool: dr.Pool, Wave: dr.Wave, Since: now, Clear: ct.drained[dr.Worker], Before: dr.version < ct.row.version})
 	}
 }
 
@@ -190,7 +190,7 @@
 	for at := range list {
 		list[at].Resting = ct.coolingDown(now, list[at].ID)
 	}
-	ct.keeper.List(sentAt, list)
+	ct.waveRunner.List(sentAt, list)
 }
 
 // carryOut does what the keeper ordered.
@@ -217,7 +217,7 @@
 	ct.fl.opts.Log.Emit(event.MachineServiced, zap.String("machine", string(sv.Machine)), zap.Int("wave", sv.Wave), zap.Int("outcome", int(oc)), zap.Int64("token", int64(ct.token)))
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
-	ct.keeper.Serviced(ct.fl.opts.Now(), sv, oc)
+	ct.waveRunner.Serviced(ct.fl.opts.Now(), sv, oc)
 }
 
 // report writes a wave's state for the operator. An end is kept as well, so that a later holder leaves the wave alone.
@@ -266,7 +266,7 @@
 	if ct.cancel == nil {
 		return
 	}
-	if ct.keeper.Lost() || or.version > ct.row.version && or.Incarnation != ct.fl.opts.Incarnation {
+	if ct.waveRunner.Lost() || or.version > ct.row.version && or.Incarnation != ct.fl.opts.Incarnation {
 		ct.cancel()
 		ct.cancel = nil
 		ct.fl.opts.Log.Emit(event.CellLost, zap.String("cell", machinesCell), zap.Int64("epoch", int64(ct.row.epoch())))
--- a/fleet/machinelease.go
+++ b/fleet/machinelease.go
@@ -141,7 +141,7 @@
 	}
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
-	ct.keeper.Overtaken()
+	ct.waveRunner.Overtaken()
 	return false
 }
 
--- a/fleet/machinelease_test.go
+++ b/fleet/machinelease_test.go
@@ -15,7 +15,7 @@
 
 // TestNoOrderOfAnEarlierHolderIsUnderWay: the holder loses the store and goes on; when the next one begins, all orders of the first are
 // over, those without an answer as well.
-func TestNoOrderOfAnEarlierHolderIsUnderWay(t *testing.T) {
+func TestPreviousLeaderHasNoOrdersInFlight(t *testing.T) {
 	st := newSite(t, time.Millisecond)
 	one, two := st.start("one"), st.start("two")
 	first := st.leader(one, two)
@@ -46,7 +46,7 @@
 }
 
 // TestTermFollowsTheStore: a store whose answers take long makes the term longer, and the others wait as long as the row says.
-func TestTermFollowsTheStore(t *testing.T) {
+func TestLeaseTermFollowsStoreLatency(t *testing.T) {
 	st := newSite(t, time.Millisecond)
 	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &storeWay{mm: st.mm}, Workers: st.workers, Machines: noMachines{}, Format: plainFormat{}})
 	if fast := fl.machineLeaseTerm(); fast != machineLeaseTermMin {
@@ -79,11 +79,11 @@
 }
 
 // TestShorterTermHoldsFromItsFirstTry: its answer may be lost, and the others wait for the shorter one only.
-func TestShorterTermHoldsFromItsFirstTry(t *testing.T) {
+func TestShorterTermAppliesFromFirstAttempt(t *testing.T) {
 	st := newSite(t, time.Millisecond)
 	now := time.Now()
 	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &storeWay{mm: st.mm, refuse: true}, Workers: st.workers, Machines: noMachines{}, Format: plainFormat{}, Now: func() time.Time { return now }})
-	fl.controller.keeper = machine.NewKeeper(now, 0)
+	fl.controller.waveRunner = machine.NewKeeper(now, 0)
 	fl.controller.lease = machineLease{expires: now.Add(machineLeaseTermMax), ordered: map[cell.MachineID]*machineOrders{}}
 	fl.controller.renewOnce(context.Background(), nil)
 	if left := fl.controller.lease.expires.Sub(now); left > machineLeaseTermMin {
@@ -92,7 +92,7 @@
 }
 
 // TestLateClaimDoesNotReplaceAHolderThatRenewed: the claim was decided, or sent, before the renewal.
-func TestLateClaimDoesNotReplaceAHolderThatRenewed(t *testing.T) {
+func TestLateClaimDoesNotReplaceRenewedLeader(t *testing.T) {
 	st := newSite(t, time.Millisecond)
 	one := st.start("one")
 	st.leader(one)
@@ -108,7 +108,7 @@
 
 // TestRenewalCountsFromItsFirstTry: one whose answer was lost is known once a later try finds its row, and the others may have seen that
 // row ever since it was sent. The renewal after that changes the row again, so it counts from its own sending.
-func TestRenewalCountsFromItsFirstTry(t *testing.T) {
+func TestRenewalCountsFromFirstAttempt(t *testing.T) {
 	st := newSite(t, time.Millisecond)
 	now := time.Now()
 	var mu sync.Mutex
@@ -122,7 +122,7 @@
 	clock := now
 	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: way, Workers: st.workers, Machines: noMachines{}, Format: plainFormat{}, Now: func() time.Time { return clock }})
 	fl.controller.row = ownerRow{Holder: "one", Incarnation: fl.opts.Incarnation}
-	fl.controller.keeper = machine.NewKeeper(now, 0)
+	fl.controller.waveRunner = machine.NewKeeper(now, 0)
 	fl.controller.lease.ordered = map[cell.MachineID]*machineOrders{}
 	if fl.controller.renewOnce(context.Background(), nil) {
 		t.Fatal("a try without an answer counts as a renewal")
@@ -140,13 +140,13 @@
 			t.Fatalf("the lease ends %v after the first try, want %v", got.Sub(now), want.Sub(now))
 		}
 	}
-	if fl.controller.keeper.Lost() {
+	if fl.controller.waveRunner.Lost() {
 		t.Fatal("its own row was taken for another holder's")
 	}
 }
 
 // TestOrderIsGivenUpWhenTheLeaseEnds: although calls about machines may take longer.
-func TestOrderIsGivenUpWhenTheLeaseEnds(t *testing.T) {
+func TestOrderIsCancelledWhenLeaseExpires(t *testing.T) {
 	st := newSite(t, time.Millisecond)
 	one := st.start("one")
 	st.leader(one)
@@ -169,7 +169,7 @@
 }
 
 // TestHandedOverDutyIsTakenAtOnce: no order is under way then, and nobody waits for the lease to end.
-func TestHandedOverDutyIsTakenAtOnce(t *testing.T) {
+func TestReleasedLeaseIsTakenAtOnce(t *testing.T) {
 	st := newSite(t, time.Millisecond)
 	one := st.start("one")
 	st.leader(one)
@@ -225,7 +225,7 @@
 }
 
 // TestNextHolderRestsFromWhatTheRowNames: and from nothing else, and tells a holder after it, whether the duty is handed over or taken.
-func TestNextHolderRestsFromWhatTheRowNames(t *testing.T) {
+func TestNextLeaderKeepsPublishedCooldowns(t *testing.T) {
 	st := newSite(t, time.Millisecond)
 	one := st.start("one")
 	st.leader(one)
@@ -267,7 +267,7 @@
 
 // TestRowTellsForHowLongMachinesRest: an order that is over rests for what is left, one that may be given or is under way until it is
 // surely over; a machine whose order was refused before it was given does not.
-func TestRowTellsForHowLongMachinesRest(t *testing.T) {
+func TestLeaseRowPublishesCooldowns(t *testing.T) {
 	const term = time.Second
 	now := time.Now()
 	dl := machineLease{ordered: map[cell.MachineID]*machineOrders{
@@ -297,7 +297,7 @@
 }
 
 // TestLateReportDoesNotUndoTheEnd: the word that a wave has begun is carried out after the word that it is over.
-func TestLateReportDoesNotUndoTheEnd(t *testing.T) {
+func TestLateReportDoesNotUndoCompletion(t *testing.T) {
 	st := newSite(t, time.Millisecond)
 	tried := make(chan struct{}, 1)
 	one := st.start("one", func(sw *storeWay) {
@@ -325,7 +325,7 @@
 }
 
 // TestAnnouncementWhoseAnswerIsLostIsRepeated: the row names the machines, and the orders for them are given in the same round.
-func TestAnnouncementWhoseAnswerIsLostIsRepeated(t *testing.T) {
+func TestAnnouncementIsRepeatedAfterLostAnswer(t *testing.T) {
 	st := newSite(t, time.Millisecond)
 	lost := 0
 	one := st.start("one", func(sw *storeWay) {
@@ -350,14 +350,14 @@
 
 // TestNothingIsOrderedAfterTheClockLeapt: the machine was suspended for longer than the lease, and its holder wakes between the look at the
 // lease and the order.
-func TestNothingIsOrderedAfterTheClockLeapt(t *testing.T) {
+func TestNoOrderAfterClockJump(t *testing.T) {
 	st := newSite(t, time.Millisecond)
 	now := time.Now()
 	clock := now
 	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &storeWay{mm: st.mm}, Workers: st.workers, Machines: noMachines{}, Format: plainFormat{}, Now: func() time.Time { return clock }})
 	du := fl.controller
 	du.row = ownerRow{Holder: "one", Incarnation: fl.opts.Incarnation}
-	du.keeper, du.tasks = machine.NewKeeper(now, 0), &sync.WaitGroup{}
+	du.waveRunner, du.tasks = machine.NewKeeper(now, 0), &sync.WaitGroup{}
 	du.cancel = func() {}
 	du.lease.ordered = map[cell.MachineID]*machineOrders{}
 	given := 0
--- a/fleet/matter.go
+++ b/fleet/matter.go
@@ -51,10 +51,10 @@
 // tell counts a transaction, and writes down one that took long or failed.
 func (sc *storeClient) tell(tx Tx, span time.Duration, err error) {
 	mt, part := matterOf(tx)
-	sc.fig.commits[mt].Update(span.Microseconds())
+	sc.metrics.commits[mt].Update(span.Microseconds())
 	word := carryOutcome(err)
-	if word == carrySilent {
-		sc.fig.unanswered[mt].Inc(1)
+	if word == carryNoAnswer {
+		sc.metrics.unanswered[mt].Inc(1)
 	}
 	if span < slowCommit && (word == carryDone || word == carryConflict) {
 		return
--- a/fleet/members.go
+++ b/fleet/members.go
@@ -222,7 +222,7 @@
 // alive lists the entry instances whose rows move, as far as the store has been answering.
 func (fl *Fleet) liveNodes() map[string]node {
 	since, until := fl.control.healthyPeriod()
-	maxSpan := fl.ownerDeadAfter()
+	maxSpan := fl.deadTimeout()
 	mb := fl.members
 	mb.mu.RLock()
 	defer mb.mu.RUnlock()
@@ -232,7 +232,7 @@
 	}
 	live := map[string]node{}
 	for name, nd := range mb.nodes {
-		span := idleDeadAfter(len(mb.nodes))
+		span := idleDeadTimeout(len(mb.nodes))
 		lastSeen := later(mb.nodeSeenAt[name], since)
 		if tookCellAt, owns := cellTakenAt[name]; owns {
 			// It beats faster from when it took the cell.
@@ -246,15 +246,15 @@
 }
 
 // idleBeat is how often an instance that owns nothing renews its row among so many.
-func idleHeartbeat(nodes int) time.Duration {
+func idleHeartbeatDelay(nodes int) time.Duration {
 	return max(beatIdle, beatIdle*time.Duration(nodes)/idleNodes)
 }
 
 // deadIdle is how long the row of an instance that owns nothing may stand still among so many.
-func idleDeadAfter(nodes int) time.Duration { return 3*idleHeartbeat(nodes) + deadLeast }
+func idleDeadTimeout(nodes int) time.Duration { return 3*idleHeartbeatDelay(nodes) + deadLeast }
 
 // deadSpan is how long the row of an entry instance may stand still before it counts as dead.
-func (fl *Fleet) ownerDeadAfter() time.Duration {
+func (fl *Fleet) deadTimeout() time.Duration {
 	return min(deadAfter, deadLeast+deadPaces*fl.store.commitLatency())
 }
 
@@ -279,26 +279,26 @@
 			cancel()
 		}
 		// The watch of the control table logs that the store is lost.
-		pause := fl.heartbeatInterval()
+		pause := fl.heartbeatDelay()
 		if err != nil {
 			pause = beatAgain
 		}
-		fl.heartbeatPause(ctx, pause)
+		fl.sleepUntilHeartbeat(ctx, pause)
 	}
 }
 
 // beatPause is how long this instance's row may stand still.
-func (fl *Fleet) heartbeatInterval() time.Duration {
+func (fl *Fleet) heartbeatDelay() time.Duration {
 	if fl.ownsNoCells() && !fl.controller.isLeader() && !fl.stopping.Load() {
-		return idleHeartbeat(fl.members.count())
+		return idleHeartbeatDelay(fl.members.count())
 	}
 	return beatEvery
 }
 
 // restUntilOwner waits, not longer than an owner may, once this instance has become one.
-func (fl *Fleet) heartbeatPause(ctx context.Context, pause time.Duration) {
+func (fl *Fleet) sleepUntilHeartbeat(ctx context.Context, pause time.Duration) {
 	for slept := time.Duration(0); slept < pause && ctx.Err() == nil; slept += beatEvery {
-		if slept >= fl.heartbeatInterval() {
+		if slept >= fl.heartbeatDelay() {
 			return
 		}
 		sleep(ctx, min(beatEvery, pause-slept))
--- a/fleet/orderqueue_test.go
+++ b/fleet/orderqueue_test.go
@@ -59,7 +59,7 @@
 }
 
 // TestLaneGoesOnBesideAnOrderThatIsLost: the ones behind it wait for a moment, not until it is given up.
-func TestLaneGoesOnBesideAnOrderThatIsLost(t *testing.T) {
+func TestQueueContinuesWhileAnOrderHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ends, outcomes := runQueue(20, func(number int) bool { return number == 3 })
 		if outcomes[cell.Done] != 19 || outcomes[cell.Silent] != 1 {
@@ -72,7 +72,7 @@
 }
 
 // TestLaneUsesOneConnectionWhileItIsAnswered: a second one is opened only where answers take long.
-func TestLaneUsesOneConnectionWhileItIsAnswered(t *testing.T) {
+func TestQueueUsesOneConnectionWhileAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ends, _ := runQueue(20, func(int) bool { return false })
 		if last := ends[19]; last != 20*answerTime {
@@ -82,7 +82,7 @@
 }
 
 // TestLaneOfAWorkerThatIsGoneSendsNothingFurther: what was not sent can be started elsewhere at once.
-func TestLaneOfAWorkerThatIsGoneSendsNothingFurther(t *testing.T) {
+func TestQueueOfUnresponsiveWorkerStopsSending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ends, outcomes := runQueue(20, func(int) bool { return true })
 		if outcomes[cell.Silent] > maxOrdersInFlight+unansweredLimit || outcomes[cell.Silent]+outcomes[cell.Unsent] != 20 {
--- a/fleet/partition_test.go
+++ b/fleet/partition_test.go
@@ -56,7 +56,7 @@
 }
 
 // TestStoreThatIsDownIsNoCut: the other hall answers, and callers are no better off there.
-func TestStoreThatIsDownIsNoCut(t *testing.T) {
+func TestStoreOutageIsNotAPartition(t *testing.T) {
 	st, here, beside, far := partitionSite(t)
 	for _, nd := range []*testNode{here, beside, far} {
 		nd.way.set(func(sw *storeWay) { sw.silent = true })
@@ -68,7 +68,7 @@
 }
 
 // TestInstancesThatAreGoneTellNothing: the rows of replaced instances stay; only those that lived of late are asked.
-func TestInstancesThatAreGoneTellNothing(t *testing.T) {
+func TestDeadInstancesAreNotProbed(t *testing.T) {
 	st, here, _, _ := partitionSite(t)
 	here.members.mu.Lock()
 	for _, name := range []string{"gone1", "gone2", "gone3", "gone4"} {
@@ -90,7 +90,7 @@
 
 // TestCutOwnerLearnsOfWorkersThroughPeers: an owner that the store does not answer asks peers for registrations, and does not try the direct
 // way with them again and again, which is silent for as long as a feed may be.
-func TestCutOwnerLearnsOfWorkersThroughPeers(t *testing.T) {
+func TestCutOffOwnerReadsRegistrationsThroughPeers(t *testing.T) {
 	st := newSite(t, time.Hour)
 	one := st.start("one")
 	owner := st.owner(one)
--- a/fleet/peers.go
+++ b/fleet/peers.go
@@ -280,7 +280,7 @@
 	}
 	raw, err := json.Marshal(sr)
 	if err != nil {
-		return &peer.CarryResponse{Outcome: carrySilent}, nil
+		return &peer.CarryResponse{Outcome: carryNoAnswer}, nil
 	}
 	return &peer.CarryResponse{Outcome: outcome, Answer: raw}, nil
 }
--- a/fleet/poolsizes.go
+++ b/fleet/poolsizes.go
@@ -183,8 +183,8 @@
 			ct.fl.opts.Log.Emit(event.PoolLoad, zap.String("pool", string(ld.Pool)), zap.Float64("needed", ld.Needed), zap.Float64("placed", ld.Placed), zap.Float64("lasting", ld.Lasting), zap.Duration("slack", ld.Slack), zap.Int("workers", len(ld.Workers)), zap.Int("open", ld.Open))
 		}
 		ct.mu.Lock()
-		machines := maps.Clone(ct.keeper.Machines())
-		shifts := ct.sizer.Plan(now, cf.Pools, machines, loads, ct.keeper.Holds)
+		machines := maps.Clone(ct.waveRunner.Machines())
+		shifts := ct.sizer.Plan(now, cf.Pools, machines, loads, ct.waveRunner.Holds)
 		ct.mu.Unlock()
 		ct.moveMachines(ctx, machines, shifts)
 	}
@@ -231,6 +231,6 @@
 	defer ct.mu.Unlock()
 	ct.sizer.Moved(mc, sh, oc)
 	if oc == machine.Overtaken {
-		ct.keeper.Overtaken()
+		ct.waveRunner.Overtaken()
 	}
 }
--- a/fleet/relay.go
+++ b/fleet/relay.go
@@ -58,7 +58,7 @@
 	}
 	rp := &peer.RelayResponse{Incarnation: sv.fl.opts.Incarnation}
 	if rq.WaitMillis > 0 {
-		rp.Results = sd.collect(ctx, sv.fl.opts.Now, min(relayPollTimeout, time.Duration(rq.WaitMillis)*time.Millisecond))
+		rp.Results = sd.waitResults(ctx, sv.fl.opts.Now, min(relayPollTimeout, time.Duration(rq.WaitMillis)*time.Millisecond))
 	}
 	return rp, nil
 }
@@ -69,7 +69,7 @@
 	defer rl.mu.Unlock()
 	now := rl.fl.opts.Now()
 	if now.Sub(rl.lastSweep) > senderRetention {
-		rl.sweep(now)
+		rl.removeIdle(now)
 	}
 	sd, ok := rl.senders[name]
 	if !ok {
@@ -83,7 +83,7 @@
 }
 
 // sweep forgets senders that do not ask, and lanes that are idle. The caller holds the lock.
-func (rl *relay) sweep(now time.Time) {
+func (rl *relay) removeIdle(now time.Time) {
 	rl.lastSweep = now
 	for name, sd := range rl.senders {
 		sd.mu.Lock()
@@ -150,7 +150,7 @@
 }
 
 // collect waits for results.
-func (sd *sender) collect(ctx context.Context, now func() time.Time, wait time.Duration) []*peer.RelayResult {
+func (sd *sender) waitResults(ctx context.Context, now func() time.Time, wait time.Duration) []*peer.RelayResult {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	if !sd.hasResults() {
--- a/fleet/relay_test.go
+++ b/fleet/relay_test.go
@@ -19,7 +19,7 @@
 var relayedTask = job.Task{Job: "0123456789abcdef", Run: 3, Step: 1, Index: 17}
 
 // TestOrdersReachAPeerWhole: an order is the same at the peer, whatever fields it has.
-func TestOrdersReachAPeerWhole(t *testing.T) {
+func TestRelayOrderRoundTrip(t *testing.T) {
 	for _, od := range []cell.Order{
 		cell.Look{Worker: "w", Address: "a:1", Token: 1 << 40, Until: 77, Observed: 5, Wait: 900 * time.Millisecond},
 		cell.Start{Worker: "w", Address: "a:1", Token: 9, Task: relayedTask, Attempt: 4, Payload: "text", Until: 88, Checkpoint: "point", Ticket: "ticket"},
@@ -36,7 +36,7 @@
 }
 
 // TestResultOfALookComesBackWhole: what the worker listed is the same, and it counts as received when it reached the peer.
-func TestResultOfALookComesBackWhole(t *testing.T) {
+func TestRelayPollResultRoundTrip(t *testing.T) {
 	lk := cell.Look{Worker: "w", Address: "a:1", Token: 9}
 	sent := time.Unix(1_700_000_000, 0)
 	came := sent.Add(time.Second)
@@ -57,7 +57,7 @@
 }
 
 // TestRelaysAreStable: more workers add peers and change none, and a peer that comes or goes moves only its own share of workers.
-func TestRelaysAreStable(t *testing.T) {
+func TestRelayAssignmentIsStable(t *testing.T) {
 	links := func(count int) []*relayLink {
 		var list []*relayLink
 		for at := range count {
@@ -122,7 +122,7 @@
 }
 
 // TestPeerThatFailsSettlesWhatItWasGiven: every order gets an outcome, and the next one is not given to that peer.
-func TestPeerThatFailsSettlesWhatItWasGiven(t *testing.T) {
+func TestOrdersAreSettledWhenPeerFails(t *testing.T) {
 	for name, call := range map[string]func(*peer.RelayRequest) (*peer.RelayResponse, error){
 		"not reached": func(*peer.RelayRequest) (*peer.RelayResponse, error) {
 			return nil, &net.OpError{Op: "dial", Err: errors.New("refused")}
@@ -146,7 +146,7 @@
 }
 
 // TestOrdersThatCouldNotBeHandedOverAreNotSent: where no connection to the peer was to be had; otherwise they may have been carried out.
-func TestOrdersThatCouldNotBeHandedOverAreNotSent(t *testing.T) {
+func TestOrdersToUnreachablePeerCountAsNotSent(t *testing.T) {
 	for want, err := range map[cell.Outcome]error{
 		cell.Unsent: &net.OpError{Op: "dial", Err: errors.New("refused")},
 		cell.Silent: errors.New("no answer"),
@@ -157,7 +157,7 @@
 			}
 			return &peer.RelayResponse{Incarnation: "i2"}, nil
 		})
-		ln.setPause(time.Millisecond)
+		ln.setCallPause(time.Millisecond)
 		ln.send(t.Context(), cell.Stop{Worker: "w", Task: relayedTask, Attempt: 1})
 		waitEvents(t, ow, 1)
 		if got := ow.fl.fig.outcomes[want].Count(); got != 1 {
@@ -168,7 +168,7 @@
 
 // TestResultForAnEarlierLinkIsNotTakenForAnother: after all instances lost power an owner gave looks to a peer whose row was still that of
 // its earlier run, then found out and began anew; the results of the first looks were taken for those at other workers.
-func TestResultForAnEarlierLinkIsNotTakenForAnother(t *testing.T) {
+func TestResultForEarlierLinkIsIgnored(t *testing.T) {
 	var mu sync.Mutex
 	var given []uint64
 	answers := true
@@ -203,7 +203,7 @@
 		}
 		return rp, err
 	}}, pending: map[uint64]pendingOrder{}}
-	later.setPause(time.Millisecond)
+	later.setCallPause(time.Millisecond)
 	later.send(t.Context(), cell.Look{Worker: "other"})
 	time.Sleep(50 * time.Millisecond)
 	ow.mu.Lock()
@@ -214,7 +214,7 @@
 }
 
 // TestPeerThatFailsAgainAndAgainIsPassedOverLonger: one that answers in between starts anew.
-func TestPeerThatFailsAgainAndAgainIsPassedOverLonger(t *testing.T) {
+func TestPeerBackoffGrowsWithFailures(t *testing.T) {
 	ln, ow := linkTo(nil)
 	now := time.Unix(1_700_000_000, 0)
 	ow.fl.opts.Now = func() time.Time { return now }
@@ -235,18 +235,18 @@
 }
 
 // TestResultThatIsLostCountsAsSilence: the peer is well, but never tells what became of an order.
-func TestResultThatIsLostCountsAsSilence(t *testing.T) {
+func TestLostResultCountsAsNoAnswer(t *testing.T) {
 	ln, ow := linkTo(func(rq *peer.RelayRequest) (*peer.RelayResponse, error) {
 		return &peer.RelayResponse{Incarnation: "i2"}, nil
 	})
 	var ahead atomic.Int64
 	began := time.Now()
 	ow.fl.opts.Now = func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) }
-	ln.setPause(time.Millisecond)
+	ln.setCallPause(time.Millisecond)
 	if !ln.send(t.Context(), cell.Look{Worker: "w", Wait: time.Second}) {
 		t.Fatal("not taken")
 	}
-	ln.expire()
+	ln.expireOverdue()
 	if ow.mu.Lock(); len(ow.events) != 0 && time.Since(began) < relayResultTimeout {
 		t.Error("settled before its time")
 	}
@@ -257,7 +257,7 @@
 
 // TestLargeCellRunsThroughPeers: most calls to workers are made by the owner's peers, every task is started once, and jobs end while
 // the peers are taken away one after the other.
-func TestLargeCellRunsThroughPeers(t *testing.T) {
+func TestLargeCellUsesRelays(t *testing.T) {
 	st := newSite(t, 50*time.Millisecond)
 	for at := range relayThreshold + 10 {
 		st.write(Row{Table: "registry", Key: fmt.Sprintf("x%d", at), Value: []byte("{}")})
--- a/fleet/relays.go
+++ b/fleet/relays.go
@@ -56,7 +56,7 @@
 	scale float64
 	// pause is that after each call to a peer. Starts wait for it when they are handed over and when they are answered, so it does not count
 	// as queueing: more peers would mean longer pauses, and those more peers.
-	pause time.Duration
+	callPause time.Duration
 }
 
 func newRelays(ow *owner) *relays {
@@ -85,7 +85,7 @@
 	workers := fl.workerCache.inPool(rs.ow.pool())
 	assigned := map[cell.WorkerID]*relayLink{}
 	var links []*relayLink
-	rs.scale = nextScale(rs.scale, rs.ow.startTime()-2*rs.pause)
+	rs.scale = nextScale(rs.scale, rs.ow.startTime()-2*rs.callPause)
 	if len(workers) > relayThreshold || rs.scale > 1 {
 		links = rs.candidates(now, float64(len(workers))*rs.scale)
 	}
@@ -97,9 +97,9 @@
 	rs.mu.Lock()
 	rs.assigned = assigned
 	rs.mu.Unlock()
-	rs.pause = time.Duration(len(links)) * relayPausePerPeer
+	rs.callPause = time.Duration(len(links)) * relayPausePerPeer
 	for _, ln := range links {
-		ln.setPause(rs.pause)
+		ln.setCallPause(rs.callPause)
 	}
 }
 
@@ -198,11 +198,11 @@
 	queue        []*peer.RelayOrder
 	pending      map[uint64]pendingOrder
 	sending      bool
-	collecting   bool
+	polling      bool
 	backoffUntil time.Time
 	// fails counts failures in a row.
-	failures int
-	pause    time.Duration
+	failures  int
+	callPause time.Duration
 }
 
 // errand is an order that a peer has been given.
@@ -217,10 +217,10 @@
 	return now.Before(ln.backoffUntil)
 }
 
-func (ln *relayLink) setPause(pause time.Duration) {
+func (ln *relayLink) setCallPause(pause time.Duration) {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
-	ln.pause = pause
+	ln.callPause = pause
 }
 
 // send hands over an order, together with others that come at the same time; false if the peer has failed just now.
@@ -243,9 +243,9 @@
 		ln.sending = true
 		go ln.sendQueued(ctx)
 	}
-	if !ln.collecting {
-		ln.collecting = true
-		go ln.collect(ctx)
+	if !ln.polling {
+		ln.polling = true
+		go ln.pollResults(ctx)
 	}
 	return true
 }
@@ -254,7 +254,7 @@
 func (ln *relayLink) sendQueued(ctx context.Context) {
 	for {
 		ln.mu.Lock()
-		batch, pause := ln.queue, ln.pause
+		batch, pause := ln.queue, ln.callPause
 		ln.queue = nil
 		ln.sending = len(batch) > 0
 		ln.mu.Unlock()
@@ -269,12 +269,12 @@
 }
 
 // collect fetches results while some are open.
-func (ln *relayLink) collect(ctx context.Context) {
+func (ln *relayLink) pollResults(ctx context.Context) {
 	for {
 		ln.mu.Lock()
-		pause := ln.pause
-		ln.collecting = len(ln.pending) > 0 && ctx.Err() == nil
-		busy := ln.collecting
+		pause := ln.callPause
+		ln.polling = len(ln.pending) > 0 && ctx.Err() == nil
+		busy := ln.polling
 		ln.mu.Unlock()
 		if !busy {
 			return
@@ -288,7 +288,7 @@
 		default:
 			ln.recordAnswer()
 			ln.handleResults(rp.Results)
-			ln.expire()
+			ln.expireOverdue()
 		}
 		sleep(ctx, pause)
 	}
@@ -376,7 +376,7 @@
 }
 
 // expire settles orders that should have had a result by now.
-func (ln *relayLink) expire() {
+func (ln *relayLink) expireOverdue() {
 	now := ln.rs.ow.fl.opts.Now()
 	var list []pendingOrder
 	ln.mu.Lock()
--- a/fleet/serialstore_test.go
+++ b/fleet/serialstore_test.go
@@ -262,7 +262,7 @@
 
 // TestWaveOnASlowStoreKeepsTheLease: many machines are wanted at once while the store is sixty times slower. Their rows lie in the part of
 // the duty's lease and must not hold up its renewals.
-func TestWaveOnASlowStoreKeepsTheLease(t *testing.T) {
+func TestWaveOnSlowStoreKeepsLease(t *testing.T) {
 	const wanted = 70
 	withFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newSerialStore(60)
@@ -283,7 +283,7 @@
 
 // TestEmptyWorkersAreToldWithoutTheStore: some dozen workers of a wave are empty at once while the store is sixty times slower. The holder of
 // the duty learns it from their owner, and not from one that has been replaced.
-func TestEmptyWorkersAreToldWithoutTheStore(t *testing.T) {
+func TestDrainedWorkersAreReportedWithoutTheStore(t *testing.T) {
 	const wanted = 70
 	store := newSerialStore(60)
 	fl := New(Options{Name: "one", Store: store, Machines: noMachines{}, Format: plainFormat{}})
@@ -322,7 +322,7 @@
 		t.Fatal(err)
 	}
 	du := fl.controller
-	du.keeper, du.cancel, du.tasks = machine.NewKeeper(time.Now(), machineCooldown), func() {}, &sync.WaitGroup{}
+	du.waveRunner, du.cancel, du.tasks = machine.NewKeeper(time.Now(), machineCooldown), func() {}, &sync.WaitGroup{}
 	du.row = ownerRow{Holder: "one", Incarnation: fl.opts.Incarnation, version: version}
 	du.lease = machineLease{version: version, ordered: map[cell.MachineID]*machineOrders{}}
 	go du.renewLoop(ctx)
@@ -343,7 +343,7 @@
 
 // TestLostAnswersSeldomCostTheLease: a third of all answers are lost, also those that would tell of an earlier try. With every lost answer
 // counted as no renewal, and longer waits after each, the lease was lost at more than half of the moments.
-func TestLostAnswersSeldomCostTheLease(t *testing.T) {
+func TestLostAnswersRarelyLoseTheLease(t *testing.T) {
 	withFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newSerialStore(1)
 		store.loseAnswers(3, 0.35)
--- a/fleet/start_test.go
+++ b/fleet/start_test.go
@@ -50,15 +50,15 @@
 // TestBeatsOfManyDoNotGrowWithTheirSquare: each reads what all write, so that idle instances of a large fleet write less often; up to a hundred
 // nothing changes.
 func TestBeatsOfManyDoNotGrowWithTheirSquare(t *testing.T) {
-	if idleHeartbeat(1) != beatIdle || idleHeartbeat(100) != beatIdle {
-		t.Errorf("small fleets: %v %v", idleHeartbeat(1), idleHeartbeat(100))
+	if idleHeartbeatDelay(1) != beatIdle || idleHeartbeatDelay(100) != beatIdle {
+		t.Errorf("small fleets: %v %v", idleHeartbeatDelay(1), idleHeartbeatDelay(100))
 	}
 	for _, nodes := range []int{100, 300, 1000, 20000} {
-		if perSecond := float64(nodes) / idleHeartbeat(nodes).Seconds(); perSecond > 51 {
+		if perSecond := float64(nodes) / idleHeartbeatDelay(nodes).Seconds(); perSecond > 51 {
 			t.Errorf("%d instances: %.0f rows a second", nodes, perSecond)
 		}
-		if idleDeadAfter(nodes) < 3*idleHeartbeat(nodes) {
-			t.Errorf("%d instances: dead after %v, beats each %v", nodes, idleDeadAfter(nodes), idleHeartbeat(nodes))
+		if idleDeadTimeout(nodes) < 3*idleHeartbeatDelay(nodes) {
+			t.Errorf("%d instances: dead after %v, beats each %v", nodes, idleDeadTimeout(nodes), idleHeartbeatDelay(nodes))
 		}
 	}
 }
--- a/fleet/storeclient.go
+++ b/fleet/storeclient.go
@@ -51,12 +51,12 @@
 
 // link reaches the store directly, or through a peer while the store turns this entry instance away.
 type storeClient struct {
-	store Store
-	peers *peers
-	log   *event.Logger
-	now   func() time.Time
-	fig   figures
-	mu    sync.Mutex // guards what follows
+	store   Store
+	peers   *peers
+	log     *event.Logger
+	now     func() time.Time
+	metrics figures
+	mu      sync.Mutex // guards what follows
 	// detour is set while calls go through a peer first.
 	viaPeers bool
 	failures int
@@ -119,8 +119,8 @@
 	sc.latency += time.Duration(latencyWeight * float64(span-sc.latency))
 }
 
-func newStoreClient(store Store, pr *peers, lg *event.Logger, now func() time.Time, fig figures) *storeClient {
-	return &storeClient{store: store, peers: pr, log: lg, now: now, fig: fig}
+func newStoreClient(store Store, pr *peers, lg *event.Logger, now func() time.Time, metrics figures) *storeClient {
+	return &storeClient{store: store, peers: pr, log: lg, now: now, metrics: metrics}
 }
 
 // Reachable reports whether the store has answered recently, in one way or the other.
@@ -235,7 +235,7 @@
 	defer sc.mu.Unlock()
 	if unavailable(err) {
 		sc.failures++
-		sc.fig.storeFailed.Inc(1)
+		sc.metrics.storeFailed.Inc(1)
 		return
 	}
 	sc.failures, sc.lastAnswerAt = 0, sc.now()
@@ -249,8 +249,8 @@
 }
 
 // viaPeer has a peer carry the call; ErrRefused if no peer could.
-func (sc *storeClient) callPeer(ctx context.Context, cd storeCall) (storeResult, error) {
-	raw, err := json.Marshal(cd)
+func (sc *storeClient) callPeer(ctx context.Context, call storeCall) (storeResult, error) {
+	raw, err := json.Marshal(call)
 	if err != nil {
 		return storeResult{}, ErrRefused
 	}
@@ -258,19 +258,19 @@
 }
 
 // perform carries out a call at the store.
-func perform(ctx context.Context, st Store, cd storeCall) (storeResult, error) {
+func perform(ctx context.Context, st Store, call storeCall) (storeResult, error) {
 	switch {
-	case cd.Kind == callCommit && cd.Tx != nil:
-		version, err := st.Commit(ctx, *cd.Tx)
+	case call.Kind == callCommit && call.Tx != nil:
+		version, err := st.Commit(ctx, *call.Tx)
 		return storeResult{Version: version}, err
-	case cd.Kind == callRead && cd.Query != nil:
-		pg, err := st.Read(ctx, *cd.Query)
+	case call.Kind == callRead && call.Query != nil:
+		pg, err := st.Read(ctx, *call.Query)
 		return storeResult{Page: &pg}, err
-	case cd.Kind == callFeed:
-		pg, err := st.Feed(ctx, cd.Table, cd.After, cd.Wait)
+	case call.Kind == callFeed:
+		pg, err := st.Feed(ctx, call.Table, call.After, call.Wait)
 		return storeResult{Page: &pg}, err
-	case cd.Kind == callParts:
-		parts, err := st.Parts(ctx, cd.Table)
+	case call.Kind == callParts:
+		parts, err := st.Parts(ctx, call.Table)
 		return storeResult{Parts: parts}, err
 	}
 	return storeResult{}, ErrRefused
@@ -278,11 +278,11 @@
 
 // Words for what became of a carried call.
 const (
-	carryDone     = "done"
-	carryConflict = "conflict"
-	carryRefused  = "refused"
-	carrySilent   = "silent"
-	carryHistory  = "history"
+	carryDone             = "done"
+	carryConflict         = "conflict"
+	carryRefused          = "refused"
+	carryNoAnswer         = "silent"
+	carryHistoryTruncated = "history"
 )
 
 // wordOf names an error for a peer.
@@ -294,11 +294,11 @@
 	case errors.As(err, &cf):
 		return carryConflict
 	case errors.Is(err, ErrHistory):
-		return carryHistory
+		return carryHistoryTruncated
 	case errors.Is(err, ErrRefused):
 		return carryRefused
 	}
-	return carrySilent
+	return carryNoAnswer
 }
 
 // errorOf is the error that a peer's word stands for.
@@ -311,7 +311,7 @@
 			return sr.Conflict
 		}
 		return &Conflict{}
-	case carryHistory:
+	case carryHistoryTruncated:
 		return ErrHistory
 	case carryRefused:
 		return ErrRefused
--- a/fleet/tablewatch_test.go
+++ b/fleet/tablewatch_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestTimesOfTheStoreAreOnTheSteadyClock: a jump of the time of day must not make a row look as if it stood still.
-func TestTimesOfTheStoreAreOnTheSteadyClock(t *testing.T) {
+func TestWatchUsesTheMonotonicClock(t *testing.T) {
 	st := newSite(t, time.Millisecond)
 	// A clock that has nothing to do with the time of day: were that read anywhere, it would show as an age of decades.
 	started := time.Now()
@@ -25,7 +25,7 @@
 }
 
 // TestWatchTellsWhatItReadBeforeItCountsAsRead: else a living owner's rows are older than the store's newest answer for a moment.
-func TestWatchTellsWhatItReadBeforeItCountsAsRead(t *testing.T) {
+func TestWatchReportsRowsBeforeItCountsAsHealthy(t *testing.T) {
 	st := newSite(t, time.Millisecond)
 	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &storeWay{mm: st.mm}, Workers: st.workers, Machines: noMachines{}, Format: plainFormat{}})
 	var wt *tableWatch
--- a/fleet/workercache_test.go
+++ b/fleet/workercache_test.go
@@ -31,7 +31,7 @@
 
 // An entry that cannot be read leaves its worker without new tasks at once, whatever the worker's former entry said, and the other workers as
 // they are. It is used again once its entry can be read.
-func TestWorkerWhoseEntryCannotBeReadGetsNothingNew(t *testing.T) {
+func TestUnreadableRegistrationStopsNewTasks(t *testing.T) {
 	fl, ow := newRegistry(t)
 	row := func(id, value string) Row { return Row{Table: "registry", Key: id, Value: []byte(value)} }
 	fl.applyRegistrations([]Row{row("w0", "{}"), row("w1", foreignEntry), row("w2", "{}")}, time.Time{})
@@ -52,7 +52,7 @@
 }
 
 // A worker whose entry names another pool is none of the former's any more.
-func TestWorkerThatNamesAnotherPoolIsGivenUp(t *testing.T) {
+func TestWorkerThatChangesPoolLeavesItsCell(t *testing.T) {
 	fl, ow := newRegistry(t)
 	fl.register(cell.Worker{ID: "w0", Pool: "pool", Address: "a"})
 	fl.register(cell.Worker{ID: "w0", Pool: "nowhere", Address: "a"})
@@ -62,7 +62,7 @@
 }
 
 // Where workers name their machines one that names none wrote no entry of its own; where none does all are used.
-func TestEntryWithoutAMachineAmongOthersIsForeign(t *testing.T) {
+func TestRegistrationWithoutMachineIsRejectedAmongOthers(t *testing.T) {
 	for machine, want := range map[cell.MachineID]int{"m0": 1, "": 2} {
 		fl, ow := newRegistry(t)
 		fl.register(cell.Worker{ID: "w0", Pool: "pool", Address: "a", Machine: machine})
@@ -83,7 +83,7 @@
 
 // The entry of a worker that started again under its name counts as one of another worker, and one that does not tell its life as nobody's: the
 // owner took the numbers and leases of one life for those of the other.
-func TestWorkerThatStartsAgainIsAnother(t *testing.T) {
+func TestRestartedWorkerIsANewWorker(t *testing.T) {
 	fl, ow := newRegistry(t)
 	fl.opts.Format = startTimeFormat{}
 	row := func(value string) Row { return Row{Table: "registry", Key: "w0", Value: []byte(value)} }
@@ -108,7 +108,7 @@
 
 // Registrations that came with the first answer after an outage of the store counted as written when they were asked for. They were written before
 // it, and rooms that had shrunk in between were counted on.
-func TestRegistrationsCountAsOfTheAnswerBeforeTheirs(t *testing.T) {
+func TestRegistrationsAreDatedByThePreviousAnswer(t *testing.T) {
 	fl, _ := newRegistry(t)
 	start := time.Now()
 	read := func(asked time.Time) time.Time {
