--- a/cell/answer.go
+++ b/cell/answer.go
@@ -54,7 +54,7 @@
 			pl.phase = running
 		}
 		pl.acked, pl.seenAt = now, now
-		wk.nextLook = earliest(wk.nextLook, now.Add(cr.opts.LookGap))
+		wk.nextLook = earliest(wk.nextLook, now.Add(cr.opts.PollInterval))
 	case Silent:
 		// It may still happen. A look under a higher token settles it.
 		pl.phase, wk.doubtful = uncertain, true
@@ -111,6 +111,6 @@
 	case Overtaken:
 		cr.overtaken(wk, order.Token)
 	case Done:
-		wk.nextLook = earliest(wk.nextLook, now.Add(cr.opts.LookGap))
+		wk.nextLook = earliest(wk.nextLook, now.Add(cr.opts.PollInterval))
 	}
 }
--- a/cell/bed_test.go
+++ b/cell/bed_test.go
@@ -27,7 +27,7 @@
 func newBed(t *testing.T, workers int) *bed {
 	t.Helper()
 	bd := &bed{t: t, now: time.Unix(1_700_000_000, 0), ends: map[WorkerID]int64{}, open: map[WorkerID]Look{}}
-	bd.core = New(bedPool, bedEpoch, Options{StopTime: 400 * time.Millisecond, Lease: 5 * time.Second})
+	bd.core = New(bedPool, bedEpoch, Options{StopTimeout: 400 * time.Millisecond, LeaseDuration: 5 * time.Second})
 	bd.core.TakeOver(bd.now, bd.now, nil, true)
 	bd.core.Configure([]job.Queue{{ID: "q", Pool: bedPool, MaxAttempts: 2, Stretch: 1.5, Slack: time.Second}})
 	for at := range workers {
--- a/cell/burst_test.go
+++ b/cell/burst_test.go
@@ -251,17 +251,17 @@
 			most = max(most, sz.CPUMillis)
 		}
 		for _, jb := range line {
-			room := jb.spec.Steps[jb.step].Room()
+			room := jb.spec.Steps[jb.step].ResourceRequest()
 			if jb.waiting == 0 || room.CPUMillis > most {
 				continue
 			}
 			for worker := 0; worker < workers && jb.waiting > 0; worker++ {
 				for jb.waiting > 0 && room.Fits(free[worker]) {
-					free[worker] = free[worker].Minus(room)
+					free[worker] = free[worker].Sub(room)
 					jb.waiting--
 					jb.running++
 					at(now.Add(takes()), func() {
-						free[worker] = free[worker].Plus(room)
+						free[worker] = free[worker].Add(room)
 						if jb.running--; jb.running > 0 || jb.waiting > 0 {
 							return
 						}
--- a/cell/cell.go
+++ b/cell/cell.go
@@ -165,7 +165,7 @@
 // After a release nothing but the last leases can be outstanding; an owner that was overtaken may have renewed them for a while.
 func (cr *Core) TakeOver(now, asked time.Time, used []Ref, released bool) {
 	cr.confirmed, cr.resumed = asked, now
-	lease := cr.slow(cr.opts.Lease) + horizonMargin
+	lease := cr.slow(cr.opts.LeaseDuration) + deliveryMargin
 	for _, rf := range used {
 		wk := cr.worker(rf.ID)
 		if wk.info.Address == "" {
@@ -181,7 +181,7 @@
 		case over:
 			wait = strayFor
 		case !released:
-			wait = max(lease+cr.opts.RenewFor, rf.Left)
+			wait = max(lease+cr.opts.RenewalWindow, rf.Left)
 		}
 		cr.unresolved[rf.ID] = now.Add(wait)
 		if rf.Ended {
@@ -192,7 +192,7 @@
 
 // slow is how long the owner must wait for a worker's clock to pass a time.
 func (cr *Core) slow(span time.Duration) time.Duration {
-	return time.Duration(float64(span) / (1 - cr.opts.ClockSlow))
+	return time.Duration(float64(span) / (1 - cr.opts.MaxClockDrift))
 }
 
 // Confirmed tells that the ownership held at a time.
@@ -219,7 +219,7 @@
 
 // mayRenew reports whether the ownership was confirmed recently enough to give leases.
 func (cr *Core) mayRenew(now time.Time) bool {
-	return !cr.lost && now.Sub(cr.confirmed) < cr.opts.RenewFor
+	return !cr.lost && now.Sub(cr.confirmed) < cr.opts.RenewalWindow
 }
 
 // Lost reports whether another owner has been met.
--- a/cell/cell_test.go
+++ b/cell/cell_test.go
@@ -10,7 +10,7 @@
 // TestFailedEndCountsOnce: an end that was kept but not acknowledged is listed again to the next owner.
 func TestFailedEndCountsOnce(t *testing.T) {
 	bd := newBed(t, 1)
-	pg := &job.Progress{Failed: map[string][]string{"0.0.0": {"1@w0"}}}
+	pg := &job.Progress{FailedAttempts: map[string][]string{"0.0.0": {"1@w0"}}}
 	bd.core.Add(bd.now, Stored{Spec: &job.Spec{ID: "j", Queue: "q", Pool: bedPool, Steps: []job.Step{tasks(1)}, Epoch: 1}, Progress: pg, Version: 7})
 	if st := bd.wantStarts(bd.plan(), 1)[0]; st.Attempt != 2 {
 		t.Fatalf("attempt %d, want 2", st.Attempt)
@@ -93,7 +93,7 @@
 		waits[id] = lk.Wait
 	}
 	for id := range waits {
-		if waits[id] != bd.core.opts.LookWait {
+		if waits[id] != bd.core.opts.PollWait {
 			t.Errorf("a worker with a task that lasts is waited for %v", waits[id])
 		}
 	}
@@ -107,7 +107,7 @@
 			wk.put(pl)
 		}
 		got := bd.core.waitFor(wk)
-		if want := min(bd.core.opts.LookWait, max(waitLeast, waitTimes*firstGuess/time.Duration(len(wk.placed)-wk.lasting))); got != want {
+		if want := min(bd.core.opts.PollWait, max(waitLeast, waitTimes*firstGuess/time.Duration(len(wk.placed)-wk.lasting))); got != want {
 			t.Errorf("%d short tasks: the answer is waited for %v, want %v", short, got, want)
 		}
 	}
@@ -145,7 +145,7 @@
 	for _, wk := range bd.core.list {
 		var sum job.Size
 		for _, pl := range wk.placed {
-			sum = sum.Plus(pl.room)
+			sum = sum.Add(pl.room)
 		}
 		if sum != wk.used {
 			t.Errorf("%s uses %+v, its attempts take %+v", wk.info.ID, wk.used, sum)
@@ -207,7 +207,7 @@
 	bd.core.Add(bd.now, Stored{Spec: sp})
 	for run := range 2 {
 		bd.wantStarts(bd.plan(), 0)
-		bd.now = sp.Due(run)
+		bd.now = sp.DueTime(run)
 		st := bd.wantStarts(bd.plan(), 1)[0]
 		if st.Task.Run != run {
 			t.Fatalf("run %d started, want %d", st.Task.Run, run)
@@ -226,7 +226,7 @@
 // TestTicketsAreAskedForAndBrought: a queue whose placements need approval.
 func TestTicketsAreAskedForAndBrought(t *testing.T) {
 	bd := newBed(t, 2)
-	bd.core.Configure([]job.Queue{{ID: "q", Pool: bedPool, MaxAttempts: 2, Advice: &job.Advice{Valid: 3 * time.Second}}})
+	bd.core.Configure([]job.Queue{{ID: "q", Pool: bedPool, MaxAttempts: 2, Advice: &job.Advice{ValidFor: 3 * time.Second}}})
 	bd.add("j", bedEpoch, tasks(2))
 	var ask Advise
 	orders := bd.plan()
--- a/cell/crash.go
+++ b/cell/crash.go
@@ -110,7 +110,7 @@
 	loss.SinceStart = silent.Sub(newest)
 	defer cr.remember(wk, cr.concerned(wk.info.ID, victims))
 	if len(victims) > 0 {
-		cr.opts.Log(Decision{What: "worker lost with tasks", Worker: wk.info.ID, Why: why, Age: now.Sub(wk.lookedAt), Loss: &loss})
+		cr.opts.Log(Decision{What: "worker lost with tasks", Worker: wk.info.ID, Why: why, PollAge: now.Sub(wk.lookedAt), Loss: &loss})
 	}
 	if loss.Excuse != "" {
 		cr.clearLeft(wk.info.ID)
@@ -262,12 +262,12 @@
 	js := pl.step.job
 	js.state, js.endedAt = job.Failed, now
 	cr.urgentSave = true
-	cr.opts.Log(Decision{What: "job failed", Task: pl.task, Attempt: pl.attempt, Worker: pl.worker.info.ID, Why: "workers end under its task", Lost: slices.Clone(lost)})
+	cr.opts.Log(Decision{What: "job failed", Task: pl.task, Attempt: pl.attempt, Worker: pl.worker.info.ID, Why: "workers end under its task", LostWorkers: slices.Clone(lost)})
 }
 
 // kept is what is to be known of losses to a next owner.
 func (lo losses) kept() job.Losses {
-	kept := job.Losses{Weak: lo.weak, Suspect: lo.suspect, Late: lo.late, Ran: lo.ran}
+	kept := job.Losses{WeakCount: lo.weak, Suspect: lo.suspect, Late: lo.late, LongestRun: lo.ran}
 	for _, id := range lo.workers {
 		kept.Workers = append(kept.Workers, string(id))
 	}
@@ -276,9 +276,9 @@
 
 // recalled is what a former owner kept of losses.
 func recalled(kept job.Losses) losses {
-	lo := losses{weak: kept.Weak, suspect: kept.Suspect, late: kept.Late, ran: kept.Ran}
-	if kept.LeftOn != "" {
-		lo.leave(WorkerID(kept.LeftOn))
+	lo := losses{weak: kept.WeakCount, suspect: kept.Suspect, late: kept.Late, ran: kept.LongestRun}
+	if kept.LegacyUnresolved != "" {
+		lo.leave(WorkerID(kept.LegacyUnresolved))
 	}
 	for _, id := range kept.Workers {
 		lo.workers = append(lo.workers, WorkerID(id))
--- a/cell/gang.go
+++ b/cell/gang.go
@@ -72,7 +72,7 @@
 		if best == nil {
 			return false
 		}
-		best.free = best.free.Minus(st.spec.Room())
+		best.free = best.free.Sub(st.spec.ResourceRequest())
 		held[best.info.ID]++
 		chosen = append(chosen, group[bestAt])
 	}
@@ -105,7 +105,7 @@
 func (cr *Core) disband(now time.Time, st *step) {
 	for at := range st.tasks {
 		pl := st.tasks[at].place
-		if pl != nil && !pl.stopping && now.Sub(pl.ordered) > cr.opts.LookWait {
+		if pl != nil && !pl.stopping && now.Sub(pl.ordered) > cr.opts.PollWait {
 			pl.stopping, pl.why = true, "its gang is not whole"
 		}
 	}
--- a/cell/hearing.go
+++ b/cell/hearing.go
@@ -31,7 +31,7 @@
 // overdue reports whether a worker's last lease has surely run out, as far as it is this owner's alone to give: only one that is confirmed
 // later than its end knows that nobody else has renewed it.
 func (cr *Core) overdue(now time.Time, wk *worker) bool {
-	return len(wk.places) > 0 && cr.confirmed.After(wk.leaseEnd) && now.Sub(wk.lookedAt) > cr.opts.Lease
+	return len(wk.places) > 0 && cr.confirmed.After(wk.leaseEnd) && now.Sub(wk.lookedAt) > cr.opts.LeaseDuration
 }
 
 // wantsWord reports whether an answer of any worker is wanted, to judge one that is silent.
--- a/cell/intent.go
+++ b/cell/intent.go
@@ -99,13 +99,13 @@
 		}
 		cr.intend(rd.now, st, at, cd)
 		ts.intent.ahead = true
-		cd.ahead = cd.ahead.Plus(st.spec.Room())
+		cd.ahead = cd.ahead.Add(st.spec.ResourceRequest())
 	}
 }
 
 // fitsAhead reports whether one more task of a step may be planned ahead for a worker.
 func (cd *candidate) fitsAhead(st *job.Step) bool {
-	return cd.ahead.Plus(st.Room()).Times(aheadShare).Fits(cd.info.Room)
+	return cd.ahead.Add(st.ResourceRequest()).Mul(aheadShare).Fits(cd.info.Room)
 }
 
 // leastAhead is the worker for which the least is planned ahead of those that may run one more task of a step; nil if there is none.
@@ -150,7 +150,7 @@
 		in.held, in.took = false, job.Size{}
 		if in.ahead {
 			if cd := rd.candidate(in.worker); cd != nil {
-				cd.ahead = cd.ahead.Plus(in.step.spec.Room())
+				cd.ahead = cd.ahead.Add(in.step.spec.ResourceRequest())
 			}
 			continue
 		}
@@ -166,11 +166,11 @@
 	if cd == nil || in.held {
 		return
 	}
-	in.held, in.took = true, in.step.spec.Room()
+	in.held, in.took = true, in.step.spec.ResourceRequest()
 	if in.step.tasks[in.at].lost.suspected() {
 		rd.keepFor(cd, in.step.job)
 	}
-	cd.free = cd.free.Minus(in.took)
+	cd.free = cd.free.Sub(in.took)
 }
 
 // reopen gives the room of an intent back, for the task itself.
@@ -180,7 +180,7 @@
 	}
 	in.held = false
 	if cd := rd.candidate(in.worker); cd != nil {
-		cd.free = cd.free.Plus(in.took)
+		cd.free = cd.free.Add(in.took)
 	}
 }
 
--- a/cell/keep.go
+++ b/cell/keep.go
@@ -9,7 +9,7 @@
 
 // progress is what is to be kept of a job now.
 func (js *jobState) progress() *job.Progress {
-	pg := &job.Progress{State: js.state, RunsDone: slices.Clone(js.runsDone)}
+	pg := &job.Progress{State: js.state, CompletedRuns: slices.Clone(js.runsDone)}
 	if js.state.Ended() {
 		pg.EndedAt = js.endedAt
 		return pg
@@ -27,7 +27,7 @@
 
 // keep adds a step to what is kept.
 func (st *step) keep(pg *job.Progress) {
-	var bits job.Bits
+	var bits job.Bitset
 	for at := range st.tasks {
 		ts := &st.tasks[at]
 		if ts.done {
@@ -36,17 +36,17 @@
 		}
 		key := job.TaskKey(job.Task{Run: st.run, Step: st.at, Index: at})
 		if len(ts.failed) > 0 {
-			if pg.Failed == nil {
-				pg.Failed = map[string][]string{}
+			if pg.FailedAttempts == nil {
+				pg.FailedAttempts = map[string][]string{}
 			}
-			pg.Failed[key] = slices.Clone(ts.failed)
+			pg.FailedAttempts[key] = slices.Clone(ts.failed)
 		}
 		st.keepOpen(pg, at)
 		if lost := ts.lost; lost.suspect || lost.total() > 0 || lost.ran > 0 {
-			if pg.Lost == nil {
-				pg.Lost = map[string]job.Losses{}
+			if pg.Losses == nil {
+				pg.Losses = map[string]job.Losses{}
 			}
-			pg.Lost[key] = lost.kept()
+			pg.Losses[key] = lost.kept()
 		}
 		if ts.attempt > 1 {
 			if pg.Attempts == nil {
@@ -56,10 +56,10 @@
 		}
 	}
 	if len(bits) > 0 {
-		if pg.Done == nil {
-			pg.Done = map[string]job.Bits{}
+		if pg.DoneTasks == nil {
+			pg.DoneTasks = map[string]job.Bitset{}
 		}
-		pg.Done[job.StepKey(st.run, st.at)] = bits
+		pg.DoneTasks[job.StepKey(st.run, st.at)] = bits
 	}
 }
 
@@ -67,13 +67,13 @@
 func (st *step) keepOpen(pg *job.Progress, at int) {
 	key := job.StepKey(st.run, st.at)
 	for _, id := range st.tasks[at].left().open {
-		if pg.Open == nil {
-			pg.Open = map[string]map[string]job.Bits{}
+		if pg.Unresolved == nil {
+			pg.Unresolved = map[string]map[string]job.Bitset{}
 		}
-		steps := pg.Open[string(id)]
+		steps := pg.Unresolved[string(id)]
 		if steps == nil {
-			steps = map[string]job.Bits{}
-			pg.Open[string(id)] = steps
+			steps = map[string]job.Bitset{}
+			pg.Unresolved[string(id)] = steps
 		}
 		bits := steps[key]
 		bits.Set(at)
@@ -84,8 +84,8 @@
 // restoreOpen takes the workers of which it is not known what became of tasks there.
 func (st *step) restoreOpen(pg *job.Progress) {
 	key := job.StepKey(st.run, st.at)
-	for _, id := range slices.Sorted(maps.Keys(pg.Open)) {
-		bits := pg.Open[id][key]
+	for _, id := range slices.Sorted(maps.Keys(pg.Unresolved)) {
+		bits := pg.Unresolved[id][key]
 		for at := range st.tasks {
 			if bits.Has(at) {
 				st.tasks[at].lost.leave(WorkerID(id))
--- a/cell/learn.go
+++ b/cell/learn.go
@@ -111,7 +111,7 @@
 
 // from is when the time of a job, or of its newest run, began.
 func (js *jobState) from() time.Time {
-	if js.spec.Timed() {
+	if js.spec.HasSchedule() {
 		return js.dueAt(max(0, js.nextRun-1))
 	}
 	return js.seen
@@ -122,7 +122,7 @@
 
 // chain returns how long the steps of a job that follow each other take at least, and those of them that are still to come.
 func (cr *Core) chain(js *jobState) (whole, left time.Duration) {
-	if js.chainWhole == 0 || js.chainGen != js.gen || js.spec.Timed() || cr.planned.Sub(js.chainAt) > chainAge {
+	if js.chainWhole == 0 || js.chainGen != js.gen || js.spec.HasSchedule() || cr.planned.Sub(js.chainAt) > chainAge {
 		js.chainWhole, js.chainLeft, js.stepsLeft = js.measureChain(cr.run.of(js.spec.Queue))
 		js.chainGen, js.chainAt = js.gen, cr.planned
 	}
--- a/cell/ledger.go
+++ b/cell/ledger.go
@@ -100,7 +100,7 @@
 	}
 	lg.cells = max(1, len(pools))
 	for _, og := range cf.Organisations.List() {
-		if og.Bounded() {
+		if og.HasMaximum() {
 			lg.maxima[og.ID] = og.Maximum
 			continue
 		}
@@ -122,7 +122,7 @@
 	if id == "" {
 		return
 	}
-	left := lg.running[id].Plus(sz.Times(by))
+	left := lg.running[id].Add(sz.Mul(by))
 	if left == (job.Size{}) {
 		delete(lg.running, id)
 		return
@@ -174,7 +174,7 @@
 
 // boundedBy is a size cut to a maximum in the figures that it bounds.
 func boundedBy(sz, most job.Size) job.Size {
-	cut := sz.Least(most)
+	cut := sz.Min(most)
 	if most.CPUMillis == 0 {
 		cut.CPUMillis = sz.CPUMillis
 	}
@@ -195,12 +195,12 @@
 	}
 	limit, ok := lg.limit(id, most)
 	used := lg.used(id)
-	if !ok || !within(used.Plus(more), limit, most) {
+	if !ok || !within(used.Add(more), limit, most) {
 		return false
 	}
 	// What ends above an even part goes to the others, who wait for it.
 	rivals := lg.entry(id).wanting(lg.cell)
-	return rivals == 0 || used == (job.Size{}) || within(used.Plus(more), most.Over(rivals+1), most)
+	return rivals == 0 || used == (job.Size{}) || within(used.Add(more), most.Div(rivals+1), most)
 }
 
 // limit is what this cell may have running of an organisation; ok is false until this owner has written its part.
@@ -213,9 +213,9 @@
 	limit = own.Held
 	if en.doubt != nil {
 		// Others may see it already.
-		limit = limit.Least(*en.doubt)
+		limit = limit.Min(*en.doubt)
 	}
-	return limit.Least(most.Minus(en.others(lg.cell))), true
+	return limit.Min(most.Sub(en.others(lg.cell))), true
 }
 
 // used is what counts against this cell's part of an organisation.
@@ -223,7 +223,7 @@
 	if lg.settled {
 		return lg.running[id]
 	}
-	return lg.running[id].Plus(lg.entry(id).inherited)
+	return lg.running[id].Add(lg.entry(id).inherited)
 }
 
 // Held is what all cells together hold.
@@ -234,7 +234,7 @@
 	var sum job.Size
 	for name, al := range ac {
 		if name != cell {
-			sum = sum.Plus(al.Held)
+			sum = sum.Add(al.Held)
 		}
 	}
 	return sum
@@ -286,7 +286,7 @@
 // ask notes what is asked for.
 func (en *entry) ask(held job.Size) {
 	if en.doubt != nil {
-		held = held.Least(*en.doubt)
+		held = held.Min(*en.doubt)
 	}
 	en.doubt = &held
 }
@@ -295,31 +295,31 @@
 func (lg *Ledger) next(now time.Time, en *entry, dm Demand) (next Allowance, due bool) {
 	most := lg.maxima[en.Organisation]
 	own, used := en.Account[lg.cell], lg.used(en.Organisation)
-	need := used.Plus(boundedBy(dm.Waiting, most))
-	wanted := need.Plus(need.Over(allowanceSpare)).Most(most.Over(allowanceBase * lg.cells)).Least(most)
-	free := most.Minus(en.others(lg.cell)).OrNone()
+	need := used.Add(boundedBy(dm.Waiting, most))
+	wanted := need.Add(need.Div(allowanceSpare)).Max(most.Div(allowanceBase * lg.cells)).Min(most)
+	free := most.Sub(en.others(lg.cell)).NonNegative()
 	next = Allowance{Epoch: lg.epoch, Held: own.Held}
 	rivals := en.wanting(lg.cell)
 	switch {
 	case own.Epoch != lg.epoch:
-		next.Held = own.Held.Most(used).Most(wanted.Least(free))
+		next.Held = own.Held.Max(used).Max(wanted.Min(free))
 	case rivals > 0 || !within(own.Held, free, most):
 		// What is not needed goes to those who need it, and none keeps more than an even part of what several need; what runs is not stopped.
-		fair := used.Most(wanted.Least(free).Least(need.Least(most.Over(rivals + 1))))
-		if unit := used.Plus(boundedBy(dm.Unit, most)); !within(unit, fair, most) {
+		fair := used.Max(wanted.Min(free).Min(need.Min(most.Div(rivals + 1))))
+		if unit := used.Add(boundedBy(dm.Unit, most)); !within(unit, fair, most) {
 			// An even part in which nothing more can run would be of use to nobody, and a cell with nothing running may have one task.
 			fair = used
 			if used == (job.Size{}) && within(unit, free, most) {
 				fair = unit
 			}
 		}
-		if !within(own.Held, fair.Plus(most.Over(allowanceGrain)), most) || !within(need, own.Held, most) {
+		if !within(own.Held, fair.Add(most.Div(allowanceGrain)), most) || !within(need, own.Held, most) {
 			next.Held = fair
 		}
 	case !within(need, own.Held, most):
-		next.Held = own.Held.Most(wanted.Least(free))
+		next.Held = own.Held.Max(wanted.Min(free))
 	case lg.idle(now, en, wanted):
-		next.Held = used.Most(wanted)
+		next.Held = used.Max(wanted)
 	}
 	next.Wanted = !within(need, next.Held, most)
 	return next, next != own || en.doubt != nil
@@ -328,7 +328,7 @@
 // idle reports whether a part has been far more than what is wanted for a while.
 func (lg *Ledger) idle(now time.Time, en *entry, wanted job.Size) bool {
 	held := en.Account[lg.cell].Held
-	if within(held, wanted.Times(2), lg.maxima[en.Organisation]) {
+	if within(held, wanted.Mul(2), lg.maxima[en.Organisation]) {
 		en.surplus = time.Time{}
 		return false
 	}
--- a/cell/ledger_model_test.go
+++ b/cell/ledger_model_test.go
@@ -227,11 +227,11 @@
 	sum, alone := job.Size{}, 0
 	for _, other := range lw.running {
 		if other.org == lt.org {
-			sum = sum.Plus(other.size)
+			sum = sum.Add(other.size)
 			alone++
 		}
 	}
-	most := lt.most.Most(lw.mayBeInForce(ow, lt.org))
+	most := lt.most.Max(lw.mayBeInForce(ow, lt.org))
 	if alone > 1 && !within(sum, most, most) && lw.err == nil {
 		lw.err = fmt.Errorf("%v has %v running, its maximum is %v", lt.org, sum, most)
 	}
@@ -258,7 +258,7 @@
 		if lw.put[at+1].Before(since) {
 			break
 		}
-		most = most.Most(lw.configs[at][id])
+		most = most.Max(lw.configs[at][id])
 	}
 	return most
 }
@@ -281,7 +281,7 @@
 			if at == 0 {
 				dm.Unit = size
 			}
-			dm.Waiting = dm.Waiting.Plus(size)
+			dm.Waiting = dm.Waiting.Add(size)
 			waiting[id] = dm
 		}
 	}
@@ -471,7 +471,7 @@
 	var sum job.Size
 	for _, lt := range lw.running {
 		if lt.org == id {
-			sum = sum.Plus(lt.size)
+			sum = sum.Add(lt.size)
 		}
 	}
 	since := ow.started[id]
--- a/cell/life.go
+++ b/cell/life.go
@@ -218,5 +218,5 @@
 	}
 	began := time.UnixMilli(wk.info.ID.Born()).Add(-cr.ahead)
 	last := earliest(began.Add(strayFor), looked)
-	wk.leaseEnd = latest(wk.leaseEnd, last.Add(cr.slow(strayRuns)+horizonMargin))
+	wk.leaseEnd = latest(wk.leaseEnd, last.Add(cr.slow(strayRuns)+deliveryMargin))
 }
--- a/cell/load.go
+++ b/cell/load.go
@@ -96,7 +96,7 @@
 	count := 0
 	for _, wk := range cr.list {
 		if wk.info.Room.CPUMillis > 0 {
-			sum, count = sum.Plus(wk.info.Room), count+1
+			sum, count = sum.Add(wk.info.Room), count+1
 		}
 	}
 	if count == 0 {
@@ -117,7 +117,7 @@
 	sum, work := 0.0, 0.0
 	for at := range js.spec.Steps {
 		sp := &js.spec.Steps[at]
-		part := unit.part(sp.Room())
+		part := unit.part(sp.ResourceRequest())
 		if sp.LongRunning {
 			sum += part * float64(sp.Count)
 			continue
@@ -201,7 +201,7 @@
 		return false
 	}
 	cr.grabbed[wk.name] = now.Add(grabFor)
-	cr.opts.Log(Decision{What: "worker given up", Worker: wk.info.ID, Why: "its machine is to move", Age: now.Sub(wk.lookedAt)})
+	cr.opts.Log(Decision{What: "worker given up", Worker: wk.info.ID, Why: "its machine is to move", PollAge: now.Sub(wk.lookedAt)})
 	return true
 }
 
--- a/cell/look.go
+++ b/cell/look.go
@@ -42,7 +42,7 @@
 		if wk.abrupt {
 			cr.brokeOff(wk.info.ID, wk.silentAt)
 		}
-		cr.opts.Log(Decision{What: "worker silent", Worker: wk.info.ID, Token: lk.Token, Why: lk.Outcome.String(), Age: now.Sub(wk.lookedAt)})
+		cr.opts.Log(Decision{What: "worker silent", Worker: wk.info.ID, Token: lk.Token, Why: lk.Outcome.String(), PollAge: now.Sub(wk.lookedAt)})
 	}
 	cr.noteLeft(wk)
 }
@@ -53,7 +53,7 @@
 	cr.hearing.heard(lk.Received)
 	wk.fails, wk.lookedAt, wk.livedAt = 0, lk.Received, latest(wk.livedAt, lk.Sent)
 	cr.unhold(now, wk)
-	wk.nextLook = now.Add(cr.opts.LookGap)
+	wk.nextLook = now.Add(cr.opts.PollInterval)
 	wk.told = max(wk.told, lk.Observed)
 	first := !wk.fenced
 	if first {
@@ -143,7 +143,7 @@
 		return nil
 	}
 	ts.attempt = max(ts.attempt, rn.Attempt)
-	pl := &placement{task: rn.Task, step: st, worker: wk, attempt: rn.Attempt, phase: running, token: cr.token(wk), room: st.spec.Room(), ordered: now, acked: now, pace: 100, trial: ts.lost.suspected()}
+	pl := &placement{task: rn.Task, step: st, worker: wk, attempt: rn.Attempt, phase: running, token: cr.token(wk), room: st.spec.ResourceRequest(), ordered: now, acked: now, pace: 100, trial: ts.lost.suspected()}
 	pl.noted = slices.Contains(ts.lost.open, wk.info.ID)
 	ts.lost.close(wk.info.ID)
 	if st.spec.BestEffort {
--- a/cell/model_check_test.go
+++ b/cell/model_check_test.go
@@ -28,9 +28,9 @@
 	if at, completed := md.completed[tk.Job]; completed && !md.deaf && md.sent.Sub(at) > knownWithin {
 		md.breach("%v starts after its job was completed", tk)
 	}
-	room, same := st.Room(), 1
+	room, same := st.ResourceRequest(), 1
 	for other := range wk.runs {
-		room = room.Plus(md.step(other).Room())
+		room = room.Add(md.step(other).ResourceRequest())
 		if other.Job == tk.Job && other.Step == tk.Step {
 			same++
 		}
--- a/cell/model_crash_test.go
+++ b/cell/model_crash_test.go
@@ -154,8 +154,8 @@
 	switch {
 	case dc.Loss != nil:
 		md.note("lost %s: %+v, %s", dc.Worker, *dc.Loss, dc.Why)
-	case len(dc.Lost) > 0:
-		md.note("%v given up after %v", dc.Task, dc.Lost)
+	case len(dc.LostWorkers) > 0:
+		md.note("%v given up after %v", dc.Task, dc.LostWorkers)
 	case dc.What == "start" && dc.Why != "room and turn":
 		md.note("%v starts by itself on %s", dc.Task, dc.Worker)
 	}
--- a/cell/model_test.go
+++ b/cell/model_test.go
@@ -158,7 +158,7 @@
 	md := &model{
 		rnd: rand.New(rand.NewSource(seed)), reborn: reborn, now: time.Unix(1_700_000_000, 0), workers: map[WorkerID]*truthWorker{},
 		progress: map[job.ID]SaveRow{}, jobs: map[job.ID]*modelJob{}, noted: map[job.Task]bool{}, done: map[job.Task]bool{}, failed: map[job.Task]int{}, completed: map[job.ID]time.Time{}, version: 1, plague: newModelPlague(),
-		opts: Options{Lease: 4 * time.Second, RenewFor: 6 * time.Second, StopTime: 300 * time.Millisecond}.WithDefaults(),
+		opts: Options{LeaseDuration: 4 * time.Second, RenewalWindow: 6 * time.Second, StopTimeout: 300 * time.Millisecond}.WithDefaults(),
 	}
 	md.opts.Log = md.logLosses
 	for range 3 + md.rnd.Intn(3) {
@@ -592,7 +592,7 @@
 // kept checks that an end which is forgotten by its worker is in the store.
 func (md *model) kept(tk job.Task) {
 	row := md.progress[tk.Job]
-	if row.Progress == nil || !row.Progress.State.Ended() && !row.Progress.RunsDone.Has(tk.Run) && !row.Progress.Done[job.StepKey(tk.Run, tk.Step)].Has(tk.Index) {
+	if row.Progress == nil || !row.Progress.State.Ended() && !row.Progress.CompletedRuns.Has(tk.Run) && !row.Progress.DoneTasks[job.StepKey(tk.Run, tk.Step)].Has(tk.Index) {
 		md.breach("the end of %v was acknowledged and is not kept: %+v", tk, row.Progress)
 	}
 }
@@ -613,7 +613,7 @@
 		wk.over[order.Task] = max(wk.over[order.Task], order.Attempt)
 		if rn := wk.runs[order.Task]; rn != nil && rn.attempt == order.Attempt && !rn.stopped {
 			rn.stopped, rn.how, rn.crashes = true, EndStopped, false
-			rn.ends = earliest(rn.ends, md.now.Add(md.millis(0, int(md.opts.StopTime.Milliseconds()))))
+			rn.ends = earliest(rn.ends, md.now.Add(md.millis(0, int(md.opts.StopTimeout.Milliseconds()))))
 		}
 		return Done
 	}
--- a/cell/organisation.go
+++ b/cell/organisation.go
@@ -22,7 +22,7 @@
 	if tasks == 1 {
 		return cr.ledger.MayOne(st.job.spec.Organisation, st.spec.Size)
 	}
-	return cr.ledger.May(st.job.spec.Organisation, st.spec.Size.Times(tasks))
+	return cr.ledger.May(st.job.spec.Organisation, st.spec.Size.Mul(tasks))
 }
 
 // TakeAccount takes the row of what cells hold of an organisation's maximum.
@@ -73,7 +73,7 @@
 
 // demand adds a job's tasks whose turn has come and that are not placed.
 func (js *jobState) demand(dm Demand) Demand {
-	if len(js.runs) == 0 && !js.spec.Timed() {
+	if len(js.runs) == 0 && !js.spec.HasSchedule() {
 		js.begin(0)
 	}
 	for _, rn := range js.runs {
@@ -97,7 +97,7 @@
 	if count == 0 {
 		return dm
 	}
-	all := st.spec.Size.Times(count)
+	all := st.spec.Size.Mul(count)
 	unit := st.spec.Size
 	if st.spec.Gang {
 		unit = all
@@ -105,7 +105,7 @@
 	if dm.Unit == (job.Size{}) || unit.CPUMillis < dm.Unit.CPUMillis {
 		dm.Unit = unit
 	}
-	dm.Waiting = dm.Waiting.Plus(all)
+	dm.Waiting = dm.Waiting.Add(all)
 	return dm
 }
 
--- a/cell/outage_test.go
+++ b/cell/outage_test.go
@@ -49,7 +49,7 @@
 		if at > 0 {
 			continue
 		}
-		bd.pass(DefaultRoomFor + time.Millisecond)
+		bd.pass(DefaultRegistrationMaxAge + time.Millisecond)
 		bd.lookAll()
 	}
 	var running []Running
@@ -60,7 +60,7 @@
 	bd.add("k", bedEpoch, tasks(1))
 	orders := bd.plan()
 	if got := len(starts(orders)); got != 0 {
-		t.Errorf("%d tasks start beside one on a worker with room for four that was last told %v ago", got, DefaultRoomFor)
+		t.Errorf("%d tasks start beside one on a worker with room for four that was last told %v ago", got, DefaultRegistrationMaxAge)
 	}
 	bd.looked(bd.nextLook("w0"), nil, []End{bd.end(first[1], EndDone)})
 	bd.wantStarts(bd.plan(), 1)
@@ -73,7 +73,7 @@
 func TestRoomOfARegistrationThatWasOldWhenItWasReadIsCountedOnInPart(t *testing.T) {
 	bd := newBed(t, 1)
 	in := bd.core.list[0].info
-	in.Told = bd.now.Add(-DefaultRoomFor - time.Second)
+	in.Told = bd.now.Add(-DefaultRegistrationMaxAge - time.Second)
 	bd.core.Register(bd.now, in)
 	bd.add("j", bedEpoch, tasks(4))
 	bd.wantStarts(bd.plan(), 1)
@@ -94,7 +94,7 @@
 	bd.pass(time.Second)
 	tell(0)
 	tell(1)
-	bd.pass(DefaultRoomFor + time.Millisecond)
+	bd.pass(DefaultRegistrationMaxAge + time.Millisecond)
 	bd.lookAll()
 	bd.add("j", bedEpoch, tasks(8))
 	bd.wantStarts(bd.plan(), 2)
--- a/cell/place.go
+++ b/cell/place.go
@@ -63,7 +63,7 @@
 func (cr *Core) waiting(now time.Time) []*jobState {
 	var list []*jobState
 	for _, js := range cr.open {
-		if !js.ended() && !cr.paused[js.spec.Queue] && (!js.settled || js.spec.Timed() && js.nextRun < js.spec.Runs()) {
+		if !js.ended() && !cr.paused[js.spec.Queue] && (!js.settled || js.spec.HasSchedule() && js.nextRun < js.spec.RunCount()) {
 			list = append(list, js)
 		}
 	}
@@ -133,8 +133,8 @@
 	rd := &round{now: now, usable: cr.usable(now), trials: taken, taken: taken}
 	for _, cd := range rd.usable {
 		// A room that has shrunk below what runs in it takes nothing from the others.
-		rd.free = size(job.Size(rd.free).Plus(cd.free.OrNone()))
-		rd.room = size(job.Size(rd.room).Plus(cd.info.Room))
+		rd.free = size(job.Size(rd.free).Add(cd.free.NonNegative()))
+		rd.room = size(job.Size(rd.room).Add(cd.info.Room))
 	}
 	cr.findNewcomers(rd)
 	cr.holdIntents(rd)
@@ -173,7 +173,7 @@
 			continue
 		}
 		room := cr.roomOf(now, wk)
-		list = append(list, &candidate{worker: wk, free: room.Minus(wk.used), untold: room != wk.info.Room})
+		list = append(list, &candidate{worker: wk, free: room.Sub(wk.used), untold: room != wk.info.Room})
 	}
 	return dropSlow(now, list)
 }
@@ -195,10 +195,10 @@
 
 // due returns the runs of a job whose time has come, in order.
 func (cr *Core) due(now time.Time, js *jobState) []*run {
-	if !js.spec.Timed() && js.only != nil && !js.runsDone.Has(0) {
+	if !js.spec.HasSchedule() && js.only != nil && !js.runsDone.Has(0) {
 		return js.only
 	}
-	for js.nextRun < js.spec.Runs() {
+	for js.nextRun < js.spec.RunCount() {
 		if at := js.dueAt(js.nextRun); !at.IsZero() && at.After(now) {
 			cr.wakeAt(at)
 			break
@@ -221,7 +221,7 @@
 		}
 	}
 	slices.SortFunc(runs, func(one, other *run) int { return cmp.Compare(one.steps[0].run, other.steps[0].run) })
-	if !js.spec.Timed() {
+	if !js.spec.HasSchedule() {
 		js.only = runs
 	}
 	return runs
@@ -229,7 +229,7 @@
 
 // placeStep starts the tasks of a step that wait. It reports whether none is left waiting.
 func (cr *Core) placeStep(rd *round, st *step) bool {
-	now, room := rd.now, st.spec.Room()
+	now, room := rd.now, st.spec.ResourceRequest()
 	var waiting, suspects []int
 	held, intended := false, false
 	for at := range st.tasks {
@@ -308,7 +308,7 @@
 			continue
 		}
 		cr.start(now, st, at, cd, st.tasks[at].attempt+1)
-		rd.free = size(job.Size(rd.free).Minus(room))
+		rd.free = size(job.Size(rd.free).Sub(room))
 	}
 	if without > 0 {
 		rd.filled(room)
@@ -339,7 +339,7 @@
 // allowed reports whether a worker may run a task of the step.
 func (cr *Core) allowed(now time.Time, st *step, cd *candidate) bool {
 	sp := st.spec
-	if !sp.Room().Fits(cd.free) || cd.only != nil && cd.only != st.job || !cr.apart(now, st, cd) {
+	if !sp.ResourceRequest().Fits(cd.free) || cd.only != nil && cd.only != st.job || !cr.apart(now, st, cd) {
 		return false
 	}
 	if sp.Label != "" && !hasLabel(cd.info.Labels, sp.Label) {
@@ -425,7 +425,7 @@
 	wk := cd.worker
 	ts.attempt = attempt
 	tk := job.Task{Job: st.job.spec.ID, Run: st.run, Step: st.at, Index: at}
-	pl := &placement{task: tk, step: st, worker: wk, attempt: attempt, phase: starting, token: cr.token(wk), room: st.spec.Room(), ordered: now, pace: 100, trial: ts.lost.suspected(), noted: ts.intent != nil}
+	pl := &placement{task: tk, step: st, worker: wk, attempt: attempt, phase: starting, token: cr.token(wk), room: st.spec.ResourceRequest(), ordered: now, pace: 100, trial: ts.lost.suspected(), noted: ts.intent != nil}
 	cr.forgo(ts)
 	ts.place = pl
 	wk.put(pl)
@@ -433,7 +433,7 @@
 	if len(cr.plagues) > 0 {
 		cd.newcomers.join(cr, now, now, st.job)
 	}
-	cd.free = cd.free.Minus(pl.room)
+	cd.free = cd.free.Sub(pl.room)
 	st.job.begun = true
 	wk.busyAt = now
 	until := cr.until(wk, now)
@@ -442,7 +442,7 @@
 	if pl.trial {
 		why = "by itself, since workers ended under it"
 	}
-	cr.opts.Log(Decision{What: "start", Task: tk, Attempt: attempt, Worker: wk.info.ID, Token: pl.token, Why: why, Age: now.Sub(wk.lookedAt), Losses: ts.lost.total()})
+	cr.opts.Log(Decision{What: "start", Task: tk, Attempt: attempt, Worker: wk.info.ID, Token: pl.token, Why: why, PollAge: now.Sub(wk.lookedAt), LossCount: ts.lost.total()})
 	cr.order(Start{
 		Worker: wk.info.ID, Address: wk.info.Address, Token: pl.token, Task: tk, Attempt: attempt,
 		Payload: st.job.spec.Payload, PayloadAt: st.job.spec.Acceptor, Until: until, Checkpoint: ts.checkpoint, Ticket: st.tickets[wk.info.ID],
--- a/cell/plague.go
+++ b/cell/plague.go
@@ -114,7 +114,7 @@
 		room := cd.info.Room
 		for _, pl := range cd.placed {
 			if pl.step.spec.LongRunning {
-				room = room.Minus(pl.room)
+				room = room.Sub(pl.room)
 			}
 		}
 		if cr.shelterRoom.Fits(room) {
@@ -133,7 +133,7 @@
 	if plagued && (cd.shelter || cd.given) {
 		return false
 	}
-	if sp := st.spec; sp.LongRunning && !cd.shelter && sp.SpreadLimit == 0 && sp.Room().Fits(cr.shelterRoom) {
+	if sp := st.spec; sp.LongRunning && !cd.shelter && sp.SpreadLimit == 0 && sp.ResourceRequest().Fits(cr.shelterRoom) {
 		// It waits for what is short and ends there.
 		return false
 	}
--- a/cell/plague_test.go
+++ b/cell/plague_test.go
@@ -15,7 +15,7 @@
 	for at := range count {
 		id := job.ID(fmt.Sprintf("lasting%d", at))
 		ids = append(ids, id)
-		cs.add(id, bedEpoch, job.Step{Count: 5, Size: job.Size{CPUMillis: 500, MemoryMB: 200}, LongRunning: true, Budgeted: true, DisruptionBudget: 1})
+		cs.add(id, bedEpoch, job.Step{Count: 5, Size: job.Size{CPUMillis: 500, MemoryMB: 200}, LongRunning: true, HasDisruptionBudget: true, DisruptionBudget: 1})
 	}
 	return ids
 }
@@ -90,7 +90,7 @@
 // A job was given up, and its tasks that ran well were stopped before its callers could see that it had failed.
 func TestTasksOfAJobThatFailedRunUntilItsEndIsKept(t *testing.T) {
 	bd := newBed(t, 2)
-	bd.add("j", bedEpoch, job.Step{Count: 2, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true, Budgeted: true, DisruptionBudget: 0})
+	bd.add("j", bedEpoch, job.Step{Count: 2, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true, HasDisruptionBudget: true, DisruptionBudget: 0})
 	sts := bd.wantStarts(bd.plan(), 2)
 	for _, st := range sts {
 		bd.ordered(st, Done)
--- a/cell/plan.go
+++ b/cell/plan.go
@@ -150,18 +150,18 @@
 	if !pl.stopping || pl.phase == uncertain || wk.fails > 0 {
 		return
 	}
-	if !pl.stopSent.IsZero() && now.Sub(pl.stopSent) < stopAgain+cr.opts.StopTime {
+	if !pl.stopSent.IsZero() && now.Sub(pl.stopSent) < stopAgain+cr.opts.StopTimeout {
 		return
 	}
 	pl.phase, pl.stopSent = stopping, now
-	cr.opts.Log(Decision{What: "stop", Task: pl.task, Attempt: pl.attempt, Worker: wk.info.ID, Token: cr.token(wk), Why: pl.why, Age: now.Sub(wk.lookedAt)})
+	cr.opts.Log(Decision{What: "stop", Task: pl.task, Attempt: pl.attempt, Worker: wk.info.ID, Token: cr.token(wk), Why: pl.why, PollAge: now.Sub(wk.lookedAt)})
 	cr.order(Stop{Worker: wk.info.ID, Address: wk.info.Address, Token: cr.token(wk), Task: pl.task, Attempt: pl.attempt})
-	wk.nextLook = earliest(wk.nextLook, now.Add(cr.opts.LookGap))
+	wk.nextLook = earliest(wk.nextLook, now.Add(cr.opts.PollInterval))
 }
 
 // stopForeign stops an attempt that belongs to nothing: its job has ended, or is still unknown after a while.
 func (cr *Core) stopForeign(now time.Time, wk *worker, tk job.Task, fr *foreignRun) {
-	if wk.fails > 0 || now.Sub(fr.stopped) < stopAgain+cr.opts.StopTime {
+	if wk.fails > 0 || now.Sub(fr.stopped) < stopAgain+cr.opts.StopTimeout {
 		return
 	}
 	if cr.jobs[tk.Job] == nil && now.Sub(fr.since) < foreignFor {
@@ -205,7 +205,7 @@
 	case len(wk.places) > 0:
 		return due, cr.waitFor(wk), true
 	case len(wk.foreign) > 0:
-		return due, cr.opts.LookGap, true
+		return due, cr.opts.PollInterval, true
 	case wk.observed > wk.told:
 		return latest(due, wk.lookedAt.Add(ackDelay)), 0, true
 	case wantsWord || wk.livedAt.Before(wk.probedAt):
@@ -238,9 +238,9 @@
 		}
 	}
 	if ends == 0 {
-		return cr.opts.LookWait
+		return cr.opts.PollWait
 	}
-	return min(cr.opts.LookWait, max(waitLeast, time.Duration(waitTimes/ends*float64(time.Second))))
+	return min(cr.opts.PollWait, max(waitLeast, time.Duration(waitTimes/ends*float64(time.Second))))
 }
 
 func latest(one, other time.Time) time.Time {
@@ -266,7 +266,7 @@
 	if len(cr.dirty) == 0 || cr.saving != nil {
 		return
 	}
-	if due := cr.savedAt.Add(cr.opts.SaveGap); !cr.urgentSave && due.After(now) {
+	if due := cr.savedAt.Add(cr.opts.SaveInterval); !cr.urgentSave && due.After(now) {
 		cr.wakeAt(due)
 		return
 	}
--- a/cell/preempt.go
+++ b/cell/preempt.go
@@ -105,12 +105,12 @@
 		return cmp.Or(-cmp.Compare(cr.queues[one.step.job.spec.Queue].Priority, cr.queues[other.step.job.spec.Queue].Priority), cmp.Compare(lostWork(one), lostWork(other)))
 	})
 	for _, pl := range lower {
-		if st.spec.Room().Fits(free) {
+		if st.spec.ResourceRequest().Fits(free) {
 			break
 		}
-		list, cost, free = append(list, pl), cost+lostWork(pl), free.Plus(pl.room)
+		list, cost, free = append(list, pl), cost+lostWork(pl), free.Add(pl.room)
 	}
-	return list, cost, len(list) > 0 && st.spec.Room().Fits(free)
+	return list, cost, len(list) > 0 && st.spec.ResourceRequest().Fits(free)
 }
 
 // lostWork is what a stop throws away, by processors and progress; a task that saves its progress loses little.
--- a/cell/preempt_test.go
+++ b/cell/preempt_test.go
@@ -93,7 +93,7 @@
 	bd, _ := preemptBed(t, tasks(4), 10, 10, 10, 10)
 	bd.core.Configure([]job.Queue{{ID: "first", Pool: bedPool, Priority: 3, MaxAttempts: 2, Stretch: 3, Slack: 10 * time.Second}})
 	// The look is answered, so that only what waits could wake the cell.
-	bd.pass(bd.core.opts.LookGap)
+	bd.pass(bd.core.opts.PollInterval)
 	bd.plan()
 	bd.core.Add(bd.now, Stored{Spec: &job.Spec{ID: "wait", Queue: "first", Pool: bedPool, Steps: []job.Step{tasks(1)}, Epoch: bedEpoch}})
 	bd.plan()
--- a/cell/registry.go
+++ b/cell/registry.go
@@ -13,7 +13,7 @@
 		cr.opts.Log(Decision{What: "worker drains", Worker: in.ID})
 	}
 	cr.renewals = cr.renewals || wk.known && in.Told.After(wk.info.Told)
-	if !wk.known && !in.Told.IsZero() && now.Sub(in.Told) > cr.opts.RoomFor {
+	if !wk.known && !in.Told.IsZero() && now.Sub(in.Told) > cr.opts.RegistrationMaxAge {
 		wk.untoldUntil = now.Add(RenewedWithin)
 	}
 	wk.info, wk.listed, wk.known, wk.unlistedAt = in, true, true, time.Time{}
@@ -29,9 +29,9 @@
 // roomOf is the room of a worker that is counted on. Some platforms do not tell that a registration was written anew and says the same; then its age
 // means nothing, but where it is old from the first.
 func (cr *Core) roomOf(now time.Time, wk *worker) job.Size {
-	old := now.Sub(wk.info.Told) > cr.opts.RoomFor
+	old := now.Sub(wk.info.Told) > cr.opts.RegistrationMaxAge
 	if old && (cr.renewals || now.Before(wk.untoldUntil)) {
-		return wk.info.Room.Over(roomUntold)
+		return wk.info.Room.Div(roomUntold)
 	}
 	return wk.info.Room
 }
--- a/cell/speed.go
+++ b/cell/speed.go
@@ -107,7 +107,7 @@
 			if cd == nil {
 				continue
 			}
-			cd.free = cd.free.Minus(pl.room)
+			cd.free = cd.free.Sub(pl.room)
 			ts := &pl.step.tasks[pl.task.Index]
 			ts.rescues++
 			ts.avoid = wk.info.ID
@@ -126,7 +126,7 @@
 	}
 	mean := cr.run.of(pl.step.job.spec.Queue).task.Seconds()
 	here := mean * float64(100-pl.progress) / 100 / max(speedFloor, pl.worker.speed.ratio(now))
-	elsewhere := cr.opts.StopTime.Seconds() + mean
+	elsewhere := cr.opts.StopTimeout.Seconds() + mean
 	if sp.Checkpointing && pl.step.tasks[pl.task.Index].checkpoint != "" {
 		elsewhere -= mean * float64(pl.progress) / 100
 	}
--- a/cell/stall_test.go
+++ b/cell/stall_test.go
@@ -51,7 +51,7 @@
 // would take several at once from a step that allows one.
 func TestWithheldWorkerKeepsWhatRuns(t *testing.T) {
 	bd := newBed(t, 2)
-	bd.add("lasting", bedEpoch, job.Step{Count: 2, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true, Budgeted: true, DisruptionBudget: 1})
+	bd.add("lasting", bedEpoch, job.Step{Count: 2, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true, HasDisruptionBudget: true, DisruptionBudget: 1})
 	for _, st := range bd.wantStarts(bd.plan(), 2) {
 		bd.ordered(st, Done)
 	}
--- a/cell/takeover_test.go
+++ b/cell/takeover_test.go
@@ -50,7 +50,7 @@
 func TestLeaseOfASilentWorkerEndsWithTheSlowestClock(t *testing.T) {
 	const lease = time.Minute
 	bd := newBed(t, 2)
-	bd.core.opts.Lease = lease
+	bd.core.opts.LeaseDuration = lease
 	bd.saved = true
 	bd.add("j", bedEpoch, tasks(1))
 	st := bd.wantStarts(bd.plan(), 1)[0]
@@ -112,7 +112,7 @@
 	bd := newBed(t, 1)
 	bd.core.TakeOver(bd.now, bd.now, []Ref{{ID: "far", Address: "far"}}, true)
 	bd.add("old", 1, tasks(1))
-	bd.pass(bd.core.slow(bd.core.opts.Lease) + horizonMargin + time.Millisecond)
+	bd.pass(bd.core.slow(bd.core.opts.LeaseDuration) + deliveryMargin + time.Millisecond)
 	bd.silence("far")
 	bd.wantStarts(bd.core.Plan(bd.now), 0)
 	bd.pass(time.Millisecond)
@@ -190,8 +190,8 @@
 func TestStopUnderWayCountsAsAway(t *testing.T) {
 	bd := newBed(t, 2)
 	lasting := tasks(2)
-	lasting.LongRunning, lasting.DisruptionBudget, lasting.Budgeted = true, 1, true
-	bd.core = New(bedPool, bedEpoch+1, Options{StopTime: 400 * time.Millisecond})
+	lasting.LongRunning, lasting.DisruptionBudget, lasting.HasDisruptionBudget = true, 1, true
+	bd.core = New(bedPool, bedEpoch+1, Options{StopTimeout: 400 * time.Millisecond})
 	bd.core.TakeOver(bd.now, bd.now, []Ref{{ID: "w0", Address: "w0"}, {ID: "w1", Address: "w1"}}, false)
 	bd.core.Configure([]job.Queue{{ID: "q", Pool: bedPool, MaxAttempts: 2}})
 	bd.add("j", 1, lasting)
--- a/cell/task.go
+++ b/cell/task.go
@@ -23,7 +23,7 @@
 	kept job.State
 	runs map[int]*run
 	// runsDone holds the runs that have ended well, nextRun is the first that has not begun.
-	runsDone job.Bits
+	runsDone job.Bitset
 	left     int
 	nextRun  int
 	// failed and attempts are what an earlier owner left.
@@ -121,7 +121,7 @@
 
 // dueAt is the due time of a run on the owner's clock; zero for a job without due times.
 func (js *jobState) dueAt(run int) time.Time {
-	due := js.spec.Due(run)
+	due := js.spec.DueTime(run)
 	if due.IsZero() {
 		return due
 	}
@@ -146,12 +146,12 @@
 	if _, known := cr.jobs[sd.Spec.ID]; known {
 		return
 	}
-	js := &jobState{core: cr, spec: sd.Spec, seen: now, cancelled: sd.Cancelled, runs: map[int]*run{}, left: sd.Spec.Runs(), version: sd.Version, before: sd.Progress}
+	js := &jobState{core: cr, spec: sd.Spec, seen: now, cancelled: sd.Cancelled, runs: map[int]*run{}, left: sd.Spec.RunCount(), version: sd.Version, before: sd.Progress}
 	js.carried = sd.Spec.Epoch < cr.epoch
 	if pg := sd.Progress; pg != nil {
-		js.begun = len(pg.Done) > 0 || len(pg.Failed) > 0 || len(pg.RunsDone) > 0
-		js.state, js.kept, js.runsDone = pg.State, pg.State, pg.RunsDone
-		for at := range sd.Spec.Runs() {
+		js.begun = len(pg.DoneTasks) > 0 || len(pg.FailedAttempts) > 0 || len(pg.CompletedRuns) > 0
+		js.state, js.kept, js.runsDone = pg.State, pg.State, pg.CompletedRuns
+		for at := range sd.Spec.RunCount() {
 			if js.runsDone.Has(at) {
 				js.left--
 			}
@@ -198,8 +198,8 @@
 	if js.before == nil || js.state.Ended() {
 		return
 	}
-	keySets := []iter.Seq[string]{maps.Keys(js.before.Done), maps.Keys(js.before.Failed), maps.Keys(js.before.Attempts), maps.Keys(js.before.Lost)}
-	for _, steps := range js.before.Open {
+	keySets := []iter.Seq[string]{maps.Keys(js.before.DoneTasks), maps.Keys(js.before.FailedAttempts), maps.Keys(js.before.Attempts), maps.Keys(js.before.Losses)}
+	for _, steps := range js.before.Unresolved {
 		keySets = append(keySets, maps.Keys(steps))
 	}
 	for _, keys := range keySets {
@@ -207,7 +207,7 @@
 			number, _, _ := strings.Cut(key, ".")
 			at, err := strconv.Atoi(number)
 			// A key of another form names no run of this job.
-			if err == nil && at >= 0 && at < js.spec.Runs() && !js.runsDone.Has(at) {
+			if err == nil && at >= 0 && at < js.spec.RunCount() && !js.runsDone.Has(at) {
 				js.begin(at)
 			}
 		}
@@ -239,7 +239,7 @@
 // find returns the step of a task, nil if the job is not known or has no such task.
 func (cr *Core) find(tk job.Task) *step {
 	js := cr.jobs[tk.Job]
-	if js == nil || tk.Run < 0 || tk.Run >= js.spec.Runs() || tk.Step < 0 || tk.Step >= len(js.spec.Steps) {
+	if js == nil || tk.Run < 0 || tk.Run >= js.spec.RunCount() || tk.Step < 0 || tk.Step >= len(js.spec.Steps) {
 		return nil
 	}
 	if tk.Index < 0 || tk.Index >= js.spec.Steps[tk.Step].Count || js.runsDone.Has(tk.Run) {
@@ -271,12 +271,12 @@
 
 // restore takes what is kept of a step.
 func (st *step) restore(pg *job.Progress) {
-	bits := pg.Done[job.StepKey(st.run, st.at)]
+	bits := pg.DoneTasks[job.StepKey(st.run, st.at)]
 	for at := range st.tasks {
 		ts := &st.tasks[at]
 		key := job.TaskKey(job.Task{Run: st.run, Step: st.at, Index: at})
-		ts.failed, ts.attempt = pg.Failed[key], max(pg.Attempts[key], job.Attempt(len(pg.Failed[key])))
-		if lost, ok := pg.Lost[key]; ok {
+		ts.failed, ts.attempt = pg.FailedAttempts[key], max(pg.Attempts[key], job.Attempt(len(pg.FailedAttempts[key])))
+		if lost, ok := pg.Losses[key]; ok {
 			ts.lost = recalled(lost)
 			st.job.abandoned = st.job.abandoned || len(ts.lost.open) > 0
 		}
--- a/cell/trial.go
+++ b/cell/trial.go
@@ -117,7 +117,7 @@
 			continue
 		}
 		cr.start(rd.now, st, at, cd, st.tasks[at].attempt+1)
-		rd.free = size(job.Size(rd.free).Minus(st.spec.Room()))
+		rd.free = size(job.Size(rd.free).Sub(st.spec.ResourceRequest()))
 	}
 	return all
 }
--- a/cell/vacate.go
+++ b/cell/vacate.go
@@ -35,7 +35,7 @@
 // mayDisturb reports whether one more task of a step may be away.
 func (cr *Core) mayDisturb(pl *placement) bool {
 	budget := 1
-	if pl.step.spec.Budgeted {
+	if pl.step.spec.HasDisruptionBudget {
 		budget = pl.step.spec.DisruptionBudget
 	}
 	away := 0
@@ -57,7 +57,7 @@
 // calm reports whether no stop of an earlier owner can still be under way on a worker: after the first look under this owner's
 // token none begins, and one that had begun is over, and seen, within the time of a stop.
 func (cr *Core) calm(wk *worker) bool {
-	return wk.lookedAt.Sub(wk.fencedAt) > cr.opts.StopTime+stopMargin
+	return wk.lookedAt.Sub(wk.fencedAt) > cr.opts.StopTimeout+stopMargin
 }
 
 // Throttling of tasks that take what is left, beside tasks that serve.
@@ -87,7 +87,7 @@
 			}
 			if next := nextPace(pl.pace, worst); next != pl.pace {
 				pl.pace, pl.paceSent = next, now
-				cr.opts.Log(Decision{What: "throttle", Task: pl.task, Attempt: pl.attempt, Worker: wk.info.ID, Why: "tail latency beside it", Age: now.Sub(wk.lookedAt)})
+				cr.opts.Log(Decision{What: "throttle", Task: pl.task, Attempt: pl.attempt, Worker: wk.info.ID, Why: "tail latency beside it", PollAge: now.Sub(wk.lookedAt)})
 				cr.order(Pace{Worker: wk.info.ID, Address: wk.info.Address, Token: cr.token(wk), Task: pl.task, Attempt: pl.attempt, Percent: next})
 			}
 		}
@@ -171,7 +171,7 @@
 		if named == adviceWorkers {
 			break
 		}
-		if st.spec.Room().Fits(cd.info.Room) && (st.spec.Label == "" || hasLabel(cd.info.Labels, st.spec.Label)) {
+		if st.spec.ResourceRequest().Fits(cd.info.Room) && (st.spec.Label == "" || hasLabel(cd.info.Labels, st.spec.Label)) {
 			ad.Workers = append(ad.Workers, cd.info.ID)
 			named++
 		}
--- a/cell/worker.go
+++ b/cell/worker.go
@@ -176,7 +176,7 @@
 func (wk *worker) put(pl *placement) {
 	wk.places[pl.task] = pl
 	wk.placed = append(wk.placed[:len(wk.placed):len(wk.placed)], pl)
-	wk.used = wk.used.Plus(pl.room)
+	wk.used = wk.used.Add(pl.room)
 	wk.ledger.count(pl.step.job.spec.Organisation, pl.step.spec.Size, 1)
 	wk.count(pl.step.spec, 1)
 	if pl.trial {
@@ -191,7 +191,7 @@
 	}
 	delete(wk.places, pl.task)
 	wk.placed = slices.DeleteFunc(slices.Clone(wk.placed), func(other *placement) bool { return other == pl })
-	wk.used = wk.used.Minus(pl.room)
+	wk.used = wk.used.Sub(pl.room)
 	wk.ledger.count(pl.step.job.spec.Organisation, pl.step.spec.Size, -1)
 	wk.count(pl.step.spec, -1)
 	if pl.trial {
@@ -238,7 +238,7 @@
 	if wk.clockAt.IsZero() {
 		return 0
 	}
-	return wk.clock + now.Sub(wk.clockAt).Milliseconds() + cr.opts.Lease.Milliseconds()
+	return wk.clock + now.Sub(wk.clockAt).Milliseconds() + cr.opts.LeaseDuration.Milliseconds()
 }
 
 // gave notes a lease's end, so that it is known when it has surely run out.
@@ -246,7 +246,7 @@
 	if until == 0 {
 		return
 	}
-	end := wk.clockAt.Add(cr.slow(time.Duration(until-wk.clock)*time.Millisecond) + horizonMargin)
+	end := wk.clockAt.Add(cr.slow(time.Duration(until-wk.clock)*time.Millisecond) + deliveryMargin)
 	if end.After(wk.leaseEnd) {
 		wk.leaseEnd = end
 	}
@@ -272,13 +272,13 @@
 		// A next owner is not to look for it there.
 		cr.change(pl.step.job)
 	}
-	cr.opts.Log(Decision{What: "attempt over", Task: pl.task, Attempt: pl.attempt, Worker: pl.worker.info.ID, Token: pl.token, Why: why, Age: now.Sub(pl.worker.lookedAt)})
+	cr.opts.Log(Decision{What: "attempt over", Task: pl.task, Attempt: pl.attempt, Worker: pl.worker.info.ID, Token: pl.token, Why: why, PollAge: now.Sub(pl.worker.lookedAt)})
 }
 
 // bury forgets a worker whose life has ended: nothing runs there any more. seen is the token that a later life under the name has seen, 0 if none
 // has answered.
 func (cr *Core) bury(now time.Time, wk *worker, why string, seen Token) {
-	cr.opts.Log(Decision{What: "worker gone", Worker: wk.info.ID, Why: why, Age: now.Sub(wk.lookedAt)})
+	cr.opts.Log(Decision{What: "worker gone", Worker: wk.info.ID, Why: why, PollAge: now.Sub(wk.lookedAt)})
 	cr.chargeLoss(now, wk, why, true)
 	for _, pl := range wk.placed {
 		// Another owner may have taken note of its end before the worker went.
--- a/cell/yield.go
+++ b/cell/yield.go
@@ -67,7 +67,7 @@
 		if rn != nil {
 			left -= rn.steps[at].done
 		}
-		sum += unit.part(js.spec.Steps[at].Room()) * float64(left) * mean
+		sum += unit.part(js.spec.Steps[at].ResourceRequest()) * float64(left) * mean
 	}
 	return sum
 }
--- a/fleet/accounts.go
+++ b/fleet/accounts.go
@@ -34,7 +34,7 @@
 		return false
 	}
 	for _, og := range cf.Organisations.List() {
-		if og.Bounded() {
+		if og.HasMaximum() {
 			return true
 		}
 	}
--- a/fleet/accounts_test.go
+++ b/fleet/accounts_test.go
@@ -14,7 +14,7 @@
 // boundFormat has two pools with a queue each, and an organisation that may have three cores on both together.
 type boundFormat struct{ plainFormat }
 
-var otherQueue = job.Queue{ID: "q2", Host: "h", Prefix: "/q2/", Pool: "pool2", MaxAttempts: 2, Stretch: 2, Slack: time.Second}
+var otherQueue = job.Queue{ID: "q2", Host: "h", PathPrefix: "/q2/", Pool: "pool2", MaxAttempts: 2, Stretch: 2, Slack: time.Second}
 
 func (boundFormat) Configuration(rw Row) (*job.Configuration, error) {
 	cf, err := plainFormat{}.Configuration(rw)
--- a/fleet/fakes_test.go
+++ b/fleet/fakes_test.go
@@ -390,7 +390,7 @@
 	return Row{Table: "status", Key: fmt.Sprintf("wave/%d", number), Value: fmt.Appendf(nil, "completed %t", completed)}, nil
 }
 
-var testQueue = job.Queue{ID: "q", Host: "h", Prefix: "/q/", Pool: "pool", MaxAttempts: 2, Stretch: 2, Slack: time.Second}
+var testQueue = job.Queue{ID: "q", Host: "h", PathPrefix: "/q/", Pool: "pool", MaxAttempts: 2, Stretch: 2, Slack: time.Second}
 
 // site is a number of nodes over one store and the same workers.
 type site struct {
--- a/fleet/figures.go
+++ b/fleet/figures.go
@@ -81,7 +81,7 @@
 		fields = append(fields, zap.Int("attempt", int(dc.Attempt)))
 	}
 	if dc.Worker != "" {
-		fields = append(fields, zap.String("worker", string(dc.Worker)), zap.Duration("lookAge", dc.Age))
+		fields = append(fields, zap.String("worker", string(dc.Worker)), zap.Duration("lookAge", dc.PollAge))
 	}
 	if dc.Token != 0 {
 		fields = append(fields, zap.Int64("token", int64(dc.Token)))
@@ -89,8 +89,8 @@
 	if dc.Why != "" {
 		fields = append(fields, zap.String("why", dc.Why))
 	}
-	if dc.Losses != 0 {
-		fields = append(fields, zap.Int("losses", dc.Losses))
+	if dc.LossCount != 0 {
+		fields = append(fields, zap.Int("losses", dc.LossCount))
 	}
 	if dc.Loss != nil {
 		fl.fig.workersLost.Inc(1)
@@ -98,9 +98,9 @@
 		fl.opts.Log.Emit(event.WorkerLost, append(fields, zap.Int("tasks", dc.Loss.Tasks), zap.Duration("sinceStart", dc.Loss.SinceStart), zap.Int("before", dc.Loss.Before), zap.String("excuse", dc.Loss.Excuse))...)
 		return
 	}
-	if len(dc.Lost) > 0 {
+	if len(dc.LostWorkers) > 0 {
 		fl.fig.givenUp.Inc(1)
-		fl.opts.Log.Emit(event.JobGivenUp, append(fields, zap.Any("lost", dc.Lost))...)
+		fl.opts.Log.Emit(event.JobGivenUp, append(fields, zap.Any("lost", dc.LostWorkers))...)
 		return
 	}
 	fl.opts.Log.Emit(event.CellDecided, fields...)
--- a/fleet/intake.go
+++ b/fleet/intake.go
@@ -95,7 +95,7 @@
 
 // verdict is what a caller is told who hands the job in once more.
 func (hm home) verdict(by job.OrganisationID) Verdict {
-	if !job.MayUse(by, hm.Organisation) {
+	if !job.MayAccess(by, hm.Organisation) {
 		return Foreign
 	}
 	return Accepted
--- a/fleet/keys.go
+++ b/fleet/keys.go
@@ -21,7 +21,7 @@
 	if cf.Organisations == nil {
 		return
 	}
-	for _, ky := range cf.Organisations.Shared() {
+	for _, ky := range cf.Organisations.SharedKeys() {
 		fl.opts.Log.Emit(event.KeyShared, zap.Int64("version", cf.Version), zap.String("key", ky.Fingerprint()))
 	}
 }
--- a/fleet/keys_test.go
+++ b/fleet/keys_test.go
@@ -36,10 +36,10 @@
 		if vd := hand(nd, "m1", "yard"); vd != Foreign {
 			t.Errorf("%d: second try of another organisation: %v", at, vd)
 		}
-		if _, err := nd.State(ctx, "yard", &testQueue, "m1"); !errors.Is(err, job.ErrForeign) {
+		if _, err := nd.State(ctx, "yard", &testQueue, "m1"); !errors.Is(err, job.ErrOtherOrganisation) {
 			t.Errorf("%d: seen by another: %v", at, err)
 		}
-		if err := nd.Cancel(ctx, "yard", "m1"); !errors.Is(err, job.ErrForeign) {
+		if err := nd.Cancel(ctx, "yard", "m1"); !errors.Is(err, job.ErrOtherOrganisation) {
 			t.Errorf("%d: cancelled by another: %v", at, err)
 		}
 		if _, err := nd.State(ctx, "yard", &testQueue, "n1"); err != nil {
@@ -55,7 +55,7 @@
 	three := st.start("three")
 	st.eventually("an answer of an instance that knows nothing of the job", func() bool {
 		_, err := three.State(ctx, "yard", &testQueue, "m1")
-		return errors.Is(err, job.ErrForeign)
+		return errors.Is(err, job.ErrOtherOrganisation)
 	})
 }
 
@@ -81,7 +81,7 @@
 	one.takeConfiguration(&next)
 	older := cf
 	one.takeConfiguration(&older)
-	if _, err := one.Configuration().Caller(&testQueue, "k"); !errors.Is(err, job.ErrNoKey) {
+	if _, err := one.Configuration().CallerOrganisation(&testQueue, "k"); !errors.Is(err, job.ErrNoKey) {
 		t.Errorf("a key that was taken away: %v", err)
 	}
 	st.eventually("the end of a job whose organisation is gone", func() bool {
--- a/fleet/organisations.go
+++ b/fleet/organisations.go
@@ -158,7 +158,7 @@
 		os.Keys = append(os.Keys, ky.Fingerprint())
 	}
 	for _, ol := range loads {
-		os.Running = os.Running.Plus(ol.Running)
+		os.Running = os.Running.Add(ol.Running)
 		os.Waiting += ol.Waiting
 		os.Oldest = max(os.Oldest, ol.Oldest)
 		if ol.AtLimit {
--- a/fleet/payloads_test.go
+++ b/fleet/payloads_test.go
@@ -95,8 +95,8 @@
 // TestPayloadsAreBounded: the oldest ones are forgotten.
 func TestPayloadsAreBounded(t *testing.T) {
 	ps := newPayloads()
-	text := strings.Repeat("x", job.MaxPayload)
-	const many = 2 * payloadBytes / job.MaxPayload
+	text := strings.Repeat("x", job.MaxPayloadBytes)
+	const many = 2 * payloadBytes / job.MaxPayloadBytes
 	for at := range many {
 		ps.put(job.ID(fmt.Sprint(at)), text)
 	}
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -104,8 +104,8 @@
 	if err != nil {
 		return "", err
 	}
-	if !job.MayUse(by, found.Organisation) {
-		return "", job.ErrForeign
+	if !job.MayAccess(by, found.Organisation) {
+		return "", job.ErrOtherOrganisation
 	}
 	if found.Cell != name {
 		if wd, ok := fl.askOwner(ctx, found.Cell, id); ok {
@@ -123,8 +123,8 @@
 
 // told is the word as a caller of an organisation may have it.
 func (wd word) told(by job.OrganisationID) (job.State, error) {
-	if !job.MayUse(by, wd.organisation) {
-		return "", job.ErrForeign
+	if !job.MayAccess(by, wd.organisation) {
+		return "", job.ErrOtherOrganisation
 	}
 	return wd.state, nil
 }
@@ -172,8 +172,8 @@
 	if err != nil {
 		return err
 	}
-	if !job.MayUse(by, hm.Organisation) {
-		return job.ErrForeign
+	if !job.MayAccess(by, hm.Organisation) {
+		return job.ErrOtherOrganisation
 	}
 	name := hm.Cell
 	tx := Tx{Write: []Row{{Table: jobTable(name), Part: partName(homePart(id)), Key: string(id) + cancelSuffix, Value: []byte("{}")}}}
--- a/fleet/workercache_test.go
+++ b/fleet/workercache_test.go
@@ -117,7 +117,7 @@
 		return wk.Told
 	}
 	fl.control.recordSuccess(start)
-	if got := read(start.Add(time.Second)); start.Sub(got) < cell.DefaultRoomFor {
+	if got := read(start.Add(time.Second)); start.Sub(got) < cell.DefaultRegistrationMaxAge {
 		t.Errorf("read whole a second after the store was back: told %v before that", start.Sub(got))
 	}
 	late := start.Add(2 * cell.RenewedWithin)
--- a/job/job.go
+++ b/job/job.go
@@ -46,8 +46,8 @@
 	MaxSteps   = 64
 	MaxTasks   = 4096
 	MaxRepeats = 10000
-	// MaxPayload is the longest text, in bytes, that the tasks of a job are given.
-	MaxPayload = 4000
+	// MaxPayloadBytes is the longest text, in bytes, that the tasks of a job are given.
+	MaxPayloadBytes = 4000
 )
 
 // Size is what a task takes or a worker has.
@@ -64,38 +64,38 @@
 	return sz.CPUMillis <= in.CPUMillis && sz.MemoryMB <= in.MemoryMB && sz.Accelerators <= in.Accelerators
 }
 
-// Plus adds two sizes.
-func (sz Size) Plus(other Size) Size {
+// Add adds two sizes.
+func (sz Size) Add(other Size) Size {
 	return Size{sz.CPUMillis + other.CPUMillis, sz.MemoryMB + other.MemoryMB, sz.Accelerators + other.Accelerators}
 }
 
-// Minus subtracts a size.
-func (sz Size) Minus(other Size) Size {
+// Sub subtracts a size.
+func (sz Size) Sub(other Size) Size {
 	return Size{sz.CPUMillis - other.CPUMillis, sz.MemoryMB - other.MemoryMB, sz.Accelerators - other.Accelerators}
 }
 
-// OrNone is the size with nothing in place of what is negative.
-func (sz Size) OrNone() Size {
+// NonNegative is the size with nothing in place of what is negative.
+func (sz Size) NonNegative() Size {
 	return Size{max(0, sz.CPUMillis), max(0, sz.MemoryMB), max(0, sz.Accelerators)}
 }
 
-// Most is the larger of two sizes in each figure.
-func (sz Size) Most(other Size) Size {
+// Max is the larger of two sizes in each figure.
+func (sz Size) Max(other Size) Size {
 	return Size{max(sz.CPUMillis, other.CPUMillis), max(sz.MemoryMB, other.MemoryMB), max(sz.Accelerators, other.Accelerators)}
 }
 
-// Least is the smaller of two sizes in each figure.
-func (sz Size) Least(other Size) Size {
+// Min is the smaller of two sizes in each figure.
+func (sz Size) Min(other Size) Size {
 	return Size{min(sz.CPUMillis, other.CPUMillis), min(sz.MemoryMB, other.MemoryMB), min(sz.Accelerators, other.Accelerators)}
 }
 
-// Times is a multiple of the size.
-func (sz Size) Times(count int) Size {
+// Mul is a multiple of the size.
+func (sz Size) Mul(count int) Size {
 	return Size{sz.CPUMillis * count, sz.MemoryMB * count, sz.Accelerators * count}
 }
 
-// Over is a part of the size, rounded down.
-func (sz Size) Over(parts int) Size {
+// Div is a part of the size, rounded down.
+func (sz Size) Div(parts int) Size {
 	return Size{sz.CPUMillis / parts, sz.MemoryMB / parts, sz.Accelerators / parts}
 }
 
@@ -128,12 +128,12 @@
 	BestEffort bool `json:"bestEffort,omitempty"`
 	// DisruptionBudget is how many tasks may be away at once by the system's doing.
 	DisruptionBudget int `json:"disruptionBudget,omitempty"`
-	// Budgeted tells a budget of 0 from none.
-	Budgeted bool `json:"budgeted,omitempty"`
+	// HasDisruptionBudget tells a budget of 0 from none.
+	HasDisruptionBudget bool `json:"budgeted,omitempty"`
 }
 
-// Room is what one task of the step counts for on a worker.
-func (st *Step) Room() Size {
+// ResourceRequest is what one task of the step counts for on a worker.
+func (st *Step) ResourceRequest() Size {
 	room := st.Size
 	if st.BestEffort {
 		room.CPUMillis = 0
@@ -164,62 +164,62 @@
 	Acceptor string `json:"acceptor,omitempty"`
 }
 
-// Runs is how many times the steps run.
-func (sp *Spec) Runs() int {
+// RunCount is how many times the steps run.
+func (sp *Spec) RunCount() int {
 	return max(1, sp.Repeats)
 }
 
-// Timed reports whether the job runs at due times.
-func (sp *Spec) Timed() bool {
+// HasSchedule reports whether the job runs at due times.
+func (sp *Spec) HasSchedule() bool {
 	return sp.Repeats > 0
 }
 
-// Due returns the due time of a run; zero for a job without due times.
-func (sp *Spec) Due(run int) time.Time {
-	if !sp.Timed() {
+// DueTime returns the due time of a run; zero for a job without due times.
+func (sp *Spec) DueTime(run int) time.Time {
+	if !sp.HasSchedule() {
 		return time.Time{}
 	}
 	return sp.FirstDue.Add(time.Duration(run) * sp.Interval)
 }
 
-// ErrSpec says that a job cannot be what its caller meant.
-var ErrSpec = errors.New("the job is not well formed")
+// ErrInvalidSpec says that a job cannot be what its caller meant.
+var ErrInvalidSpec = errors.New("the job is not well formed")
 
-// Check reports the first fault of a job.
-func (sp *Spec) Check() error {
+// Validate reports the first fault of a job.
+func (sp *Spec) Validate() error {
 	switch {
 	case len(sp.Steps) == 0 || len(sp.Steps) > MaxSteps:
-		return fmt.Errorf("%w: %d steps, 1 to %d are allowed", ErrSpec, len(sp.Steps), MaxSteps)
-	case len(sp.Payload) > MaxPayload:
-		return fmt.Errorf("%w: the payload has %d bytes, %d are allowed", ErrSpec, len(sp.Payload), MaxPayload)
+		return fmt.Errorf("%w: %d steps, 1 to %d are allowed", ErrInvalidSpec, len(sp.Steps), MaxSteps)
+	case len(sp.Payload) > MaxPayloadBytes:
+		return fmt.Errorf("%w: the payload has %d bytes, %d are allowed", ErrInvalidSpec, len(sp.Payload), MaxPayloadBytes)
 	case sp.Repeats < 0 || sp.Repeats > MaxRepeats:
-		return fmt.Errorf("%w: %d repeats, 0 to %d are allowed", ErrSpec, sp.Repeats, MaxRepeats)
+		return fmt.Errorf("%w: %d repeats, 0 to %d are allowed", ErrInvalidSpec, sp.Repeats, MaxRepeats)
 	case sp.Interval < 0:
-		return fmt.Errorf("%w: the interval is negative", ErrSpec)
+		return fmt.Errorf("%w: the interval is negative", ErrInvalidSpec)
 	}
 	tasks := 0
 	for at, st := range sp.Steps {
-		if err := st.check(at); err != nil {
+		if err := st.validate(at); err != nil {
 			return err
 		}
 		tasks += st.Count
 	}
 	if tasks > MaxTasks {
-		return fmt.Errorf("%w: %d tasks, %d are allowed", ErrSpec, tasks, MaxTasks)
+		return fmt.Errorf("%w: %d tasks, %d are allowed", ErrInvalidSpec, tasks, MaxTasks)
 	}
 	return nil
 }
 
-func (st *Step) check(at int) error {
+func (st *Step) validate(at int) error {
 	if st.Count < 1 || st.Count > MaxTasks {
-		return fmt.Errorf("%w: step %d has %d tasks, 1 to %d are allowed", ErrSpec, at, st.Count, MaxTasks)
+		return fmt.Errorf("%w: step %d has %d tasks, 1 to %d are allowed", ErrInvalidSpec, at, st.Count, MaxTasks)
 	}
 	if st.Size.CPUMillis < 0 || st.Size.MemoryMB < 0 || st.Size.Accelerators < 0 || st.SpreadLimit < 0 || st.DisruptionBudget < 0 {
-		return fmt.Errorf("%w: step %d has a negative number", ErrSpec, at)
+		return fmt.Errorf("%w: step %d has a negative number", ErrInvalidSpec, at)
 	}
 	for _, on := range st.DependsOn {
 		if on < 0 || on >= at {
-			return fmt.Errorf("%w: step %d depends on step %d, which is not an earlier one", ErrSpec, at, on)
+			return fmt.Errorf("%w: step %d depends on step %d, which is not an earlier one", ErrInvalidSpec, at, on)
 		}
 	}
 	return nil
@@ -236,19 +236,19 @@
 
 // Advice says how a queue's placements are approved by the advice service.
 type Advice struct {
-	// Decide and Each are how long an answer takes, at all and for each worker named.
-	Decide time.Duration
-	Each   time.Duration
-	// Valid is how long a ticket holds.
-	Valid time.Duration
+	// DecisionTime and Each are how long an answer takes, at all and for each worker named.
+	DecisionTime time.Duration
+	PerWorkerTime   time.Duration
+	// ValidFor is how long a ticket holds.
+	ValidFor time.Duration
 }
 
 // Queue is where callers hand in jobs of one kind.
 type Queue struct {
 	ID   QueueID
 	Host string
-	// Prefix is the path under which jobs are handed in; the job's id follows it.
-	Prefix   string
+	// PathPrefix is the path under which jobs are handed in; the job's id follows it.
+	PathPrefix   string
 	Pool     PoolID
 	Priority int
 	// MaxAttempts is how many failed attempts of a task fail its job.
@@ -287,12 +287,12 @@
 	Organisations *Directory
 }
 
-// Caller returns whose call it is that came to a queue with a key. Where the operator names no organisations, no call needs one.
-func (cf *Configuration) Caller(qu *Queue, text string) (OrganisationID, error) {
+// CallerOrganisation returns whose call it is that came to a queue with a key. Where the operator names no organisations, no call needs one.
+func (cf *Configuration) CallerOrganisation(qu *Queue, text string) (OrganisationID, error) {
 	if cf.Organisations == nil {
 		return "", nil
 	}
-	return cf.Organisations.Caller(qu, text)
+	return cf.Organisations.CallerOrganisation(qu, text)
 }
 
 // Queue returns a queue by its name, nil if there is none.
@@ -310,10 +310,10 @@
 	var best *Queue
 	for at := range cf.Queues {
 		qu := &cf.Queues[at]
-		if qu.Host != host || len(path) < len(qu.Prefix) || path[:len(qu.Prefix)] != qu.Prefix {
+		if qu.Host != host || len(path) < len(qu.PathPrefix) || path[:len(qu.PathPrefix)] != qu.PathPrefix {
 			continue
 		}
-		if best == nil || len(qu.Prefix) > len(best.Prefix) {
+		if best == nil || len(qu.PathPrefix) > len(best.PathPrefix) {
 			best = qu
 		}
 	}
--- a/job/organisation.go
+++ b/job/organisation.go
@@ -37,23 +37,23 @@
 	Maximum Size
 }
 
-// Bounded reports whether the organisation has a maximum.
-func (og *Organisation) Bounded() bool { return og.Maximum != Size{} }
+// HasMaximum reports whether the organisation has a maximum.
+func (og *Organisation) HasMaximum() bool { return og.Maximum != Size{} }
 
 // Errors of calls that an organisation's key has to allow.
 var (
 	// ErrNoKey says that the call has no key though its queue wants one, or one that the configuration does not hold.
 	ErrNoKey = errors.New("the call has no key of an organisation")
-	// ErrForeign says that the job is another organisation's.
-	ErrForeign = errors.New("the job is another organisation's")
+	// ErrOtherOrganisation says that the job is another organisation's.
+	ErrOtherOrganisation = errors.New("the job is another organisation's")
 )
 
 // Directory finds organisations by their keys. It does not change once it is built.
 type Directory struct {
 	list []Organisation
 	keys map[Key]OrganisationID
-	// shared are keys that several organisations hold.
-	shared []Key
+	// sharedKeys are keys that several organisations hold.
+	sharedKeys []Key
 }
 
 // NewDirectory returns a directory of some organisations, which it keeps in the order of their names. A key that several hold is the first
@@ -68,7 +68,7 @@
 			case !held:
 				dy.keys[ky] = og.ID
 			case holder != og.ID:
-				dy.shared = append(dy.shared, ky)
+				dy.sharedKeys = append(dy.sharedKeys, ky)
 			}
 		}
 	}
@@ -83,8 +83,8 @@
 	return dy.list
 }
 
-// Shared returns the keys that several organisations hold.
-func (dy *Directory) Shared() []Key { return dy.shared }
+// SharedKeys returns the keys that several organisations hold.
+func (dy *Directory) SharedKeys() []Key { return dy.sharedKeys }
 
 // Find returns an organisation by its name, nil if there is none.
 func (dy *Directory) Find(id OrganisationID) *Organisation {
@@ -98,9 +98,9 @@
 	return &dy.list[at]
 }
 
-// Caller returns whose call it is that came to a queue with a key, empty for a call without one to a public queue. A text that the
+// CallerOrganisation returns whose call it is that came to a queue with a key, empty for a call without one to a public queue. A text that the
 // configuration does not hold is refused at public queues, too: its caller believes to be somebody.
-func (dy *Directory) Caller(qu *Queue, text string) (OrganisationID, error) {
+func (dy *Directory) CallerOrganisation(qu *Queue, text string) (OrganisationID, error) {
 	if text == "" {
 		if qu.Public {
 			return "", nil
@@ -117,6 +117,6 @@
 	return id, nil
 }
 
-// MayUse reports whether a caller may see, send again or cancel a job: its organisation is the job's. A job that was handed in by nobody's key
+// MayAccess reports whether a caller may see, send again or cancel a job: its organisation is the job's. A job that was handed in by nobody's key
 // is anybody's who may call its queue.
-func MayUse(caller, owner OrganisationID) bool { return owner == "" || caller == owner }
+func MayAccess(caller, owner OrganisationID) bool { return owner == "" || caller == owner }
--- a/job/organisation_test.go
+++ b/job/organisation_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// ExampleDirectory_Caller shows whose call it is that comes with a key.
-func ExampleDirectory_Caller() {
+// ExampleDirectory_CallerOrganisation shows whose call it is that comes with a key.
+func ExampleDirectory_CallerOrganisation() {
 	dy := NewDirectory([]Organisation{{ID: "mill", Keys: []Key{NewKey("k1"), NewKey("k2")}}, {ID: "yard", Keys: []Key{NewKey("k3")}}})
-	id, err := dy.Caller(&Queue{}, "k2")
+	id, err := dy.CallerOrganisation(&Queue{}, "k2")
 	fmt.Println(id, err)
-	_, err = dy.Caller(&Queue{}, "k4")
+	_, err = dy.CallerOrganisation(&Queue{}, "k4")
 	fmt.Println(err)
-	id, err = dy.Caller(&Queue{Public: true}, "")
+	id, err = dy.CallerOrganisation(&Queue{Public: true}, "")
 	fmt.Printf("%q %v\n", id, err)
 	// Output:
 	// mill <nil>
@@ -26,17 +26,17 @@
 func TestMovedKeyAndGoneOrganisation(t *testing.T) {
 	before := NewDirectory([]Organisation{{ID: "mill", Keys: []Key{NewKey("k")}}, {ID: "yard"}})
 	after := NewDirectory([]Organisation{{ID: "yard", Keys: []Key{NewKey("k")}}})
-	if id, _ := before.Caller(&Queue{}, "k"); id != "mill" {
+	if id, _ := before.CallerOrganisation(&Queue{}, "k"); id != "mill" {
 		t.Errorf("before: %q", id)
 	}
-	if id, _ := after.Caller(&Queue{}, "k"); id != "yard" || MayUse(id, "mill") {
-		t.Errorf("after: %q, which may use the job of the former holder: %v", id, MayUse(id, "mill"))
+	if id, _ := after.CallerOrganisation(&Queue{}, "k"); id != "yard" || MayAccess(id, "mill") {
+		t.Errorf("after: %q, which may use the job of the former holder: %v", id, MayAccess(id, "mill"))
 	}
 	if after.Find("mill") != nil || after.Find("yard") == nil {
 		t.Error("organisations of the newer version")
 	}
 	var none *Directory
-	if _, err := none.Caller(&Queue{}, "k"); !errors.Is(err, ErrNoKey) || none.List() != nil || none.Find("x") != nil {
+	if _, err := none.CallerOrganisation(&Queue{}, "k"); !errors.Is(err, ErrNoKey) || none.List() != nil || none.Find("x") != nil {
 		t.Errorf("no directory: %v", err)
 	}
 }
