--- a/cell/options.go
+++ b/cell/options.go
@@ -46,7 +46,7 @@
 	// PollAge is how old the newest look at the worker was.
 	PollAge time.Duration
 	// Loss is set where a worker ended with tasks on it, Lost where a job is given up since workers end under it.
-	Loss *Loss
+	Loss        *Loss
 	LostWorkers []WorkerID
 	// LossCount is how many workers had ended under the task when it was started.
 	LossCount int
@@ -54,14 +54,14 @@
 
 // Defaults of the options.
 const (
-	DefaultLeaseDuration     = 5 * time.Second
-	DefaultRenewalWindow  = 7 * time.Second
-	DefaultPollWait  = time.Second
-	DefaultPollInterval   = 60 * time.Millisecond
-	DefaultSaveInterval   = 200 * time.Millisecond
-	DefaultMaxClockDrift = 0.02
-	DefaultRetention = 150 * time.Second
-	DefaultRegistrationMaxAge   = 3500 * time.Millisecond
+	DefaultLeaseDuration      = 5 * time.Second
+	DefaultRenewalWindow      = 7 * time.Second
+	DefaultPollWait           = time.Second
+	DefaultPollInterval       = 60 * time.Millisecond
+	DefaultSaveInterval       = 200 * time.Millisecond
+	DefaultMaxClockDrift      = 0.02
+	DefaultRetention          = 150 * time.Second
+	DefaultRegistrationMaxAge = 3500 * time.Millisecond
 	// deliveryMargin covers the time that an order spends on its way and in a process that is slow.
 	deliveryMargin = 500 * time.Millisecond
 )
--- a/job/job.go
+++ b/job/job.go
@@ -237,8 +237,8 @@
 // Advice says how a queue's placements are approved by the advice service.
 type Advice struct {
 	// DecisionTime and Each are how long an answer takes, at all and for each worker named.
-	DecisionTime time.Duration
-	PerWorkerTime   time.Duration
+	DecisionTime  time.Duration
+	PerWorkerTime time.Duration
 	// ValidFor is how long a ticket holds.
 	ValidFor time.Duration
 }
@@ -248,9 +248,9 @@
 	ID   QueueID
 	Host string
 	// PathPrefix is the path under which jobs are handed in; the job's id follows it.
-	PathPrefix   string
-	Pool     PoolID
-	Priority int
+	PathPrefix string
+	Pool       PoolID
+	Priority   int
 	// MaxAttempts is how many failed attempts of a task fail its job.
 	MaxAttempts int
 	// Stretch and Slack give the objective: Stretch times the longest chain of work, plus Slack.
--- a/job/progress.go
+++ b/job/progress.go
@@ -33,8 +33,8 @@
 // Losses are the workers that ended while a task was on them.
 type Losses struct {
 	// Workers names the lives that broke off while it ran, Weak counts those that tell little of a cause.
-	Workers []string `json:"workers,omitempty"`
-	WeakCount    int      `json:"weak,omitempty"`
+	Workers   []string `json:"workers,omitempty"`
+	WeakCount int      `json:"weak,omitempty"`
 	// Late means that one of them ended a while after its start.
 	Late bool `json:"late,omitempty"`
 	// Suspect means that the task may have caused it.
