--- a/fleet/machinecontroller.go
+++ b/fleet/machinecontroller.go
@@ -16,54 +16,57 @@
 	"go.uber.org/zap"
 )
 
-// Times of looking after machines.
+// Intervals and timeouts of the machine controller.
 const (
-	// dutyEvery is how often a keeper plans.
+	// machinePlanInterval is how often the controller plans maintenance waves.
 	machinePlanInterval = 200 * time.Millisecond
-	// listEvery is how often the list of machines is read while a wave is under way.
+	// machineListInterval is how often the list of machines is read while a wave is in progress.
 	machineListInterval = 700 * time.Millisecond
-	// dutyQuiet is how long a new holder gives no orders for machines that another one may just have dealt with.
+	// machineCooldown is how long a new leader sends no orders for a machine that the previous leader may just have sent an order
+	// for.
 	machineCooldown = 3200 * time.Millisecond
-	// machineTimeout bounds one call about machines.
+	// machineTimeout bounds one call of the machine API.
 	machineTimeout = 1500 * time.Millisecond
-	// tokenShift is the room for a counter below the epoch in tokens for machines.
+	// tokenShift is the number of low bits of a machine fencing token that are left for a counter; the bits above hold the lease
+	// epoch.
 	tokenShift = 14
 )
 
-// Machines lists machines and gives orders to them.
+// Machines lists machines and sends orders for them.
 type Machines interface {
 	List(ctx context.Context) ([]machine.Machine, error)
 	Service(ctx context.Context, id cell.MachineID, wave int, holder string, token cell.Token) machine.Outcome
 	Move(ctx context.Context, id cell.MachineID, to job.PoolID, holder string, token cell.Token) machine.Outcome
 }
 
-// waveRecord is the row of a wave's course.
+// waveRecord is the stored progress of a wave.
 type waveRecord struct {
 	Done     []cell.MachineID `json:"done,omitempty"`
 	Finished bool             `json:"finished,omitempty"`
 }
 
-// duty looks after machines while this instance holds that duty, and remembers the waves while it does not.
+// machineController runs maintenance waves and moves machines between pools while this instance holds the machine lease. It keeps
+// track of the waves while it does not, so that it can take over.
 type machineController struct {
 	fl         *Fleet
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex // guards the fields below
 	waves      map[int]machine.Wave
 	records    map[int]waveRecord
 	waveRunner *machine.Keeper
 	sizer      *machine.Sizer
-	// before is the row of the holder before.
+	// previous is the lease row of the previous leader.
 	previous ownerRow
 	cancel   context.CancelFunc
-	// renewing is held while the lease is renewed.
+	// renewing serializes renewals of the lease.
 	renewing sync.Mutex
-	// tasks are the goroutines of the present tenure.
+	// tasks tracks the goroutines of the current term of leadership.
 	tasks *sync.WaitGroup
 	row   ownerRow
 	lease machineLease
 	token cell.Token
-	// clear are the wanted workers that were empty when their owners were asked last.
+	// drained holds the cordoned workers that were empty when their cells' owners last reported.
 	drained map[cell.WorkerName]bool
-	// rows wait for a renewal to write them; hurry tells that there are new ones.
+	// pendingRows are written by the next renewal; rowsPending signals that rows were added.
 	pendingRows []*pendingRow
 	rowsPending chan struct{}
 }
@@ -72,7 +75,7 @@
 	return &machineController{fl: fl, waves: map[int]machine.Wave{}, records: map[int]waveRecord{}, rowsPending: make(chan struct{}, 1)}
 }
 
-// takeWave takes a wave that the operator has asked for.
+// applyWave adds or removes a wave that the operator has requested.
 func (ct *machineController) applyWave(wv machine.Wave, deleted bool) {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
@@ -83,7 +86,7 @@
 	ct.waves[wv.Number] = wv
 }
 
-// takeRecord takes what is kept of a wave's course.
+// applyWaveRecord applies the stored progress of a wave.
 func (ct *machineController) applyWaveRecord(rw Row) {
 	number, err := strconv.Atoi(strings.TrimPrefix(rw.Key, wavePrefix))
 	var rc waveRecord
@@ -96,7 +99,8 @@
 	ct.records[number] = rc
 }
 
-// startDuty begins to look after machines. before is the row that this instance's claim replaced.
+// startMachineController starts the controller after this instance has claimed the machine lease. previous is the row that the
+// claim replaced.
 func (fl *Fleet) startMachineController(ctx context.Context, row, previous ownerRow) {
 	ctx, cancel := context.WithCancel(ctx)
 	ct := fl.controller
@@ -107,9 +111,9 @@
 	ct.waveRunner, ct.cancel, ct.row = machine.NewKeeper(fl.opts.Now(), machineCooldown), cancel, row
 	ct.sizer, ct.previous = machine.NewSizer(fl.opts.Sizes), previous
 	ct.token = cell.Token(row.epoch()) << tokenShift
-	// What an earlier tenure did not get written is decided anew.
+	// Rows that an earlier term of leadership did not write are decided again.
 	ct.pendingRows, ct.drained = nil, nil
-	// What the one before it rested from, a holder after this one has to as well.
+	// Cooldowns inherited from the previous leader also apply to the next one.
 	ct.lease = machineLease{version: row.version, ordered: map[cell.MachineID]*machineOrders{}}
 	for id, left := range previous.Ordered {
 		ct.lease.ordersFor(id).lastDone = previous.seenAt.Add(left - machineCooldown)
@@ -122,13 +126,13 @@
 	tasks.Go(func() { ct.sizePools(ctx) })
 }
 
-// run plans until the context ends.
+// run plans and executes maintenance orders until the context ends.
 func (ct *machineController) run(ctx context.Context) {
 	var listed time.Time
 	for ctx.Err() == nil {
 		sleep(ctx, machinePlanInterval)
 		now := ct.fl.opts.Now()
-		ct.updateKeeper(now)
+		ct.updateWaves(now)
 		ct.mu.Lock()
 		busy := ct.waveRunner.Busy()
 		ct.mu.Unlock()
@@ -149,7 +153,7 @@
 	}
 }
 
-// serviced are the machines whose maintenance is ordered.
+// servicedMachines returns the machines that the orders start maintenance on.
 func servicedMachines(orders []machine.Order) []cell.MachineID {
 	var ids []cell.MachineID
 	for _, od := range orders {
@@ -160,8 +164,8 @@
 	return ids
 }
 
-// feed hands the keeper what is known of waves and drains.
-func (ct *machineController) updateKeeper(now time.Time) {
+// updateKeeper passes the known waves and drains to the wave runner.
+func (ct *machineController) updateWaves(now time.Time) {
 	ct.fl.members.mu.RLock()
 	drains := maps.Clone(ct.fl.members.drains)
 	ct.fl.members.mu.RUnlock()
@@ -193,7 +197,7 @@
 	ct.waveRunner.List(sentAt, list)
 }
 
-// carryOut does what the keeper ordered.
+// execute carries out an order of the wave runner.
 func (ct *machineController) execute(ctx context.Context, od machine.Order) {
 	switch order := od.(type) {
 	case machine.Want:
@@ -204,7 +208,7 @@
 	case machine.Release:
 		ct.deleteRow(drainPrefix + string(order.Machine))
 	case machine.Record:
-		ct.recordWave(order.Wave, waveRecord{Done: order.Done})
+		ct.saveWaveRecord(order.Wave, waveRecord{Done: order.Done})
 	case machine.Report:
 		ct.reportWave(ctx, order)
 	}
@@ -220,7 +224,8 @@
 	ct.waveRunner.Serviced(ct.fl.opts.Now(), sv, oc)
 }
 
-// report writes a wave's state for the operator. An end is kept as well, so that a later holder leaves the wave alone.
+// reportWave writes a wave's state for the operator. Completion is also stored in the controller's own record, so that a later
+// leader does not run the wave again.
 func (ct *machineController) reportWave(ctx context.Context, rp machine.Report) {
 	rw, err := ct.fl.opts.Format.WaveStatus(rp.Wave, rp.Completed)
 	if err != nil {
@@ -230,18 +235,18 @@
 	ct.fl.opts.Log.Emit(event.WaveReported, zap.Int("wave", rp.Wave), zap.Bool("completed", rp.Completed))
 	tx := Tx{Write: []Row{rw}}
 	if !rp.Completed {
-		// Under the condition that nothing is told yet: one that is carried out late must not undo the word that the wave is over.
+		// Requires that no state has been reported yet: a delayed write must not overwrite the report that the wave is complete.
 		tx.Expect = []Expect{{rw.Place(), 0}}
 	}
 	ct.spawn(func() {
 		ct.commitUntilDone(ctx, tx)
 		if rp.Completed {
-			ct.recordWave(rp.Wave, waveRecord{Finished: true})
+			ct.saveWaveRecord(rp.Wave, waveRecord{Finished: true})
 		}
 	})
 }
 
-// tellUntil tries a write for the operator until it is done, somebody else has written, or the duty ends.
+// commitUntilDone retries a write for the operator until it succeeds, conflicts with another write, or the context ends.
 func (ct *machineController) commitUntilDone(ctx context.Context, tx Tx) {
 	for ctx.Err() == nil {
 		callCtx, cancel := context.WithTimeout(ctx, writeTimeout)
@@ -254,11 +259,11 @@
 	}
 }
 
-func (ct *machineController) recordWave(wave int, rc waveRecord) {
+func (ct *machineController) saveWaveRecord(wave int, rc waveRecord) {
 	ct.putRow(wavePrefix+strconv.Itoa(wave), rc)
 }
 
-// dropLost ends the duty once another holder was met.
+// stepDownIfReplaced stops the controller if another instance holds the lease.
 func (ct *machineController) stepDownIfReplaced() {
 	or := ct.fl.members.owner(machinesCell)
 	ct.mu.Lock()
@@ -273,14 +278,14 @@
 	}
 }
 
-// held reports whether this instance holds the duty.
+// isLeader reports whether this instance runs the controller.
 func (ct *machineController) isLeader() bool {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
 	return ct.cancel != nil
 }
 
-// handOver leaves the duty without a holder, once none of its orders is under way any more.
+// handOver releases the lease after all orders in flight have ended.
 func (ct *machineController) handOver(ctx context.Context) {
 	ct.mu.Lock()
 	if ct.cancel == nil {
--- a/fleet/machinelease.go
+++ b/fleet/machinelease.go
@@ -12,52 +12,57 @@
 	"go.uber.org/zap"
 )
 
-// Times of the lease under which orders to machines are given. Where the platform does not check tokens, nothing but this lease keeps two
-// holders apart: the row of the duty is renewed under the condition that nobody else has written it, and taken from a holder only in the
-// version in which it has stood still for longer than the term that it tells.
+// Intervals of the machine lease, under which orders for machines are sent. If the platform does not check fencing tokens, this
+// lease is the only thing that keeps two leaders apart. The lease row is renewed on the condition that nobody else has written
+// it. Another instance claims it only if the row has not changed for longer than the term that it states, and only in that
+// unchanged version.
 const (
-	// dutyRenew is how often the holder renews its lease, renewAgain the least time between a try that failed and the next.
+	// machineLeaseRenewInterval is how often the leader renews the lease, machineLeaseRetryDelay the minimum delay after a failed
+	// attempt.
 	machineLeaseRenewInterval = 300 * time.Millisecond
 	machineLeaseRetryDelay    = 200 * time.Millisecond
-	// dutyTerm is how long orders may be under way after a renewal was sent to a store that is fast. A slow one adds termPaces times what a
-	// transaction takes, up to dutyTermMost; else no renewal would be answered in time, and no order given. The row tells the term.
+	// machineLeaseTermMin is how long orders may be in flight after a renewal was sent to a fast store. On a slow store the term
+	// grows by machineLeaseLatencyFactor times the commit latency, up to machineLeaseTermMax; otherwise no renewal would be
+	// answered in time and no order could be sent. The lease row states the term.
 	machineLeaseTermMin       = 1100 * time.Millisecond
 	machineLeaseTermMax       = 3 * time.Second
 	machineLeaseLatencyFactor = 4
-	// announceTries is how often machines are announced before the orders for them are dropped: where an answer is lost the next try finds the
-	// row written, which may be one that does not name them yet.
+	// announceAttempts is how often the controller tries to publish machines in the lease row before it drops the orders for
+	// them. After a lost answer, the next attempt finds that the row was written, possibly by an earlier renewal that does not
+	// list the machines yet.
 	announceAttempts = 3
-	// dutyMargin is by how much longer than its term the row must have stood still before another instance takes the duty: what clocks may
-	// differ in rate, and what an order needs on its way.
+	// machineLeaseMargin is how much longer than its term the row must be unchanged before another instance claims the lease. It
+	// covers the difference in clock rates and the delivery time of an order.
 	machineLeaseMargin = 300 * time.Millisecond
 )
 
-// dutyPlace is the row of the machines' duty.
+// machineLeasePlace is the place of the machine lease row.
 var machineLeasePlace = Place{tableControl, machinesCell, ownerKey}
 
-// dutyLease is the right to give orders to machines.
+// machineLease is the right to send orders for machines.
 type machineLease struct {
-	// version is that of the duty's row.
+	// version is the version of the lease row.
 	version int64
-	// until is when the right ends.
+	// expires is when the lease ends unless it is renewed.
 	expires time.Time
-	// tried is when the first try at the present renewal was sent; zero if none is under way.
+	// firstAttempt is when the first attempt of the current renewal was sent; zero if no renewal is in progress.
 	firstAttempt time.Time
-	// ordered are the machines that orders have been given for of late, or are to be; named those that the duty's row names.
+	// ordered holds the machines with recent or planned orders; published is what the lease row states about them.
 	ordered   map[cell.MachineID]*machineOrders
 	published map[cell.MachineID]time.Duration
 }
 
-// orderedMachine is what is known of the orders for a machine.
+// machineOrders is the state of the orders for one machine.
 type machineOrders struct {
-	// over is when the last order was over, announced whether another may follow, and active how many are under way.
+	// lastDone is when the last order ended, announced is set while an order may follow, and inFlight counts the orders in
+	// progress.
 	lastDone  time.Time
 	announced bool
 	inFlight  int
 }
 
-// recent are the machines that a holder after this one must leave alone, and for how long from now. Orders that may still be given, or are
-// under way, are over with the term at the latest.
+// cooldowns returns the machines that the next leader must not send orders for, and for how long from now. Planned orders and
+// orders in flight have ended by the end of the term at the latest.
 func (ml *machineLease) cooldowns(now time.Time, term time.Duration) map[cell.MachineID]time.Duration {
 	list := map[cell.MachineID]time.Duration{}
 	for id, om := range ml.ordered {
@@ -74,7 +79,7 @@
 	return list
 }
 
-// of is what is known of a machine.
+// ordersFor returns the state of the orders for a machine.
 func (ml *machineLease) ordersFor(id cell.MachineID) *machineOrders {
 	om, ok := ml.ordered[id]
 	if !ok {
@@ -84,7 +89,7 @@
 	return om
 }
 
-// renew keeps the lease until the context ends or another holder is met.
+// renewLoop renews the lease until the context ends.
 func (ct *machineController) renewLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		sent := ct.fl.opts.Now()
@@ -92,13 +97,13 @@
 		if ct.renewOnce(ctx, nil) {
 			every = machineLeaseRenewInterval
 		}
-		// What a try took is part of the time until the next.
+		// The duration of the attempt counts toward the interval.
 		ct.waitForRenewal(ctx, every-ct.fl.opts.Now().Sub(sent))
 	}
 }
 
-// renewOnce makes one try and reports whether the lease was renewed. The row names the machines for which orders have been given of late
-// and those for which orders are to follow.
+// renewOnce makes one attempt and reports whether the lease was renewed. The row lists the machines with recent orders, and those
+// in next, which orders are planned for.
 func (ct *machineController) renewOnce(ctx context.Context, next []cell.MachineID) bool {
 	ct.renewing.Lock()
 	defer ct.renewing.Unlock()
@@ -112,7 +117,7 @@
 		ct.lease.ordersFor(id).announced = true
 	}
 	term := ct.fl.machineLeaseTerm()
-	// From now on the others may see this row, whose term may be shorter than the one before.
+	// Other instances may see this row from now on, and its term may be shorter than the previous one.
 	if end := now.Add(term); end.Before(ct.lease.expires) {
 		ct.lease.expires = end
 	}
@@ -145,12 +150,13 @@
 	return false
 }
 
-// dutyTerm is the term that a renewal asks for now.
+// machineLeaseTerm returns the term to request, which depends on the current commit latency.
 func (fl *Fleet) machineLeaseTerm() time.Duration {
 	return min(machineLeaseTermMax, max(machineLeaseTermMin, machineLeaseRenewInterval+machineLeaseLatencyFactor*fl.store.commitLatency()))
 }
 
-// renewed notes a renewal. The others may have seen the first of its tries, so the time runs from that one.
+// recordRenewal records a successful renewal. The new term runs from the first attempt, because other instances may have seen the
+// row that it wrote.
 func (ct *machineController) recordRenewal(version int64, or ownerRow, rows []*pendingRow) {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
@@ -159,8 +165,8 @@
 	ct.lease.published = or.Ordered
 }
 
-// stillMine reports whether the rows of a conflict show the duty's row as this instance wrote it in a try whose answer was lost. Then that
-// try is what renewed the lease: it counts from the first one, since any of them may have written the row.
+// recoverRenewal reports whether a conflict was caused by this instance's own write whose answer was lost. In that case the write
+// renewed the lease, and the term runs from the first attempt, since any of the attempts may have written the row.
 func (ct *machineController) recoverRenewal(cf *Conflict) bool {
 	for _, rw := range cf.Rows {
 		var or ownerRow
@@ -185,28 +191,29 @@
 	return false
 }
 
-// leaseVersion is the newest version of the duty's row that is known here.
+// leaseVersion returns the newest known version of the lease row.
 func (ct *machineController) leaseVersion() int64 {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
 	return ct.lease.version
 }
 
-// leased reports whether orders may be given.
+// leaseValid reports whether orders may be sent.
 func (ct *machineController) leaseValid(now time.Time) bool {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
 	return ct.cancel != nil && now.Before(ct.lease.expires)
 }
 
-// begin runs a part of the present tenure in the background.
+// spawn runs a task of the current term of leadership in the background.
 func (ct *machineController) spawn(task func()) {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
 	ct.tasks.Go(task)
 }
 
-// order gives one order for a machine that was announced, if the lease allows it. It is given up, and cannot be carried out any more, when the lease ends.
+// sendOrder sends one order for a machine that was announced, if the lease allows it. When the lease expires, the call is
+// cancelled; after that the order can't be carried out any more.
 func (ct *machineController) sendOrder(ctx context.Context, id cell.MachineID, send func(context.Context) machine.Outcome) machine.Outcome {
 	now := ct.fl.opts.Now()
 	ct.mu.Lock()
@@ -221,7 +228,7 @@
 		return machine.Refused
 	}
 	om.inFlight++
-	// A handover waits for it.
+	// A handover waits for the order to end.
 	tasks.Add(1)
 	ct.mu.Unlock()
 	defer func() {
@@ -236,8 +243,8 @@
 	return send(ctx)
 }
 
-// announce has the duty's row name machines before orders are given for them, so that whoever holds the duty next knows which ones to
-// leave alone for a while. Orders for machines that could not be announced are refused.
+// announce publishes machines in the lease row before orders for them are sent, so that the next leader knows which machines to
+// leave alone for a while. Orders for machines that could not be published are refused.
 func (ct *machineController) announce(ctx context.Context, ids []cell.MachineID) {
 	if len(ids) == 0 {
 		return
@@ -249,7 +256,7 @@
 	}
 }
 
-// names reports whether the duty's row, as far as is known here, names some machines.
+// isPublished reports whether the newest known lease row lists all the given machines.
 func (ct *machineController) isPublished(ids []cell.MachineID) bool {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
@@ -259,7 +266,8 @@
 	})
 }
 
-// resting reports whether the holder before may have given an order for a machine so lately that this one waits. The caller holds the lock.
+// coolingDown reports whether the previous leader may have sent an order for a machine so recently that the machine must wait.
+// The caller holds the lock.
 func (ct *machineController) coolingDown(now time.Time, id cell.MachineID) bool {
 	left, published := ct.previous.Ordered[id]
 	return published && now.Before(ct.previous.seenAt.Add(left))
--- a/fleet/machinerows.go
+++ b/fleet/machinerows.go
@@ -10,24 +10,24 @@
 	"go.uber.org/zap"
 )
 
-// The rows that the holder of the machines' duty keeps beside the duty's own: wanted machines and the course of waves. They need the
-// condition that the duty is still held, and lie in the duty's part, which takes its transactions in turn. So they are written with the
-// renewals of the lease: in transactions of their own they would hold up the renewals, and a wave of some dozen machines on a slow store
-// would cost the lease.
+// Rows that the leader stores besides the lease: machine drains and the progress of waves. They may be written only while the
+// lease is held, and they lie in the same part of the store as the lease row; a part runs its transactions one at a time. The
+// rows are therefore written together with the lease renewals. In separate transactions they would delay the renewals, and a wave
+// of a few dozen machines on a slow store would lose the lease.
 const (
-	// rowsMost is how many of them one renewal takes along, which leaves room below a transaction's 100 entries.
+	// maxRowsPerRenewal bounds the rows of one renewal, and leaves room below the limit of 100 entries for a transaction.
 	maxRowsPerRenewal = 60
-	// rowsGather is how long a renewal that is hurried by a row waits for others of the same round.
+	// rowBatchDelay is how long a renewal that is triggered by a row waits for more rows of the same planning round.
 	rowBatchDelay = 10 * time.Millisecond
 )
 
-// dutyRow is a row that waits to be written, or removed if it has no value.
+// pendingRow is a row to write, or to delete if its value is nil.
 type pendingRow struct {
 	place Place
 	value []byte
 }
 
-// keep has a row written with the next renewal, which is hurried.
+// putRow writes a row with the next renewal and triggers that renewal.
 func (ct *machineController) putRow(key string, value any) {
 	raw, err := json.Marshal(value)
 	if err != nil {
@@ -37,12 +37,12 @@
 	ct.enqueueRow(&pendingRow{Place{tableControl, machinesCell, key}, raw})
 }
 
-// drop has a row removed with the next renewal, which is hurried.
+// deleteRow deletes a row with the next renewal and triggers that renewal.
 func (ct *machineController) deleteRow(key string) {
 	ct.enqueueRow(&pendingRow{place: Place{tableControl, machinesCell, key}})
 }
 
-// enqueue puts a row in the place of an earlier wish for the same one.
+// enqueueRow adds a row, replacing an earlier pending change of the same row.
 func (ct *machineController) enqueueRow(pr *pendingRow) {
 	ct.mu.Lock()
 	ct.pendingRows = slices.DeleteFunc(ct.pendingRows, func(other *pendingRow) bool { return other.place == pr.place })
@@ -54,7 +54,7 @@
 	}
 }
 
-// rowsFor puts the rows that waited longest into a renewal and returns them. The caller holds the lock.
+// addPendingRows adds the oldest pending rows to a renewal and returns them. The caller holds the lock.
 func (ct *machineController) addPendingRows(tx *Tx) []*pendingRow {
 	taken := slices.Clone(ct.pendingRows[:min(len(ct.pendingRows), maxRowsPerRenewal)])
 	for _, pr := range taken {
@@ -67,12 +67,12 @@
 	return taken
 }
 
-// kept forgets rows that were written, unless there is a newer wish for them. The caller holds the lock.
+// removeWritten removes rows that were written, unless they have been replaced by a newer change. The caller holds the lock.
 func (ct *machineController) removeWritten(rows []*pendingRow) {
 	ct.pendingRows = slices.DeleteFunc(ct.pendingRows, func(pr *pendingRow) bool { return slices.Contains(rows, pr) })
 }
 
-// pause waits before the next renewal, shorter if rows wait that have not been tried.
+// waitForRenewal waits until the next renewal is due. It returns early if new rows have been added.
 func (ct *machineController) waitForRenewal(ctx context.Context, span time.Duration) {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
--- a/fleet/members.go
+++ b/fleet/members.go
@@ -76,7 +76,7 @@
 type members struct {
 	now   func() time.Time
 	log   *event.Logger
-	mu    sync.RWMutex // guards what follows
+	mu    sync.RWMutex // guards the fields below
 	nodes map[string]node
 	// versions are those of the rows of instances.
 	versions   map[string]int64
--- a/fleet/orderqueue.go
+++ b/fleet/orderqueue.go
@@ -8,31 +8,32 @@
 	"github.com/aspenseam/aspenseam/cell"
 )
 
-// Bounds of the orders that are under way to one worker.
+// Bounds of the orders in flight to one worker.
 const (
-	// laneSlow is how long an order keeps those behind it waiting; then the next one goes, on another connection.
+	// slowOrderDelay is how long an unanswered order blocks the queue; then the next order is sent on another connection.
 	slowOrderDelay = 30 * time.Millisecond
-	// laneMost is how many orders are under way at once.
+	// maxOrdersInFlight bounds the orders in flight at once.
 	maxOrdersInFlight = 3
-	// laneSilent is after how many silent orders in a row the worker counts as gone, and laneQuiet how long no starts are sent to it then.
+	// unansweredLimit is the number of unanswered orders in a row after which the worker counts as unresponsive, and
+	// unansweredPause is how long no starts are sent to it then.
 	unansweredLimit = 2
 	unansweredPause = 300 * time.Millisecond
 )
 
-// lane sends orders to one worker in turn, over one connection as long as they are answered.
+// orderQueue sends orders to one worker in sequence, over one connection as long as they are answered promptly.
 type orderQueue struct {
 	workers Workers
 	now     func() time.Time
-	// patience is how long an order may wait for its turn; 0 for any time.
+	// maxWait bounds how long an order may wait in the queue; 0 means no bound.
 	maxWait time.Duration
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	queue   []queuedOrder
-	// active counts the orders under way, silent those in a row that were not answered.
+	// inFlight counts the orders in flight, unanswered the consecutive orders without an answer.
 	inFlight, unanswered int
 	pausedUntil          time.Time
 }
 
-// queued is an order in a lane, with who is told what became of it.
+// queuedOrder is an order in the queue and the callback for its result.
 type queuedOrder struct {
 	order    cell.Order
 	queuedAt time.Time
@@ -43,7 +44,7 @@
 	return &orderQueue{workers: workers, now: now}
 }
 
-// add puts an order at the end of the lane.
+// enqueue appends an order to the queue.
 func (oq *orderQueue) enqueue(ctx context.Context, od cell.Order, done func(cell.Ordered)) {
 	oq.mu.Lock()
 	defer oq.mu.Unlock()
@@ -54,7 +55,7 @@
 	}
 }
 
-// widen sends a further order beside those whose answers take long.
+// sendNext sends the next order without waiting for the slow ones in flight.
 func (oq *orderQueue) sendNext(ctx context.Context) {
 	oq.mu.Lock()
 	defer oq.mu.Unlock()
@@ -64,7 +65,7 @@
 	}
 }
 
-// next takes the next order; it reports whether there is one, and whether it may be sent.
+// next removes the first order from the queue. ok reports whether there was one, and send whether it may be sent.
 func (oq *orderQueue) next() (qo queuedOrder, send, ok bool) {
 	oq.mu.Lock()
 	defer oq.mu.Unlock()
@@ -75,19 +76,20 @@
 	qo, oq.queue = oq.queue[0], oq.queue[1:]
 	now := oq.now()
 	_, start := qo.order.(cell.Start)
-	// Where the worker does not answer, or its giver no longer waits, what was not sent can go elsewhere at once.
+	// If the worker does not answer, or the sender has stopped waiting, an order that was not sent can be given to another worker
+	// at once.
 	expired := oq.maxWait > 0 && now.Sub(qo.queuedAt) > oq.maxWait
 	return qo, !expired && !(start && now.Before(oq.pausedUntil)), true
 }
 
-// idle reports whether nothing is under way or waits.
+// idle reports whether no order is queued or in flight.
 func (oq *orderQueue) idle() bool {
 	oq.mu.Lock()
 	defer oq.mu.Unlock()
 	return oq.inFlight == 0
 }
 
-// run sends orders until none waits.
+// run sends orders until the queue is empty.
 func (oq *orderQueue) run(ctx context.Context) {
 	for {
 		qo, send, ok := oq.next()
@@ -107,7 +109,7 @@
 	}
 }
 
-// note counts orders without an answer.
+// recordOutcome counts unanswered orders.
 func (oq *orderQueue) recordOutcome(oc cell.Outcome) {
 	oq.mu.Lock()
 	defer oq.mu.Unlock()
--- a/fleet/peers.go
+++ b/fleet/peers.go
@@ -35,7 +35,7 @@
 type peers struct {
 	fl           *Fleet
 	client       *http.Client
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	clients      map[string]peer.Cells
 	backoffUntil map[string]time.Time
 	rotation     int
--- a/fleet/relay.go
+++ b/fleet/relay.go
@@ -9,37 +9,38 @@
 	"github.com/aspenseam/aspenseam/peer"
 )
 
-// Times and bounds of carrying out orders for other entry instances.
+// Timeouts and bounds of carrying out orders for other entry instances.
 const (
-	// relayForget is how long the results for a sender that does not ask are kept.
+	// senderRetention is how long the results of a sender that does not poll are kept.
 	senderRetention = 10 * time.Second
-	// relayMost is how many results wait for one sender; later ones are dropped, as lost answers are.
+	// maxPendingResults bounds the results that wait for one sender. Further results are dropped, which the sender treats like
+	// lost answers.
 	maxPendingResults = 4096
-	// relayPatience is how long an order may wait in a worker's lane; after that it goes back as not sent.
+	// relayQueueTimeout is how long an order may wait in a worker's queue before it is returned as not sent.
 	relayQueueTimeout = 1200 * time.Millisecond
-	// relayWait bounds how long an answer waits for a result.
+	// relayPollTimeout bounds how long a poll waits for a result.
 	relayPollTimeout = 500 * time.Millisecond
 )
 
-// relay carries out orders for the owners of cells. It keeps nothing that a promise rests on: what it loses, its sender takes for
-// orders without an answer.
+// relay carries out orders for the owners of cells. It holds no state that has to survive: the sender treats lost orders and
+// results as unanswered orders.
 type relay struct {
 	fl        *Fleet
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	senders   map[string]*sender
 	queues    map[cell.WorkerID]*orderQueue
 	lastSweep time.Time
 }
 
-// sender is an entry instance whose orders are carried out here.
+// sender holds the results of the orders of one entry instance.
 type sender struct {
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	results  []pendingResult
 	signal   chan struct{}
 	lastPoll time.Time
 }
 
-// waitingResult is a result that its sender has not fetched.
+// pendingResult is a result that its sender has not fetched yet.
 type pendingResult struct {
 	result   *peer.RelayResult
 	queuedAt time.Time
@@ -49,7 +50,7 @@
 	return &relay{fl: fl, senders: map[string]*sender{}, queues: map[cell.WorkerID]*orderQueue{}}
 }
 
-// Relay takes orders of a peer's, and returns what has become of its earlier ones.
+// Relay accepts orders from a peer and returns the results of its earlier ones.
 func (sv cellsServer) Relay(ctx context.Context, rq *peer.RelayRequest) (*peer.RelayResponse, error) {
 	rl := sv.fl.relay
 	sd := rl.sender(rq.Sender)
@@ -63,7 +64,7 @@
 	return rp, nil
 }
 
-// sender returns a sender, and forgets those that have not been heard of.
+// sender returns the state of a sender, and removes senders that no longer poll.
 func (rl *relay) sender(name string) *sender {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
@@ -82,7 +83,7 @@
 	return sd
 }
 
-// sweep forgets senders that do not ask, and lanes that are idle. The caller holds the lock.
+// removeIdle removes senders that no longer poll and queues that are idle. The caller holds the lock.
 func (rl *relay) removeIdle(now time.Time) {
 	rl.lastSweep = now
 	for name, sd := range rl.senders {
@@ -99,7 +100,7 @@
 	}
 }
 
-// carryOut begins to carry out one order.
+// execute starts to carry out an order.
 func (rl *relay) execute(sd *sender, ro *peer.RelayOrder) {
 	ctx, now := rl.fl.background, rl.fl.opts.Now
 	switch order := fromRelayOrder(ro).(type) {
@@ -108,7 +109,7 @@
 	case cell.Look:
 		go func() {
 			lk := rl.fl.opts.Workers.Look(ctx, order)
-			sd.addResult(toRelayLookResult(ro.Id, lk), lk.Received)
+			sd.addResult(toRelayPollResult(ro.Id, lk), lk.Received)
 		}()
 	default:
 		rl.fl.complete(ctx, order, func(od cell.Order) { rl.enqueueOrder(sd, ro, od) }, func() {
@@ -117,7 +118,7 @@
 	}
 }
 
-// command gives a worker an order, and its sender the result.
+// enqueueOrder queues an order for its worker and returns the result to the sender.
 func (rl *relay) enqueueOrder(sd *sender, ro *peer.RelayOrder, od cell.Order) {
 	rl.orderQueue(cell.WorkerID(ro.Worker), rl.fl.opts.Now()).enqueue(rl.fl.background, od, func(od cell.Ordered) {
 		sd.addResult(&peer.RelayResult{Id: ro.Id, Outcome: int32(od.Outcome), Clock: od.Clock}, od.Received)
@@ -136,7 +137,7 @@
 	return oq
 }
 
-// add keeps a result until its sender asks for it.
+// addResult stores a result until its sender fetches it.
 func (sd *sender) addResult(rr *peer.RelayResult, at time.Time) {
 	sd.mu.Lock()
 	if len(sd.results) < maxPendingResults {
@@ -149,7 +150,7 @@
 	}
 }
 
-// collect waits for results.
+// waitResults waits for results up to the given time and returns them.
 func (sd *sender) waitResults(ctx context.Context, now func() time.Time, wait time.Duration) []*peer.RelayResult {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -169,7 +170,7 @@
 	return len(sd.results) > 0
 }
 
-// take returns what waits, each with how long it has waited.
+// takeResults removes and returns all stored results, each with how long it has waited.
 func (sd *sender) takeResults(now time.Time) []*peer.RelayResult {
 	sd.mu.Lock()
 	defer sd.mu.Unlock()
--- a/fleet/relay_test.go
+++ b/fleet/relay_test.go
@@ -45,13 +45,13 @@
 		Running: []cell.Running{{Task: relayedTask, Attempt: 2, Checkpoint: "point", Progress: 41, Figure: 700}},
 		Ended:   []cell.End{{Number: 12, Task: relayedTask, Attempt: 1, How: cell.EndFailed, Checkpoint: "old"}},
 	}
-	rr := toRelayLookResult(3, want)
+	rr := toRelayPollResult(3, want)
 	rr.HeldMicros = 30_000
-	if got := fromRelayLookResult(rr, lk, sent, came); !reflect.DeepEqual(got, want) {
+	if got := fromRelayPollResult(rr, lk, sent, came); !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v came as %+v", want, got)
 	}
 	rr.Outcome = 99
-	if got := fromRelayLookResult(rr, lk, sent, came); got.Outcome != cell.Silent {
+	if got := fromRelayPollResult(rr, lk, sent, came); got.Outcome != cell.Silent {
 		t.Errorf("an outcome that is not known here counts as %s", got.Outcome)
 	}
 }
--- a/fleet/relayconvert.go
+++ b/fleet/relayconvert.go
@@ -8,17 +8,17 @@
 	"github.com/aspenseam/aspenseam/peer"
 )
 
-// relayTask is a task as peers tell it.
+// toRelayTask converts a task to its wire form.
 func toRelayTask(tk job.Task) *peer.RelayTask {
 	return &peer.RelayTask{Job: string(tk.Job), Run: int32(tk.Run), Step: int32(tk.Step), Index: int32(tk.Index)}
 }
 
-// taskOf reads a task that a peer told.
+// fromRelayTask converts a task from its wire form.
 func fromRelayTask(rt *peer.RelayTask) job.Task {
 	return job.Task{Job: job.ID(rt.GetJob()), Run: int(rt.GetRun()), Step: int(rt.GetStep()), Index: int(rt.GetIndex())}
 }
 
-// relayOrder is an order for a worker as a peer gets it; nil for other orders.
+// toRelayOrder converts an order for a worker to its wire form; nil for orders that are not for workers.
 func toRelayOrder(id uint64, od cell.Order) *peer.RelayOrder {
 	switch order := od.(type) {
 	case cell.Look:
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// orderOf reads an order that a peer handed over.
+// fromRelayOrder converts an order from its wire form; nil if its kind is unknown.
 func fromRelayOrder(ro *peer.RelayOrder) cell.Order {
 	id, token, attempt := cell.WorkerID(ro.Worker), cell.Token(ro.Token), job.Attempt(ro.Attempt)
 	switch ro.Kind {
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// relayLooked is the result of a look as a peer gets it.
-func toRelayLookResult(id uint64, lk cell.Looked) *peer.RelayResult {
+// toRelayPollResult converts the result of a poll to its wire form.
+func toRelayPollResult(id uint64, lk cell.Looked) *peer.RelayResult {
 	result := &peer.RelayResult{Id: id, Outcome: int32(lk.Outcome), Clock: lk.Clock}
 	for _, rn := range lk.Running {
 		result.Running = append(result.Running, &peer.RelayRunning{
@@ -79,9 +79,10 @@
 	return result
 }
 
-// lookedOf reads the result of a look. It counts as sent when it was handed over, and as received when it came, less the time that it
-// waited at the peer: the clocks of two processes cannot be compared, and both errors make leases end earlier and conclusions later.
-func fromRelayLookResult(rr *peer.RelayResult, order cell.Look, sentAt, arrivedAt time.Time) cell.Looked {
+// fromRelayPollResult converts the result of a poll from its wire form. The send time is when the order was submitted to the
+// peer, and the receive time is when the result arrived, less the time it was held at the peer. The clocks of two processes can't
+// be compared; the errors of both times make leases end earlier and conclusions later.
+func fromRelayPollResult(rr *peer.RelayResult, order cell.Look, sentAt, arrivedAt time.Time) cell.Looked {
 	lk := cell.Looked{Look: order, Outcome: fromRelayOutcome(rr), Sent: sentAt, Received: receivedAt(rr, arrivedAt), Clock: rr.Clock}
 	for _, rn := range rr.Running {
 		lk.Running = append(lk.Running, cell.Running{
@@ -96,7 +97,7 @@
 	return lk
 }
 
-// orderedOf reads the result of another order.
+// fromRelayOrderResult converts the result of any other order from its wire form.
 func fromRelayOrderResult(rr *peer.RelayResult, order cell.Order, sentAt, arrivedAt time.Time) cell.Ordered {
 	return cell.Ordered{Order: order, Outcome: fromRelayOutcome(rr), Sent: sentAt, Received: receivedAt(rr, arrivedAt), Clock: rr.Clock}
 }
@@ -105,7 +106,7 @@
 	return arrivedAt.Add(-time.Duration(rr.HeldMicros) * time.Microsecond)
 }
 
-// outcomeOf reads an outcome; one that is not known here counts as silence.
+// fromRelayOutcome converts an outcome; an unknown one counts as no answer.
 func fromRelayOutcome(rr *peer.RelayResult) cell.Outcome {
 	oc := cell.Outcome(rr.Outcome)
 	if oc < cell.Silent || oc > cell.Unprepared {
--- a/fleet/relays.go
+++ b/fleet/relays.go
@@ -17,45 +17,49 @@
 	"go.uber.org/zap"
 )
 
-// Sizes and times of having peers carry out orders. An owner decides for all workers of its cell, but one instance cannot make all
-// calls of a large one: some 100 calls a second and a tenth of a core are as much as a small instance has left.
+// Sizes and intervals of order relaying. A cell's owner decides for all workers of the cell, but one instance cannot make all
+// calls of a large cell: a small instance can spare about 100 calls a second and a tenth of a core.
 const (
-	// relayAfter is the number of workers from which on a cell's owner has peers carry out orders.
+	// relayThreshold is the number of workers above which the owner of a cell relays orders through peers.
 	relayThreshold = 40
-	// relayWorkers is how many workers an instance with a whole core carries out orders for.
+	// relayWorkersPerCore is how many workers an instance with a whole core relays orders to.
 	relayWorkersPerCore = 100
-	// relayPlanEvery is how often the peers are chosen.
+	// relayAssignInterval is how often workers are assigned to peers.
 	relayAssignInterval = 400 * time.Millisecond
-	// relaySpread is the pause after each call to a peer, for each peer that carries out orders, so that calls in all stay bounded.
+	// relayPausePerPeer is the pause after each call to a peer, multiplied by the number of relaying peers, so that the total
+	// call rate stays bounded.
 	relayPausePerPeer = 1500 * time.Microsecond
-	// relayTimeout bounds a call that hands over orders, beside the wait of one that collects results.
+	// relayTimeout bounds a call that submits orders. A call that polls for results gets its poll time in addition.
 	relayTimeout = 900 * time.Millisecond
-	// relayBad is how long a peer that failed is passed over, twice as long after each further failure in a row, up to relayBadMost: a
-	// peer that is cut off from this instance alone stays a member.
+	// relayBackoffMin is how long a failed peer is not used. The time doubles with each further failure in a row, up to
+	// relayBackoffMax: a peer that only this instance cannot reach stays a member.
 	relayBackoffMin = 2500 * time.Millisecond
 	relayBackoffMax = 20 * time.Second
-	// relaySlow and relayQuick are the times of a start, from its decision to the worker's answer, from which on more or fewer peers are
-	// used: on a link of 250 KB/s five starts of 2.9 KB that go one after the other take the longer one.
+	// slowStart and fastStart are the durations of a start, from the decision to the worker's answer, above or below which more
+	// or fewer peers are used. On a link of 250 KB/s, five starts of 2.9 KB in sequence take slowStart.
 	slowStart = 60 * time.Millisecond
 	fastStart = 30 * time.Millisecond
-	// relayWiden and relayNarrow are by how much it changes at a time, relayBroadest is the most.
+	// relayScaleUp and relayScaleDown are the factors by which the number of peers changes at a time; relayScaleMax bounds the
+	// total factor.
 	relayScaleUp, relayScaleDown = 1.5, 0.95
 	relayScaleMax                = 4.0
-	// relayLate is when an order without a result counts as silent: it may have waited in the peer's lane, and then for its worker.
+	// relayResultTimeout is when an order without a result counts as unanswered. The order may have waited in the peer's queue
+	// and then for its worker.
 	relayResultTimeout = relayQueueTimeout + 1200*time.Millisecond
 )
 
-// relays are the peers that carry out a cell's orders.
+// relays manages the peers that carry out a cell's orders.
 type relays struct {
 	ow    *owner
-	mu    sync.Mutex // guards what follows
+	mu    sync.Mutex // guards the fields below
 	links map[string]*relayLink
-	// chosen maps workers to peers; a worker without one is called directly.
+	// assigned maps workers to peers; a worker without a peer is called directly.
 	assigned map[cell.WorkerID]*relayLink
-	// breadth is how many times as many peers are used as the number of workers asks for.
+	// scale is the factor by which more peers are used than the number of workers requires.
 	scale float64
-	// pause is that after each call to a peer. Starts wait for it when they are handed over and when they are answered, so it does not count
-	// as queueing: more peers would mean longer pauses, and those more peers.
+	// callPause is the pause after each call to a peer. A start waits for it twice, when it is submitted and when its result is
+	// fetched. These pauses do not count as queueing time: more peers mean longer pauses, which would then call for even more
+	// peers.
 	callPause time.Duration
 }
 
@@ -63,7 +67,7 @@
 	return &relays{ow: ow, links: map[string]*relayLink{}, assigned: map[cell.WorkerID]*relayLink{}, scale: 1}
 }
 
-// run chooses peers until the context ends.
+// run assigns workers to peers until the context ends.
 func (rs *relays) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		rs.assign(rs.ow.fl.opts.Now())
@@ -71,7 +75,7 @@
 	}
 }
 
-// send hands an order to the peer that carries out the worker's orders; false if there is none.
+// send relays an order through the worker's peer. It returns false if the worker has no peer.
 func (rs *relays) send(ctx context.Context, id cell.WorkerID, od cell.Order) bool {
 	rs.mu.Lock()
 	ln := rs.assigned[id]
@@ -79,7 +83,7 @@
 	return ln != nil && ln.send(ctx, od)
 }
 
-// choose gives each worker of a large cell a peer, in its own hall if there is one.
+// assign gives each worker of a large cell a peer, in the worker's own data hall if possible.
 func (rs *relays) assign(now time.Time) {
 	fl := rs.ow.fl
 	workers := fl.workerCache.inPool(rs.ow.pool())
@@ -103,8 +107,8 @@
 	}
 }
 
-// nextBreadth follows how long starts take: where they queue, at the owner's link or processor or at those of its peers, more peers share
-// them; where they do not, fewer do, since each peer that is asked for results is a further call.
+// nextScale adjusts the scale to the duration of starts. If starts queue, at the owner's link or processor or at those of its
+// peers, more peers share the load. If they do not, fewer peers are used, since each one adds calls that poll for results.
 func nextScale(scale float64, startTime time.Duration) float64 {
 	switch {
 	case startTime > slowStart:
@@ -115,8 +119,8 @@
 	return scale
 }
 
-// candidates are the peers that are needed for so many workers. The same ones come first each time, so that more workers add peers and
-// change none; owners of cells come last.
+// candidates returns the peers needed for a number of workers. The order of peers is stable, so that more workers add peers
+// without replacing any; instances that own cells come last.
 func (rs *relays) candidates(now time.Time, workers float64) []*relayLink {
 	fl := rs.ow.fl
 	cells := fl.members.cellCounts()
@@ -142,7 +146,7 @@
 	return list
 }
 
-// power is an instance's share of a core, a whole one if it did not say.
+// cpuShare returns an instance's share of a core, or a whole core if the instance did not state its share.
 func (nd node) cpuShare() float64 {
 	if nd.Power <= 0 {
 		return 1
@@ -150,14 +154,14 @@
 	return nd.Power
 }
 
-// weight ranks an instance for a name, so that larger ones come first more often and each name has an order of its own that others
-// coming and going do not change (weighted rendezvous hashing).
+// weight ranks an instance for a name by weighted rendezvous hashing: larger instances rank first more often, and the order for a
+// name does not change when other instances join or leave.
 func weight(name string, nd node) float64 {
 	unit := (float64(xxhash.Sum64String(name+"/"+nd.Name)) + 1) / (math.MaxUint64 + 2)
 	return -nd.cpuShare() / math.Log(unit)
 }
 
-// bestRelay returns the peer for a worker, nil if there is none.
+// bestRelay returns the peer for a worker, preferring peers in the worker's data hall; nil if there are none.
 func bestRelay(worker, hall string, links []*relayLink) *relayLink {
 	var best *relayLink
 	var bestWeight float64
@@ -177,7 +181,7 @@
 	return best
 }
 
-// link returns the way to a peer; one that was started anew gets a new one.
+// link returns the link to a peer, and a new one if the peer has restarted.
 func (rs *relays) link(nd node) *relayLink {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
@@ -189,23 +193,23 @@
 	return ln
 }
 
-// relayLink is the way to one peer that carries out orders.
+// relayLink submits orders to one peer and polls for their results.
 type relayLink struct {
 	rs           *relays
 	node         node
 	peer         peer.Cells
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	queue        []*peer.RelayOrder
 	pending      map[uint64]pendingOrder
 	sending      bool
 	polling      bool
 	backoffUntil time.Time
-	// fails counts failures in a row.
+	// failures counts consecutive failures.
 	failures  int
 	callPause time.Duration
 }
 
-// errand is an order that a peer has been given.
+// pendingOrder is an order that a peer has accepted and not yet returned a result for.
 type pendingOrder struct {
 	order  cell.Order
 	sentAt time.Time
@@ -223,7 +227,8 @@
 	ln.callPause = pause
 }
 
-// send hands over an order, together with others that come at the same time; false if the peer has failed just now.
+// send queues an order, to be submitted in a batch with other orders that arrive at the same time. It returns false while the
+// peer is backing off.
 func (ln *relayLink) send(ctx context.Context, od cell.Order) bool {
 	now := ln.rs.ow.fl.opts.Now()
 	ln.mu.Lock()
@@ -231,7 +236,7 @@
 	if now.Before(ln.backoffUntil) {
 		return false
 	}
-	// Numbers are never used twice by a process: results that were meant for an earlier link to the peer may still come.
+	// IDs are unique within the process: results meant for an earlier link to the same peer may still arrive.
 	id := ln.rs.ow.fl.relayIDs.Add(1)
 	ro := toRelayOrder(id, od)
 	if ro == nil {
@@ -250,7 +255,7 @@
 	return true
 }
 
-// hand gives the peer what waits for it, until nothing does.
+// sendQueued submits queued orders in batches until the queue is empty.
 func (ln *relayLink) sendQueued(ctx context.Context) {
 	for {
 		ln.mu.Lock()
@@ -268,7 +273,7 @@
 	}
 }
 
-// collect fetches results while some are open.
+// pollResults fetches results while orders are pending.
 func (ln *relayLink) pollResults(ctx context.Context) {
 	for {
 		ln.mu.Lock()
@@ -294,15 +299,15 @@
 	}
 }
 
-// well notes that the peer answers.
+// recordAnswer resets the failure count after the peer has answered.
 func (ln *relayLink) recordAnswer() {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	ln.failures = 0
 }
 
-// errRestarted says that a peer has been started anew and knows nothing of what it was given.
-var errRestarted = errors.New("the peer was started anew")
+// errRestarted means that a peer has restarted and lost the orders that it was given.
+var errRestarted = errors.New("the peer has restarted")
 
 func (ln *relayLink) call(ctx context.Context, batch []*peer.RelayOrder, wait time.Duration) (*peer.RelayResponse, error) {
 	fl := ln.rs.ow.fl
@@ -311,7 +316,7 @@
 	return ln.peer.Relay(ctx, &peer.RelayRequest{Sender: fl.opts.Incarnation + "/" + ln.rs.ow.name, Orders: batch, WaitMillis: wait.Milliseconds()})
 }
 
-// take hands results to the core.
+// handleResults delivers results to the core.
 func (ln *relayLink) handleResults(results []*peer.RelayResult) {
 	receivedAt := ln.rs.ow.fl.opts.Now()
 	for _, rr := range results {
@@ -325,16 +330,16 @@
 	}
 }
 
-// settle tells the core what became of an order.
+// deliver passes the result of an order to the core.
 func (ln *relayLink) deliver(po pendingOrder, rr *peer.RelayResult, receivedAt time.Time) {
 	if look, ok := po.order.(cell.Look); ok {
-		ln.rs.ow.looked(fromRelayLookResult(rr, look, po.sentAt, receivedAt))
+		ln.rs.ow.looked(fromRelayPollResult(rr, look, po.sentAt, receivedAt))
 		return
 	}
 	ln.rs.ow.ordered(fromRelayOrderResult(rr, po.order, po.sentAt, receivedAt))
 }
 
-// end settles orders of which nothing more will be heard.
+// deliverAll gives the same outcome to orders for which no result will arrive.
 func (ln *relayLink) deliverAll(list []pendingOrder, oc cell.Outcome) {
 	now := ln.rs.ow.fl.opts.Now()
 	for _, po := range list {
@@ -342,7 +347,8 @@
 	}
 }
 
-// failed settles a batch that could not be handed over: not sent if no connection was to be had, else perhaps carried out.
+// failBatch settles a batch that could not be submitted: as not sent if no connection to the peer could be made, otherwise as
+// unanswered, since the orders may have been carried out.
 func (ln *relayLink) failBatch(batch []*peer.RelayOrder, err error) {
 	oc := cell.Silent
 	var op *net.OpError
@@ -362,7 +368,7 @@
 	ln.deliverAll(list, oc)
 }
 
-// lose settles all that is open: results may have been lost with the answer.
+// failPending settles all pending orders as unanswered: their results may have been lost with the failed answer.
 func (ln *relayLink) failPending(call string, err error) {
 	ln.backOff(call, err)
 	ln.mu.Lock()
@@ -375,7 +381,7 @@
 	ln.deliverAll(list, cell.Silent)
 }
 
-// expire settles orders that should have had a result by now.
+// expireOverdue settles orders whose results are overdue as unanswered.
 func (ln *relayLink) expireOverdue() {
 	now := ln.rs.ow.fl.opts.Now()
 	var list []pendingOrder
@@ -394,7 +400,7 @@
 	ln.deliverAll(list, cell.Silent)
 }
 
-// passOver leaves the peer out for a while.
+// backOff stops using the peer for a while.
 func (ln *relayLink) backOff(call string, err error) {
 	fl := ln.rs.ow.fl
 	if errors.Is(err, context.Canceled) {
--- a/fleet/serialstore_test.go
+++ b/fleet/serialstore_test.go
@@ -21,7 +21,7 @@
 	mm *memory
 	// turn is how long a part is taken by a transaction, answer how long its answer takes besides.
 	perPart, answer time.Duration
-	mu              sync.Mutex // guards what follows
+	mu              sync.Mutex // guards the fields below
 	freeAt          map[string]time.Time
 	commits         int
 	// lost tells whether the next transaction is done and not answered.
--- a/fleet/storeclient.go
+++ b/fleet/storeclient.go
@@ -56,7 +56,7 @@
 	log     *event.Logger
 	now     func() time.Time
 	metrics figures
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	// detour is set while calls go through a peer first.
 	viaPeers bool
 	failures int
--- a/fleet/workercache.go
+++ b/fleet/workercache.go
@@ -38,7 +38,7 @@
 
 // roster holds the registered workers, each in its newest life.
 type workerCache struct {
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	workers map[cell.WorkerName]cell.Worker
 }
 
