--- a/fleet/accounts.go
+++ b/fleet/accounts.go
@@ -15,20 +15,20 @@
 // Times of the accounts of organisations, and where they lie.
 const (
 	// accountGap is the pause between two feed calls. What one cell gives back another waits for.
-	accountGap = 30 * time.Millisecond
+	accountFeedInterval = 30 * time.Millisecond
 	// accountEvery is how often an owner looks whether it needs more of a maximum, or less.
-	accountEvery = 50 * time.Millisecond
+	accountInterval = 50 * time.Millisecond
 	// accountIdle is how often an owner looks whether any organisation has a maximum.
-	accountIdle = 500 * time.Millisecond
+	accountIdleInterval = 500 * time.Millisecond
 	// accountPart is the part of all accounts, so that one transaction can change several.
 	accountPart = "accounts"
 )
 
 // needsNoAccounts reports whether this instance has no use for the accounts: it owns no cell, or no organisation has a maximum.
-func (fl *Fleet) needsNoAccounts() bool { return fl.ownsNoCells() || !fl.boundsAny() }
+func (fl *Fleet) accountsUnused() bool { return fl.ownsNoCells() || !fl.anyMaximum() }
 
 // boundsAny reports whether an organisation has a maximum.
-func (fl *Fleet) boundsAny() bool {
+func (fl *Fleet) anyMaximum() bool {
 	cf := fl.config.Load()
 	if cf == nil {
 		return false
@@ -44,8 +44,8 @@
 // accountsChanged hands changed accounts to the cells owned here.
 func (fl *Fleet) accountsChanged(rows []Row, _ time.Time) {
 	for _, rw := range rows {
-		if ar, ok := fl.accountOf(rw); ok {
-			for _, ow := range fl.owned() {
+		if ar, ok := fl.parseAccount(rw); ok {
+			for _, ow := range fl.allOwners() {
 				ow.post(func(cr *cell.Core, _ time.Time) { cr.TakeAccount(ar) })
 			}
 		}
@@ -58,7 +58,7 @@
 	defer fl.accounts.mu.Unlock()
 	var list []cell.AccountRow
 	for _, rw := range fl.accounts.rows {
-		if ar, ok := fl.accountOf(rw); ok {
+		if ar, ok := fl.parseAccount(rw); ok {
 			list = append(list, ar)
 		}
 	}
@@ -66,7 +66,7 @@
 }
 
 // accountOf reads a row. One that cannot be read changes nothing: the parts that are known hold.
-func (fl *Fleet) accountOf(rw Row) (cell.AccountRow, bool) {
+func (fl *Fleet) parseAccount(rw Row) (cell.AccountRow, bool) {
 	ar := cell.AccountRow{Organisation: job.OrganisationID(rw.Key), Version: rw.Version}
 	if rw.Deleted || rw.Version == 0 {
 		return ar, false
@@ -79,25 +79,25 @@
 }
 
 // account writes what this owner needs of organisations' maxima, or gives back, until the context ends.
-func (ow *owner) account(ctx context.Context) {
+func (ow *owner) runAccounts(ctx context.Context) {
 	for ctx.Err() == nil && !ow.lost.Load() {
-		if !ow.fl.boundsAny() {
-			sleep(ctx, accountIdle)
+		if !ow.fl.anyMaximum() {
+			sleep(ctx, accountIdleInterval)
 			continue
 		}
-		sleep(ctx, accountEvery)
-		rows := ow.accountsDue()
+		sleep(ctx, accountInterval)
+		rows := ow.dueAccounts()
 		if len(rows) > 0 && !ow.writeAccounts(ctx, rows) {
-			sleep(ctx, writeRetry)
+			sleep(ctx, writeRetryDelay)
 		}
 	}
 }
 
 // accountsDue are the rows that are to be written now.
-func (ow *owner) accountsDue() []cell.AccountRow {
+func (ow *owner) dueAccounts() []cell.AccountRow {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	if !ow.began || ow.silenced {
+	if !ow.planned || ow.quiescing {
 		return nil
 	}
 	return ow.core.Accounts(ow.fl.opts.Now())
@@ -116,15 +116,15 @@
 	var cf *Conflict
 	switch {
 	case err == nil:
-		ow.fl.fig.accountsWritten.Inc(int64(len(rows)))
+		ow.fl.metrics.accountsWritten.Inc(int64(len(rows)))
 		ow.mu.Lock()
 		ow.core.AccountsWritten(rows, version)
 		ow.mu.Unlock()
 		// What waited for it can start.
-		ow.nudge()
+		ow.wake()
 		return true
 	case errors.As(err, &cf):
-		ow.fl.fig.accountsContended.Inc(1)
+		ow.fl.metrics.accountsContended.Inc(1)
 		ow.fl.accountsChanged(cf.Rows, ow.fl.opts.Now())
 		return true
 	}
--- a/fleet/accounts_test.go
+++ b/fleet/accounts_test.go
@@ -12,12 +12,12 @@
 )
 
 // boundFormat has two pools with a queue each, and an organisation that may have three cores on both together.
-type boundFormat struct{ plainFormat }
+type maximumFormat struct{ testFormat }
 
 var otherQueue = job.Queue{ID: "q2", Host: "h", PathPrefix: "/q2/", Pool: "pool2", MaxAttempts: 2, Stretch: 2, Slack: time.Second}
 
-func (boundFormat) Configuration(rw Row) (*job.Configuration, error) {
-	cf, err := plainFormat{}.Configuration(rw)
+func (maximumFormat) Configuration(rw Row) (*job.Configuration, error) {
+	cf, err := testFormat{}.Configuration(rw)
 	if cf == nil || err != nil {
 		return cf, err
 	}
@@ -26,8 +26,8 @@
 	return cf, nil
 }
 
-func (boundFormat) Worker(rw Row) (cell.Worker, error) {
-	wk, err := plainFormat{}.Worker(rw)
+func (maximumFormat) Worker(rw Row) (cell.Worker, error) {
+	wk, err := testFormat{}.Worker(rw)
 	if strings.HasPrefix(rw.Key, "v") {
 		wk.Pool = "pool2"
 	}
@@ -37,25 +37,25 @@
 // TestMaximumOverPools: jobs of one organisation in two pools, under owners on several instances, of which one is stopped without a word. What
 // runs at once stays within the maximum, and all jobs end.
 func TestMaximumOverPools(t *testing.T) {
-	st := newSite(t, 150*time.Millisecond)
-	st.format = boundFormat{}
+	cl := newCluster(t, 150*time.Millisecond)
+	cl.format = maximumFormat{}
 	for _, id := range []string{"v0", "v1"} {
-		st.write(Row{Table: "registry", Key: id, Value: []byte("{}")})
+		cl.write(Row{Table: "registry", Key: id, Value: []byte("{}")})
 	}
-	nodes := []*testNode{st.start("one"), st.start("two"), st.start("three")}
-	st.owner(nodes...)
-	ctx, cancel := context.WithTimeout(t.Context(), longWait)
+	nodes := []*testNode{cl.start("one"), cl.start("two"), cl.start("three")}
+	cl.waitOwner(nodes...)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	hand := func(from, to int) (ids []job.ID) {
 		for at := from; at < to; at++ {
-			sp := spec(job.ID(fmt.Sprintf("m%d", at)))
+			sp := testSpec(job.ID(fmt.Sprintf("m%d", at)))
 			sp.Organisation = "mill"
 			if at%2 == 1 {
 				sp.Queue, sp.Pool = otherQueue.ID, otherQueue.Pool
 			}
-			st.eventually("acceptance of "+string(sp.ID), func() bool {
-				vd, _ := nodes[0].Submit(ctx, sp)
-				return vd == Accepted
+			cl.eventually("acceptance of "+string(sp.ID), func() bool {
+				result, _ := nodes[0].Submit(ctx, sp)
+				return result == Accepted
 			})
 			ids = append(ids, sp.ID)
 		}
@@ -75,35 +75,35 @@
 		_ = gone.srv.Close()
 	}
 	for _, id := range append(ids, hand(8, 12)...) {
-		st.eventually("the end of "+string(id), func() bool {
+		cl.eventually("the end of "+string(id), func() bool {
 			state, err := nodes[0].State(ctx, "mill", &testQueue, id)
 			return err == nil && state == job.Completed
 		})
 	}
-	if most := st.workers.mostAtOnce(); most > 3 || most == 0 {
+	if most := cl.workers.peakRunning(); most > 3 || most == 0 {
 		t.Errorf("%d tasks of a core ran at once, 3 are allowed", most)
 	}
 }
 
 // TestAccountThatCannotBeRead: a foreign writer's row changes nothing of what is known.
 func TestAccountThatCannotBeRead(t *testing.T) {
-	st := newSite(t, 20*time.Millisecond)
-	st.format = boundFormat{}
-	one := st.start("one")
-	st.owner(one)
-	ctx, cancel := context.WithTimeout(t.Context(), longWait)
+	cl := newCluster(t, 20*time.Millisecond)
+	cl.format = maximumFormat{}
+	one := cl.start("one")
+	cl.waitOwner(one)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	sp := spec("r1")
+	sp := testSpec("r1")
 	sp.Organisation = "mill"
-	if vd, _ := one.Submit(ctx, sp); vd != Accepted {
-		t.Fatal(vd)
+	if result, _ := one.Submit(ctx, sp); result != Accepted {
+		t.Fatal(result)
 	}
-	st.eventually("the end", func() bool {
+	cl.eventually("the end", func() bool {
 		state, err := one.State(ctx, "mill", &testQueue, "r1")
 		return err == nil && state == job.Completed
 	})
 	for _, value := range []string{"", "{", "[]", `{"pool":3}`, `{"pool":{"epoch":"x"}}`, "\xff"} {
-		if _, ok := one.accountOf(Row{Table: tableAccount, Part: accountPart, Key: "mill", Value: []byte(value), Version: 1 << 40}); ok {
+		if _, ok := one.parseAccount(Row{Table: tableAccount, Part: accountPart, Key: "mill", Value: []byte(value), Version: 1 << 40}); ok {
 			t.Errorf("%q was read", value)
 		}
 	}
@@ -111,22 +111,22 @@
 
 // TestOrganisationsReport: an operator sees what an organisation may have, has, and waits for, also when it waits at its maximum.
 func TestOrganisationsReport(t *testing.T) {
-	st := newSite(t, 2*time.Second)
-	st.format = boundFormat{}
-	one := st.start("one")
-	st.owner(one)
+	cl := newCluster(t, 2*time.Second)
+	cl.format = maximumFormat{}
+	one := cl.start("one")
+	cl.waitOwner(one)
 	for _, id := range []job.ID{"o1", "o2", "o3"} {
-		sp := spec(id)
+		sp := testSpec(id)
 		sp.Organisation = "mill"
-		st.eventually("acceptance", func() bool {
-			vd, _ := one.Submit(t.Context(), sp)
-			return vd == Accepted
+		cl.eventually("acceptance", func() bool {
+			result, _ := one.Submit(t.Context(), sp)
+			return result == Accepted
 		})
 	}
 	var og OrganisationStatus
-	st.eventually("a job that waits at the maximum", func() bool {
-		rp, err := ReadOrganisations(t.Context(), one.way, boundFormat{})
-		if err != nil || len(rp.Organisations) != 1 || len(rp.Silent) > 0 {
+	cl.eventually("a job that waits at the maximum", func() bool {
+		rp, err := ReadOrganisations(t.Context(), one.faultyStore, maximumFormat{})
+		if err != nil || len(rp.Organisations) != 1 || len(rp.Unreachable) > 0 {
 			return false
 		}
 		og = rp.Organisations[0]
--- a/fleet/save.go
+++ b/fleet/archive.go
@@ -26,23 +26,23 @@
 		}
 		var cf *Conflict
 		if errors.As(err, &cf) {
-			if version := doneBefore(tx, cf); version != 0 {
+			if version := earlierCommitVersion(tx, cf); version != 0 {
 				return version, true
 			}
-			ow.overtaken("a condition of the store does not hold")
+			ow.loseOwnership("a condition of the store does not hold")
 			return 0, false
 		}
-		if errors.Is(err, ErrSilent) {
+		if errors.Is(err, ErrNoAnswer) {
 			// It was waited for long enough; the next try finds what this one has done.
 			continue
 		}
-		sleep(ctx, writeRetry)
+		sleep(ctx, writeRetryDelay)
 	}
 	return 0, false
 }
 
 // doneBefore returns the version of an earlier try of the same transaction, if that is why its conditions do not hold.
-func doneBefore(tx Tx, cf *Conflict) int64 {
+func earlierCommitVersion(tx Tx, cf *Conflict) int64 {
 	found := map[Place]Row{}
 	for _, rw := range cf.Rows {
 		found[rw.Place()] = rw
@@ -59,50 +59,50 @@
 }
 
 // archive takes the rows of ended jobs out of the table of open jobs. Nothing waits for it, so it rests while the store is slow.
-func (ow *owner) archive(ctx context.Context) {
-	pause := archiveEvery
+func (ow *owner) runArchive(ctx context.Context) {
+	pause := archiveInterval
 	for ctx.Err() == nil {
 		sleep(ctx, pause)
-		pause = archiveEvery
-		if ow.fl.store.commitLatency() > slowCommit {
+		pause = archiveInterval
+		if ow.fl.store.commitLatency() > slowCommitThreshold {
 			continue
 		}
-		ow.sweep(ctx)
-		pause = archivePause(ow.archiveEnded(ctx))
+		ow.deleteExpired(ctx)
+		pause = archiveDelay(ow.archiveEnded(ctx))
 	}
 }
 
 // archivePause is when the next round follows one that took so many jobs out of the table of open ones.
-func archivePause(taken int) time.Duration {
-	if taken < archiveMost {
-		return archiveEvery
+func archiveDelay(taken int) time.Duration {
+	if taken < archiveBatchSize {
+		return archiveInterval
 	}
-	return archiveAgain
+	return archiveBacklogInterval
 }
 
 // sweep removes what is kept of jobs whose retention is over: first that they exist, then how they ended.
-func (ow *owner) sweep(ctx context.Context) {
-	ids := ow.expired()
+func (ow *owner) deleteExpired(ctx context.Context) {
+	ids := ow.expiredJobs()
 	if len(ids) == 0 {
 		return
 	}
-	ids = ow.remove(ctx, ids, func(id job.ID) []Place { return []Place{{tableHome, partName(homePart(id)), string(id)}} })
-	ids = ow.remove(ctx, ids, func(id job.ID) []Place { return []Place{{tableProgress, ow.name, string(id)}} })
+	ids = ow.removeRows(ctx, ids, func(id job.ID) []Place { return []Place{{tableHome, partName(homePart(id)), string(id)}} })
+	ids = ow.removeRows(ctx, ids, func(id job.ID) []Place { return []Place{{tableProgress, ow.name, string(id)}} })
 	// What is left is removed in a later round.
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	ow.core.Forget(ids)
 	for _, id := range ids {
-		delete(ow.progress, id)
+		delete(ow.storedProgress, id)
 	}
 }
 
 // remove removes the rows of jobs and returns those for which that was done. A store that takes no transaction over several parts gets one
 // for each of the parts with the most rows.
-func (ow *owner) remove(ctx context.Context, ids []job.ID, rows func(job.ID) []Place) []job.ID {
+func (ow *owner) removeRows(ctx context.Context, ids []job.ID, rows func(job.ID) []Place) []job.ID {
 	groups := [][]job.ID{ids}
 	if ow.fl.opts.OnePart {
-		groups = byPart(ids, rows)
+		groups = groupByPart(ids, rows)
 	}
 	var done []job.ID
 	for _, group := range groups {
@@ -110,7 +110,7 @@
 		for _, id := range group {
 			tx.Remove = append(tx.Remove, rows(id)...)
 		}
-		if ow.try(ctx, tx) {
+		if ow.commitOnce(ctx, tx) {
 			done = append(done, group...)
 		}
 	}
@@ -118,7 +118,7 @@
 }
 
 // byPart groups jobs by the part of their rows, the largest groups alone.
-func byPart(ids []job.ID, rows func(job.ID) []Place) [][]job.ID {
+func groupByPart(ids []job.ID, rows func(job.ID) []Place) [][]job.ID {
 	found := map[string][]job.ID{}
 	for _, id := range ids {
 		part := rows(id)[0].Part
@@ -127,17 +127,17 @@
 	groups := slices.SortedFunc(maps.Values(found), func(one, other []job.ID) int {
 		return cmp.Or(cmp.Compare(len(other), len(one)), cmp.Compare(one[0], other[0]))
 	})
-	return groups[:min(len(groups), archiveParts)]
+	return groups[:min(len(groups), archivePartsPerRound)]
 }
 
 // expired lists jobs whose retention is over: those in memory, and those that ended under earlier owners.
-func (ow *owner) expired() []job.ID {
+func (ow *owner) expiredJobs() []job.ID {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	now := ow.fl.opts.Now()
-	ids := ow.core.Expired(now, archiveMost)
-	for id, rw := range ow.progress {
-		if len(ids) >= archiveMost {
+	ids := ow.core.Expired(now, archiveBatchSize)
+	for id, rw := range ow.storedProgress {
+		if len(ids) >= archiveBatchSize {
 			break
 		}
 		pg, err := job.DecodeProgress(rw.Value)
@@ -149,7 +149,7 @@
 }
 
 // try makes one try at a write that can be made again.
-func (ow *owner) try(ctx context.Context, tx Tx) bool {
+func (ow *owner) commitOnce(ctx context.Context, tx Tx) bool {
 	callCtx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	_, err := ow.fl.store.Commit(callCtx, tx)
@@ -159,13 +159,13 @@
 // archiveEnded makes one round of archive.
 func (ow *owner) archiveEnded(ctx context.Context) int {
 	ow.mu.Lock()
-	ids := ow.core.Archivable(archiveMost)
+	ids := ow.core.Archivable(archiveBatchSize)
 	ow.mu.Unlock()
 	if len(ids) == 0 {
 		return 0
 	}
 	// Those that fail are removed in a later round; until then they only lengthen a takeover.
-	ids = ow.remove(ctx, ids, func(id job.ID) []Place {
+	ids = ow.removeRows(ctx, ids, func(id job.ID) []Place {
 		part := partName(homePart(id))
 		return []Place{{jobTable(ow.name), part, string(id)}, {jobTable(ow.name), part, string(id) + cancelSuffix}, {tablePayload, part, string(id)}}
 	})
--- a/fleet/drain.go
+++ b/fleet/drain.go
@@ -56,7 +56,7 @@
 	for _, dr := range drains {
 		ids[dr.Worker] = true
 	}
-	for _, ow := range fl.owned() {
+	for _, ow := range fl.allOwners() {
 		ow.post(func(cr *cell.Core, _ time.Time) { cr.Cordon(ids) })
 	}
 }
--- a/fleet/fakes_test.go
+++ b/fleet/fakes_test.go
@@ -19,12 +19,12 @@
 
 // Limits of the tests; they end as soon as what they wait for is there.
 const (
-	longWait = 60 * time.Second
-	pollGap  = 10 * time.Millisecond
+	testTimeout      = 60 * time.Second
+	testPollInterval = 10 * time.Millisecond
 )
 
 // memory is a store in memory, shared by all nodes of a test.
-type memory struct {
+type memStore struct {
 	mu      sync.Mutex
 	version int64
 	rows    map[Place]Row
@@ -32,17 +32,17 @@
 	changed chan struct{}
 }
 
-func newMemory() *memory {
-	return &memory{version: 1, rows: map[Place]Row{}, changed: make(chan struct{})}
+func newMemStore() *memStore {
+	return &memStore{version: 1, rows: map[Place]Row{}, changed: make(chan struct{})}
 }
 
-func (mm *memory) commit(tx Tx) (int64, error) {
-	mm.mu.Lock()
-	defer mm.mu.Unlock()
+func (ms *memStore) commit(tx Tx) (int64, error) {
+	ms.mu.Lock()
+	defer ms.mu.Unlock()
 	var cf Conflict
 	clash := false
 	for _, ex := range tx.Expect {
-		rw := mm.rows[ex.Place]
+		rw := ms.rows[ex.Place]
 		clash = clash || rw.Version != ex.Version
 		rw.Table, rw.Part, rw.Key = ex.Place.Table, ex.Place.Part, ex.Place.Key
 		cf.Rows = append(cf.Rows, rw)
@@ -53,28 +53,28 @@
 	if entries := len(tx.Expect) + len(tx.Write) + len(tx.Remove); entries > 100 {
 		return 0, ErrRefused
 	}
-	mm.version++
+	ms.version++
 	for _, rw := range tx.Write {
-		rw.Version = mm.version
-		mm.rows[rw.Place()] = rw
-		mm.history = append(mm.history, rw)
+		rw.Version = ms.version
+		ms.rows[rw.Place()] = rw
+		ms.history = append(ms.history, rw)
 	}
 	for _, at := range tx.Remove {
-		if _, there := mm.rows[at]; there {
-			delete(mm.rows, at)
-			mm.history = append(mm.history, Row{Table: at.Table, Part: at.Part, Key: at.Key, Version: mm.version, Deleted: true})
+		if _, there := ms.rows[at]; there {
+			delete(ms.rows, at)
+			ms.history = append(ms.history, Row{Table: at.Table, Part: at.Part, Key: at.Key, Version: ms.version, Deleted: true})
 		}
 	}
-	close(mm.changed)
-	mm.changed = make(chan struct{})
-	return mm.version, nil
+	close(ms.changed)
+	ms.changed = make(chan struct{})
+	return ms.version, nil
 }
 
-func (mm *memory) read(qu Query) Page {
-	mm.mu.Lock()
-	defer mm.mu.Unlock()
-	pg := Page{Version: mm.version}
-	for at, rw := range mm.rows {
+func (ms *memStore) read(qu Query) Page {
+	ms.mu.Lock()
+	defer ms.mu.Unlock()
+	pg := Page{Version: ms.version}
+	for at, rw := range ms.rows {
 		if at.Table == qu.Table && at.Part == qu.Part && at.Key >= qu.From && (qu.To == "" || at.Key < qu.To) {
 			pg.Rows = append(pg.Rows, rw)
 		}
@@ -86,17 +86,17 @@
 	return pg
 }
 
-func (mm *memory) feed(ctx context.Context, table string, after int64, wait time.Duration) Page {
+func (ms *memStore) feed(ctx context.Context, table string, after int64, wait time.Duration) Page {
 	timer := time.After(wait)
 	for {
-		mm.mu.Lock()
-		pg, changed := Page{Version: mm.version}, mm.changed
-		for _, rw := range mm.history {
+		ms.mu.Lock()
+		pg, changed := Page{Version: ms.version}, ms.changed
+		for _, rw := range ms.history {
 			if rw.Table == table && rw.Version > after {
 				pg.Rows = append(pg.Rows, rw)
 			}
 		}
-		mm.mu.Unlock()
+		ms.mu.Unlock()
 		if len(pg.Rows) > 0 {
 			return pg
 		}
@@ -111,9 +111,9 @@
 }
 
 // storeWay is one node's way to the store, with its faults.
-type storeWay struct {
-	mm *memory
-	mu sync.Mutex
+type faultyStore struct {
+	mem *memStore
+	mu  sync.Mutex
 	// refuse makes every call refused, silent unanswered without effect.
 	refuse, silent bool
 	// hang tells which tables' feeds never answer.
@@ -121,39 +121,39 @@
 	// onePart has transactions over several parts refused.
 	onePart bool
 	// lose tells which transactions are done and not answered.
-	lose func(Tx) bool
+	dropAnswer func(Tx) bool
 	// feeds counts the calls for each table's changes, reads those for rows of each table.
 	feeds, reads map[string]int
 }
 
 // readOf is how often rows of a table were read this way.
-func (sw *storeWay) readOf(table string) int {
-	sw.mu.Lock()
-	defer sw.mu.Unlock()
-	return sw.reads[table]
+func (fs *faultyStore) readCalls(table string) int {
+	fs.mu.Lock()
+	defer fs.mu.Unlock()
+	return fs.reads[table]
 }
 
 // fed is how often a table's changes were asked for this way.
-func (sw *storeWay) fed(table string) int {
-	sw.mu.Lock()
-	defer sw.mu.Unlock()
-	return sw.feeds[table]
+func (fs *faultyStore) feedCalls(table string) int {
+	fs.mu.Lock()
+	defer fs.mu.Unlock()
+	return fs.feeds[table]
 }
 
-func (sw *storeWay) set(change func(*storeWay)) {
-	sw.mu.Lock()
-	defer sw.mu.Unlock()
-	change(sw)
+func (fs *faultyStore) set(change func(*faultyStore)) {
+	fs.mu.Lock()
+	defer fs.mu.Unlock()
+	change(fs)
 }
 
 // fault returns the error that a call meets, after the time that it takes to find out.
-func (sw *storeWay) fault(ctx context.Context) error {
-	sw.mu.Lock()
-	refuse, silent := sw.refuse, sw.silent
-	sw.mu.Unlock()
+func (fs *faultyStore) fault(ctx context.Context) error {
+	fs.mu.Lock()
+	refuse, silent := fs.refuse, fs.silent
+	fs.mu.Unlock()
 	if silent {
 		<-ctx.Done()
-		return ErrSilent
+		return ErrNoAnswer
 	}
 	if refuse {
 		return ErrRefused
@@ -161,22 +161,22 @@
 	return nil
 }
 
-func (sw *storeWay) Commit(ctx context.Context, tx Tx) (int64, error) {
-	if err := sw.fault(ctx); err != nil {
+func (fs *faultyStore) Commit(ctx context.Context, tx Tx) (int64, error) {
+	if err := fs.fault(ctx); err != nil {
 		return 0, err
 	}
-	sw.mu.Lock()
-	refused := sw.onePart && tx.parts() > 1
-	sw.mu.Unlock()
+	fs.mu.Lock()
+	refused := fs.onePart && tx.parts() > 1
+	fs.mu.Unlock()
 	if refused {
 		return 0, ErrRefused
 	}
-	version, err := sw.mm.commit(tx)
-	sw.mu.Lock()
-	lost := sw.lose != nil && sw.lose(tx)
-	sw.mu.Unlock()
+	version, err := fs.mem.commit(tx)
+	fs.mu.Lock()
+	lost := fs.dropAnswer != nil && fs.dropAnswer(tx)
+	fs.mu.Unlock()
 	if lost {
-		return 0, ErrSilent
+		return 0, ErrNoAnswer
 	}
 	return version, err
 }
@@ -196,47 +196,47 @@
 	return len(parts)
 }
 
-func (sw *storeWay) Read(ctx context.Context, qu Query) (Page, error) {
-	sw.set(func(sw *storeWay) {
-		if sw.reads == nil {
-			sw.reads = map[string]int{}
+func (fs *faultyStore) Read(ctx context.Context, qu Query) (Page, error) {
+	fs.set(func(fs *faultyStore) {
+		if fs.reads == nil {
+			fs.reads = map[string]int{}
 		}
-		sw.reads[qu.Table]++
+		fs.reads[qu.Table]++
 	})
-	if err := sw.fault(ctx); err != nil {
+	if err := fs.fault(ctx); err != nil {
 		return Page{}, err
 	}
-	return sw.mm.read(qu), nil
+	return fs.mem.read(qu), nil
 }
 
-func (sw *storeWay) Feed(ctx context.Context, table string, after int64, wait time.Duration) (Page, error) {
-	sw.set(func(sw *storeWay) {
-		if sw.feeds == nil {
-			sw.feeds = map[string]int{}
+func (fs *faultyStore) Feed(ctx context.Context, table string, after int64, wait time.Duration) (Page, error) {
+	fs.set(func(fs *faultyStore) {
+		if fs.feeds == nil {
+			fs.feeds = map[string]int{}
 		}
-		sw.feeds[table]++
+		fs.feeds[table]++
 	})
-	if err := sw.fault(ctx); err != nil {
+	if err := fs.fault(ctx); err != nil {
 		return Page{}, err
 	}
-	sw.mu.Lock()
-	hangs := sw.hang != nil && sw.hang(table)
-	sw.mu.Unlock()
+	fs.mu.Lock()
+	hangs := fs.hang != nil && fs.hang(table)
+	fs.mu.Unlock()
 	if hangs {
 		<-ctx.Done()
-		return Page{}, ErrSilent
+		return Page{}, ErrNoAnswer
 	}
-	return sw.mm.feed(ctx, table, after, wait), nil
+	return fs.mem.feed(ctx, table, after, wait), nil
 }
 
-func (sw *storeWay) Parts(ctx context.Context, table string) ([]string, error) {
-	if err := sw.fault(ctx); err != nil {
+func (fs *faultyStore) Parts(ctx context.Context, table string) ([]string, error) {
+	if err := fs.fault(ctx); err != nil {
 		return nil, err
 	}
-	sw.mm.mu.Lock()
-	defer sw.mm.mu.Unlock()
+	fs.mem.mu.Lock()
+	defer fs.mem.mu.Unlock()
 	var parts []string
-	for at := range sw.mm.rows {
+	for at := range fs.mem.rows {
 		if at.Table == table && !slices.Contains(parts, at.Part) {
 			parts = append(parts, at.Part)
 		}
@@ -246,16 +246,16 @@
 
 // fakeWorkers run tasks for a fixed time each, and count the starts of each task.
 type fakeWorkers struct {
-	mu     sync.Mutex
-	began  time.Time
-	takes  time.Duration
-	tokens map[cell.WorkerID]cell.Token
-	runs   map[cell.WorkerID]map[job.Task]fakeRun
-	ends   map[cell.WorkerID][]cell.End
-	last   map[cell.WorkerID]int64
-	starts map[job.Task]int
+	mu        sync.Mutex
+	startedAt time.Time
+	taskTime  time.Duration
+	tokens    map[cell.WorkerID]cell.Token
+	runs      map[cell.WorkerID]map[job.Task]fakeRun
+	ends      map[cell.WorkerID][]cell.End
+	last      map[cell.WorkerID]int64
+	starts    map[job.Task]int
 	// most is how many tasks ran at once at the most.
-	most int
+	maxRunning int
 }
 
 type fakeRun struct {
@@ -264,29 +264,29 @@
 }
 
 func newWorkers(takes time.Duration) *fakeWorkers {
-	return &fakeWorkers{began: time.Now(), takes: takes, tokens: map[cell.WorkerID]cell.Token{}, runs: map[cell.WorkerID]map[job.Task]fakeRun{}, ends: map[cell.WorkerID][]cell.End{}, last: map[cell.WorkerID]int64{}, starts: map[job.Task]int{}}
+	return &fakeWorkers{startedAt: time.Now(), taskTime: takes, tokens: map[cell.WorkerID]cell.Token{}, runs: map[cell.WorkerID]map[job.Task]fakeRun{}, ends: map[cell.WorkerID][]cell.End{}, last: map[cell.WorkerID]int64{}, starts: map[job.Task]int{}}
 }
 
 // note keeps how many tasks ran at once at the most.
-func (fw *fakeWorkers) note() {
+func (fw *fakeWorkers) recordRunning() {
 	running := 0
 	for id := range fw.runs {
-		fw.settle(id)
+		fw.finishDue(id)
 		running += len(fw.runs[id])
 	}
-	fw.most = max(fw.most, running)
+	fw.maxRunning = max(fw.maxRunning, running)
 }
 
 // mostAtOnce is how many tasks ran at once at the most.
-func (fw *fakeWorkers) mostAtOnce() int {
+func (fw *fakeWorkers) peakRunning() int {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
-	return fw.most
+	return fw.maxRunning
 }
 
-func (fw *fakeWorkers) clock() int64 { return 1000 + time.Since(fw.began).Milliseconds() }
+func (fw *fakeWorkers) clock() int64 { return 1000 + time.Since(fw.startedAt).Milliseconds() }
 
-func (fw *fakeWorkers) settle(id cell.WorkerID) {
+func (fw *fakeWorkers) finishDue(id cell.WorkerID) {
 	for tk, rn := range fw.runs[id] {
 		if time.Now().After(rn.ends) {
 			delete(fw.runs[id], tk)
@@ -301,12 +301,12 @@
 	until := sent.Add(lk.Wait)
 	for {
 		fw.mu.Lock()
-		fw.settle(lk.Worker)
+		fw.finishDue(lk.Worker)
 		if len(fw.ends[lk.Worker]) > 0 || time.Now().After(until) || ctx.Err() != nil {
 			break
 		}
 		fw.mu.Unlock()
-		time.Sleep(pollGap)
+		time.Sleep(testPollInterval)
 	}
 	defer fw.mu.Unlock()
 	res := cell.Looked{Look: lk, Sent: sent, Received: time.Now(), Clock: fw.clock(), Outcome: cell.Done}
@@ -338,8 +338,8 @@
 		if fw.runs[order.Worker] == nil {
 			fw.runs[order.Worker] = map[job.Task]fakeRun{}
 		}
-		fw.runs[order.Worker][order.Task] = fakeRun{order.Attempt, now.Add(fw.takes)}
-		fw.note()
+		fw.runs[order.Worker][order.Task] = fakeRun{order.Attempt, now.Add(fw.taskTime)}
+		fw.recordRunning()
 		fw.starts[order.Task]++
 	case cell.Stop:
 		delete(fw.runs[order.Worker], order.Task)
@@ -348,7 +348,7 @@
 }
 
 // count is how often a task was started.
-func (fw *fakeWorkers) count(tk job.Task) int {
+func (fw *fakeWorkers) startCount(tk job.Task) int {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
 	return fw.starts[tk]
@@ -366,36 +366,36 @@
 }
 
 // foreignEntry is a registration that cannot be read.
-const foreignEntry = "foreign"
+const unreadableRegistration = "foreign"
 
 // plainFormat has one queue and three workers, whatever the rows hold.
-type plainFormat struct{}
+type testFormat struct{}
 
-func (plainFormat) OperatorTable() string { return "operator" }
-func (plainFormat) RegistryTable() string { return "registry" }
-func (plainFormat) Configuration(rw Row) (*job.Configuration, error) {
+func (testFormat) OperatorTable() string { return "operator" }
+func (testFormat) RegistryTable() string { return "registry" }
+func (testFormat) Configuration(rw Row) (*job.Configuration, error) {
 	if rw.Key != "configuration" {
 		return nil, nil
 	}
 	return &job.Configuration{Version: rw.Version, Queues: []job.Queue{testQueue}, Pools: []job.Pool{{ID: "pool"}}}, nil
 }
-func (plainFormat) Wave(Row) (*machine.Wave, error) { return nil, nil }
-func (plainFormat) Worker(rw Row) (cell.Worker, error) {
-	if string(rw.Value) == foreignEntry {
+func (testFormat) Wave(Row) (*machine.Wave, error) { return nil, nil }
+func (testFormat) Worker(rw Row) (cell.Worker, error) {
+	if string(rw.Value) == unreadableRegistration {
 		return cell.Worker{}, errors.New("no registration")
 	}
 	return cell.Worker{ID: cell.WorkerID(rw.Key), Pool: "pool", Address: rw.Key, Room: job.Size{CPUMillis: 4000, MemoryMB: 4000}}, nil
 }
-func (plainFormat) WaveStatus(number int, completed bool) (Row, error) {
+func (testFormat) WaveStatus(number int, completed bool) (Row, error) {
 	return Row{Table: "status", Key: fmt.Sprintf("wave/%d", number), Value: fmt.Appendf(nil, "completed %t", completed)}, nil
 }
 
 var testQueue = job.Queue{ID: "q", Host: "h", PathPrefix: "/q/", Pool: "pool", MaxAttempts: 2, Stretch: 2, Slack: time.Second}
 
 // site is a number of nodes over one store and the same workers.
-type site struct {
+type cluster struct {
 	t       *testing.T
-	mm      *memory
+	mm      *memStore
 	workers *fakeWorkers
 	// workersAt are the workers as a node calls them; nil for the same ones everywhere.
 	workersAt func(name string) Workers
@@ -410,50 +410,50 @@
 // testNode is one node of a site.
 type testNode struct {
 	*Fleet
-	way  *storeWay
-	srv  *http.Server
-	stop context.CancelFunc
-	done chan struct{}
+	faultyStore *faultyStore
+	srv         *http.Server
+	stop        context.CancelFunc
+	done        chan struct{}
 }
 
-func newSite(t *testing.T, takes time.Duration) *site {
-	st := &site{t: t, mm: newMemory(), workers: newWorkers(takes), retention: time.Hour}
-	st.write(Row{Table: "operator", Key: "configuration", Value: []byte("{}")})
+func newCluster(t *testing.T, takes time.Duration) *cluster {
+	cl := &cluster{t: t, mm: newMemStore(), workers: newWorkers(takes), retention: time.Hour}
+	cl.write(Row{Table: "operator", Key: "configuration", Value: []byte("{}")})
 	for _, id := range []string{"w0", "w1", "w2"} {
-		st.write(Row{Table: "registry", Key: id, Value: []byte("{}")})
+		cl.write(Row{Table: "registry", Key: id, Value: []byte("{}")})
 	}
-	return st
+	return cl
 }
 
-func (st *site) write(rw Row) {
-	st.t.Helper()
-	if _, err := st.mm.commit(Tx{Write: []Row{rw}}); err != nil {
-		st.t.Fatal(err)
+func (cl *cluster) write(rw Row) {
+	cl.t.Helper()
+	if _, err := cl.mm.commit(Tx{Write: []Row{rw}}); err != nil {
+		cl.t.Fatal(err)
 	}
 }
 
 // start runs a node until the test ends or it is stopped.
-func (st *site) start(name string, faults ...func(*storeWay)) *testNode {
-	st.t.Helper()
+func (cl *cluster) start(name string, faults ...func(*faultyStore)) *testNode {
+	cl.t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		st.t.Fatal(err)
+		cl.t.Fatal(err)
 	}
-	way := &storeWay{mm: st.mm}
+	way := &faultyStore{mem: cl.mm}
 	for _, fault := range faults {
 		fault(way)
 	}
-	var workers Workers = st.workers
-	if st.workersAt != nil {
-		workers = st.workersAt(name)
+	var workers Workers = cl.workers
+	if cl.workersAt != nil {
+		workers = cl.workersAt(name)
 	}
 	hall := "h"
-	if named, ok := st.halls[name]; ok {
+	if named, ok := cl.halls[name]; ok {
 		hall = named
 	}
-	var format Format = plainFormat{}
-	if st.format != nil {
-		format = st.format
+	var format Format = testFormat{}
+	if cl.format != nil {
+		format = cl.format
 	}
 	fl := New(Options{Name: name, Hall: hall, Address: ln.Addr().String(), Store: way, Workers: workers, Machines: noMachines{}, Format: format, OnePart: way.onePart})
 	srv := &http.Server{Handler: fl.Handler()}
@@ -461,14 +461,14 @@
 		// It ends when the test closes it.
 		_ = srv.Serve(ln)
 	}()
-	fl.opts.Cell.Retention = st.retention
+	fl.opts.Cell.Retention = cl.retention
 	ctx, cancel := context.WithCancel(context.Background())
-	nd := &testNode{Fleet: fl, way: way, srv: srv, stop: cancel, done: make(chan struct{})}
+	nd := &testNode{Fleet: fl, faultyStore: way, srv: srv, stop: cancel, done: make(chan struct{})}
 	go func() {
 		defer close(nd.done)
 		fl.Run(ctx)
 	}()
-	st.t.Cleanup(func() {
+	cl.t.Cleanup(func() {
 		cancel()
 		<-nd.done
 		_ = srv.Close()
@@ -477,22 +477,22 @@
 }
 
 // eventually waits for a condition.
-func (st *site) eventually(what string, holds func() bool) {
-	st.t.Helper()
-	for until := time.Now().Add(longWait); !holds(); time.Sleep(pollGap) {
+func (cl *cluster) eventually(what string, holds func() bool) {
+	cl.t.Helper()
+	for until := time.Now().Add(testTimeout); !holds(); time.Sleep(testPollInterval) {
 		if time.Now().After(until) {
-			st.t.Fatalf("never: %s", what)
+			cl.t.Fatalf("never: %s", what)
 		}
 	}
 }
 
 // owner waits until a node works on the cell.
-func (st *site) owner(nodes ...*testNode) *testNode {
-	st.t.Helper()
+func (cl *cluster) waitOwner(nodes ...*testNode) *testNode {
+	cl.t.Helper()
 	var found *testNode
-	st.eventually("an owner of the cell", func() bool {
+	cl.eventually("an owner of the cell", func() bool {
 		for _, nd := range nodes {
-			if ow := nd.ownerOf("pool"); ow != nil && ow.hasBegun() {
+			if ow := nd.ownerOf("pool"); ow != nil && ow.hasPlanned() {
 				found = nd
 			}
 		}
@@ -501,51 +501,51 @@
 	return found
 }
 
-func (ow *owner) hasBegun() bool {
+func (ow *owner) hasPlanned() bool {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	return ow.began && !ow.lost.Load()
+	return ow.planned && !ow.lost.Load()
 }
 
 // spec is a job of two steps of two tasks.
-func spec(id job.ID) *job.Spec {
+func testSpec(id job.ID) *job.Spec {
 	st := job.Step{Count: 2, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}}
 	next := st
 	next.DependsOn = []int{0}
 	return &job.Spec{ID: id, Queue: "q", Pool: "pool", Steps: []job.Step{st, next}, AcceptedAt: time.Now()}
 }
 
-func (st *site) submit(nd *testNode, id job.ID) Verdict {
+func (cl *cluster) submit(nd *testNode, id job.ID) SubmitResult {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
-	vd, _ := nd.Submit(ctx, spec(id))
-	return vd
+	result, _ := nd.Submit(ctx, testSpec(id))
+	return result
 }
 
 // completed waits for a job's end as a node tells it.
-func (st *site) completed(nd *testNode, id job.ID) {
-	st.t.Helper()
-	st.eventually("the end of "+string(id), func() bool {
+func (cl *cluster) waitCompleted(nd *testNode, id job.ID) {
+	cl.t.Helper()
+	cl.eventually("the end of "+string(id), func() bool {
 		state, err := nd.State(context.Background(), "", &testQueue, id)
 		return err == nil && state == job.Completed
 	})
 }
 
 // once checks that every task of a job was started exactly once.
-func (st *site) once(id job.ID) {
-	st.t.Helper()
+func (cl *cluster) checkRanOnce(id job.ID) {
+	cl.t.Helper()
 	for step := range 2 {
 		for index := range 2 {
 			tk := job.Task{Job: id, Step: step, Index: index}
-			if got := st.workers.count(tk); got != 1 {
-				st.t.Errorf("%v was started %d times", tk, got)
+			if got := cl.workers.startCount(tk); got != 1 {
+				cl.t.Errorf("%v was started %d times", tk, got)
 			}
 		}
 	}
 }
 
 // usedBy names workers as a cell's row does.
-func usedBy(ids ...cell.WorkerID) []cell.Ref {
+func workerRefs(ids ...cell.WorkerID) []cell.Ref {
 	var refs []cell.Ref
 	for _, id := range ids {
 		refs = append(refs, cell.Ref{ID: id, Address: string(id)})
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -41,9 +41,9 @@
 	// homeParts spreads jobs over parts, since each part takes its transactions in turn: some 300 a second, and fewer by as much as a store
 	// is slow. Jobs of all instances share the parts, so that a second try finds the first wherever it comes; with this many a store that is
 	// sixty times slower still takes 320 jobs a second.
-	homeParts = 64
+	homePartCount = 64
 	// jobTables bounds the number of tables however many cells there are.
-	jobTables = 16
+	jobTableCount = 16
 )
 
 // Options are what a fleet node is built with.
@@ -92,17 +92,17 @@
 	owners      map[string]*owner
 	claiming    map[string]bool
 	workerCache *workerCache
-	intakes     [homeParts]*intake
+	intakes     [homePartCount]*intake
 	pending     pendingCache
 	homes       homeCache
-	payloads    *payloads
-	full        full
+	payloads    *payloadCache
+	fullQueues  fullQueueSet
 	stopping    atomic.Bool
 	// apart is set while all instances that live read payloads apart from jobs.
-	apart      atomic.Bool
-	controller *machineController
-	partition  *partitionDetector
-	relay      *relay
+	separatePayloads atomic.Bool
+	controller       *machineController
+	partition        *partitionDetector
+	relay            *relay
 	// readers read the parts of tables.
 	readers pond.Pool
 	// paused holds the queues that an operator has paused.
@@ -111,7 +111,7 @@
 	relayIDs atomic.Uint64
 	// background ends when the process does.
 	background context.Context
-	fig        figures
+	metrics    fleetMetrics
 }
 
 // New returns a fleet node.
@@ -138,18 +138,18 @@
 	if options.Incarnation == "" {
 		options.Incarnation = table.NewID()
 	}
-	options.Workers = &patientWorkers{Workers: options.Workers}
-	fl := &Fleet{background: context.Background(), opts: options, owners: map[string]*owner{}, claiming: map[string]bool{}, workerCache: newWorkerCache(), payloads: newPayloads(), readers: pond.NewPool(parallelReads)}
-	fl.fig = newFigures(options.Registry)
+	options.Workers = &adaptiveWorkers{Workers: options.Workers}
+	fl := &Fleet{background: context.Background(), opts: options, owners: map[string]*owner{}, claiming: map[string]bool{}, workerCache: newWorkerCache(), payloads: newPayloadCache(), readers: pond.NewPool(parallelReads)}
+	fl.metrics = newFleetMetrics(options.Registry)
 	fl.peers = newPeers(fl)
-	fl.store = newStoreClient(options.Store, fl.peers, options.Log, options.Now, fl.fig)
+	fl.store = newStoreClient(options.Store, fl.peers, options.Log, options.Now, fl.metrics)
 	fl.members = newMembers(options.Now, options.Log)
 	fl.control = newTableWatch(fl, tableControl, fl.controlPollInterval, controlWait, fl.applyControlRows)
 	fl.operator = newTableWatch(fl, options.Format.OperatorTable(), fixedInterval(operatorInterval), feedWait, fl.operatorChanged)
 	fl.registry = newTableWatch(fl, options.Format.RegistryTable(), fixedInterval(registryInterval), feedWait, fl.applyRegistrations)
 	fl.registry.idle, fl.registry.onIdle = fl.ownsNoCells, fl.workerCache.reset
-	fl.accounts = newTableWatch(fl, tableAccount, fixedInterval(accountGap), feedWait, fl.accountsChanged)
-	fl.accounts.idle, fl.accounts.onIdle = fl.needsNoAccounts, func() {}
+	fl.accounts = newTableWatch(fl, tableAccount, fixedInterval(accountFeedInterval), feedWait, fl.accountsChanged)
+	fl.accounts.idle, fl.accounts.onIdle = fl.accountsUnused, func() {}
 	for part := range fl.intakes {
 		fl.intakes[part] = newIntake(fl, part)
 	}
@@ -171,7 +171,7 @@
 	}
 	wg.Go(func() { fl.heartbeat(ctx) })
 	wg.Go(func() { fl.logTraffic(ctx) })
-	wg.Go(func() { fl.own(ctx) })
+	wg.Go(func() { fl.runOwnership(ctx) })
 	wg.Go(func() { fl.partition.run(ctx) })
 	wg.Wait()
 }
@@ -179,7 +179,7 @@
 // HandOver leaves all cells without an owner, so that others take them at once. The instance goes on accepting and answering.
 func (fl *Fleet) HandOver(ctx context.Context) {
 	fl.stopping.Store(true)
-	fl.handOver(ctx)
+	fl.releaseAll(ctx)
 }
 
 // Ready reports whether the instance can serve: it has a configuration, knows the owners of cells, and is not cut off from the store and
@@ -194,18 +194,18 @@
 // operatorChanged takes changes of the operator's rows.
 func (fl *Fleet) operatorChanged(rows []Row, _ time.Time) {
 	for _, rw := range rows {
-		fl.takeOperatorRow(rw)
+		fl.applyOperatorRow(rw)
 	}
 }
 
-func (fl *Fleet) takeOperatorRow(rw Row) {
+func (fl *Fleet) applyOperatorRow(rw Row) {
 	cf, err := fl.opts.Format.Configuration(rw)
 	if err != nil {
 		fl.opts.Log.Emit(event.OperatorRowRejected, zap.String("key", rw.Key), zap.Error(err))
 		return
 	}
 	if cf != nil {
-		fl.takeConfiguration(cf)
+		fl.applyConfiguration(cf)
 		return
 	}
 	wv, err := fl.opts.Format.Wave(rw)
@@ -219,7 +219,7 @@
 }
 
 // takeConfiguration puts a configuration in force unless a newer one is.
-func (fl *Fleet) takeConfiguration(cf *job.Configuration) {
+func (fl *Fleet) applyConfiguration(cf *job.Configuration) {
 	for {
 		old := fl.config.Load()
 		if old != nil && old.Version >= cf.Version {
@@ -230,14 +230,14 @@
 		}
 	}
 	fl.opts.Log.Emit(event.QueuesInForce, zap.Int64("version", cf.Version), zap.Int("queues", len(cf.Queues)), zap.Int("pools", len(cf.Pools)), zap.Int("organisations", len(cf.Organisations.List())))
-	fl.tellShared(cf)
-	for _, ow := range fl.owned() {
+	fl.logSharedKeys(cf)
+	for _, ow := range fl.allOwners() {
 		ow.post(func(cr *cell.Core, _ time.Time) { cr.Configure(cf.Queues); cr.Organise(cf) })
 	}
 	fl.accounts.wake()
 }
 
-func (fl *Fleet) owned() []*owner {
+func (fl *Fleet) allOwners() []*owner {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	list := make([]*owner, 0, len(fl.owners))
@@ -264,13 +264,13 @@
 }
 
 // homePart is the part in which a job's rows lie: the same for every try at every entry instance.
-func homePart(id job.ID) int { return int(hash(string(id)) % homeParts) }
+func homePart(id job.ID) int { return int(hash(string(id)) % homePartCount) }
 
 func partName(part int) string { return "p" + strconv.Itoa(part) }
 
 // jobTable is the table of a cell's open jobs.
 func jobTable(name string) string {
-	return tableJob + string(rune('a'+hash(name)%jobTables))
+	return tableJob + string(rune('a'+hash(name)%jobTableCount))
 }
 
 // cancelSuffix marks the key of a cancellation beside its job's.
--- a/fleet/state.go
+++ b/fleet/jobstate.go
@@ -16,64 +16,64 @@
 // homeCache remembers where jobs belong that were accepted or asked for here.
 type homeCache struct {
 	mu    sync.Mutex // guards what follows
-	homes map[job.ID]home
+	homes map[job.ID]homeRow
 	order []job.ID
 }
 
-func (hc *homeCache) add(id job.ID, hm home) {
+func (hc *homeCache) add(id job.ID, hr homeRow) {
 	hc.mu.Lock()
 	defer hc.mu.Unlock()
 	if hc.homes == nil {
-		hc.homes = map[job.ID]home{}
+		hc.homes = map[job.ID]homeRow{}
 	}
 	if _, known := hc.homes[id]; known {
 		return
 	}
-	hc.homes[id] = hm
+	hc.homes[id] = hr
 	hc.order = append(hc.order, id)
-	if len(hc.order) > homesKept {
+	if len(hc.order) > homeCacheSize {
 		delete(hc.homes, hc.order[0])
 		hc.order = hc.order[1:]
 	}
 }
 
-func (hc *homeCache) get(id job.ID) (home, bool) {
+func (hc *homeCache) get(id job.ID) (homeRow, bool) {
 	hc.mu.Lock()
 	defer hc.mu.Unlock()
-	hm, ok := hc.homes[id]
-	return hm, ok
+	hr, ok := hc.homes[id]
+	return hr, ok
 }
 
 // homeOf returns where a job belongs, from memory or from the store; ErrNoJob if the store has no such job.
-func (fl *Fleet) homeOf(ctx context.Context, id job.ID) (home, error) {
-	if hm, ok := fl.homes.get(id); ok {
-		return hm, nil
+func (fl *Fleet) homeOf(ctx context.Context, id job.ID) (homeRow, error) {
+	if hr, ok := fl.homes.get(id); ok {
+		return hr, nil
 	}
 	return fl.storedHome(ctx, id)
 }
 
 // storedHome returns where a job belongs as the store has it.
-func (fl *Fleet) storedHome(ctx context.Context, id job.ID) (home, error) {
+func (fl *Fleet) storedHome(ctx context.Context, id job.ID) (homeRow, error) {
 	rw, ok, err := fl.readRow(ctx, Place{tableHome, partName(homePart(id)), string(id)})
 	if err != nil {
-		return home{}, err
+		return homeRow{}, err
 	}
 	if !ok {
-		return home{}, ErrNoJob
+		return homeRow{}, ErrNoJob
 	}
-	var hm home
-	if err := json.Unmarshal(rw.Value, &hm); err != nil {
+	var hr homeRow
+	if err := json.Unmarshal(rw.Value, &hr); err != nil {
 		fl.opts.Log.Emit(event.JobRowRejected, zap.String("job", string(id)), zap.Error(err))
-		return home{}, ErrNotNow
+		return homeRow{}, ErrUnavailable
 	}
-	fl.homes.add(id, hm)
-	return hm, nil
+	fl.homes.add(id, hr)
+	return hr, nil
 }
 
 // readRow reads one row, again if the store does not answer, as long as the context allows.
 func (fl *Fleet) readRow(ctx context.Context, at Place) (Row, bool, error) {
 	for {
-		callCtx, cancel := context.WithTimeout(ctx, intakeTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, intakeReadTimeout)
 		pg, err := fl.store.Read(callCtx, Query{Table: at.Table, Part: at.Part, From: at.Key, To: at.Key + "!", Limit: 1})
 		cancel()
 		if err == nil {
@@ -83,56 +83,56 @@
 			return pg.Rows[0], true, nil
 		}
 		if errors.Is(err, ErrRefused) || ctx.Err() != nil {
-			return Row{}, false, ErrNotNow
+			return Row{}, false, ErrUnavailable
 		}
-		sleep(ctx, intakeRetry)
+		sleep(ctx, intakeRetryDelay)
 	}
 }
 
 // State returns a job's state to a caller of an organisation: from its cell's owner, else from the store. The error is job.ErrForeign for
 // another organisation's job.
-func (fl *Fleet) State(ctx context.Context, by job.OrganisationID, queue *job.Queue, id job.ID) (job.State, error) {
+func (fl *Fleet) State(ctx context.Context, caller job.OrganisationID, queue *job.Queue, id job.ID) (job.State, error) {
 	name := cellName(queue.Pool)
-	if hm, known := fl.homes.get(id); known {
-		name = hm.Cell
+	if hr, known := fl.homes.get(id); known {
+		name = hr.Cell
 	}
-	if wd, ok := fl.askOwner(ctx, name, id); ok {
-		return wd.told(by)
+	if js, ok := fl.queryOwner(ctx, name, id); ok {
+		return js.stateFor(caller)
 	}
 	// The owner may have forgotten it after its retention, so only the store knows whether there is such a job.
 	found, err := fl.storedHome(ctx, id)
 	if err != nil {
 		return "", err
 	}
-	if !job.MayAccess(by, found.Organisation) {
+	if !job.MayAccess(caller, found.Organisation) {
 		return "", job.ErrOtherOrganisation
 	}
 	if found.Cell != name {
-		if wd, ok := fl.askOwner(ctx, found.Cell, id); ok {
-			return wd.told(by)
+		if js, ok := fl.queryOwner(ctx, found.Cell, id); ok {
+			return js.stateFor(caller)
 		}
 	}
 	return fl.storedState(ctx, found.Cell, id)
 }
 
 // word is what a cell's owner says of a job.
-type word struct {
+type jobStatus struct {
 	state        job.State
 	organisation job.OrganisationID
 }
 
 // told is the word as a caller of an organisation may have it.
-func (wd word) told(by job.OrganisationID) (job.State, error) {
-	if !job.MayAccess(by, wd.organisation) {
+func (js jobStatus) stateFor(caller job.OrganisationID) (job.State, error) {
+	if !job.MayAccess(caller, js.organisation) {
 		return "", job.ErrOtherOrganisation
 	}
-	return wd.state, nil
+	return js.state, nil
 }
 
 // askOwner asks a cell's owner, here or at a peer, for a job that it has in memory.
-func (fl *Fleet) askOwner(ctx context.Context, name string, id job.ID) (word, bool) {
+func (fl *Fleet) queryOwner(ctx context.Context, name string, id job.ID) (jobStatus, bool) {
 	if ow := fl.ownerOf(name); ow != nil {
-		return ow.state(id)
+		return ow.jobStatus(id)
 	}
 	return fl.peers.jobState(ctx, name, id)
 }
@@ -147,7 +147,7 @@
 		pg, err := job.DecodeProgress(rw.Value)
 		if err != nil {
 			fl.opts.Log.Emit(event.JobRowRejected, zap.String("job", string(id)), zap.Error(err))
-			return "", ErrNotNow
+			return "", ErrUnavailable
 		}
 		if pg.State.Ended() {
 			return pg.State, nil
@@ -167,15 +167,15 @@
 
 // Cancel keeps that a job is given up by a caller of its organisation, and has its owner stop what runs. The error is job.ErrForeign for
 // another organisation's job.
-func (fl *Fleet) Cancel(ctx context.Context, by job.OrganisationID, id job.ID) error {
-	hm, err := fl.homeOf(ctx, id)
+func (fl *Fleet) Cancel(ctx context.Context, caller job.OrganisationID, id job.ID) error {
+	hr, err := fl.homeOf(ctx, id)
 	if err != nil {
 		return err
 	}
-	if !job.MayAccess(by, hm.Organisation) {
+	if !job.MayAccess(caller, hr.Organisation) {
 		return job.ErrOtherOrganisation
 	}
-	name := hm.Cell
+	name := hr.Cell
 	tx := Tx{Write: []Row{{Table: jobTable(name), Part: partName(homePart(id)), Key: string(id) + cancelSuffix, Value: []byte("{}")}}}
 	for {
 		callCtx, cancel := context.WithTimeout(ctx, fl.store.commitTimeout())
@@ -185,9 +185,9 @@
 			break
 		}
 		if ctx.Err() != nil {
-			return ErrNotNow
+			return ErrUnavailable
 		}
-		sleep(ctx, intakeRetry)
+		sleep(ctx, intakeRetryDelay)
 	}
 	fl.logJob(event.JobCancelled, id, zap.String("cell", name))
 	if ow := fl.ownerOf(name); ow != nil {
@@ -216,21 +216,21 @@
 		if count, ok := ow.pending(queue.ID); ok {
 			return count, nil
 		}
-		return 0, ErrNotNow
+		return 0, ErrUnavailable
 	}
 	now := fl.opts.Now()
 	fl.pending.mu.Lock()
 	last, known := fl.pending.counts[queue.ID]
 	fl.pending.mu.Unlock()
-	if known && now.Sub(last.at) < pendingAge {
+	if known && now.Sub(last.at) < pendingCacheTTL {
 		return last.count, nil
 	}
 	count, ok := fl.peers.pending(ctx, name, queue.ID)
 	if !ok {
-		if known && now.Sub(last.at) < pendingStale {
+		if known && now.Sub(last.at) < pendingMaxStale {
 			return last.count, nil
 		}
-		return 0, ErrNotNow
+		return 0, ErrUnavailable
 	}
 	fl.pending.mu.Lock()
 	if fl.pending.counts == nil {
--- a/fleet/keys.go
+++ b/fleet/keys.go
@@ -7,8 +7,8 @@
 )
 
 // Rejected notes a call that was refused since its key is none that the configuration holds. The log names the key's fingerprint only.
-func (fl *Fleet) Rejected(qu *job.Queue, key string) {
-	fl.fig.keysRejected.Inc(1)
+func (fl *Fleet) LogRejectedKey(qu *job.Queue, key string) {
+	fl.metrics.keysRejected.Inc(1)
 	shown := "none"
 	if key != "" {
 		shown = job.NewKey(key).Fingerprint()
@@ -17,7 +17,7 @@
 }
 
 // tellShared logs the keys that several organisations of a configuration hold.
-func (fl *Fleet) tellShared(cf *job.Configuration) {
+func (fl *Fleet) logSharedKeys(cf *job.Configuration) {
 	if cf.Organisations == nil {
 		return
 	}
--- a/fleet/census.go
+++ b/fleet/machinecheck.go
@@ -12,26 +12,26 @@
 
 // Times of asking which lives have ended.
 const (
-	censusEvery = 100 * time.Millisecond
+	machineCheckInterval = 100 * time.Millisecond
 	// censusAgain is the least time between two lists, since each has its price; censusPressing where connections of a worker broke, whose
 	// tasks wait.
-	censusAgain    = 1200 * time.Millisecond
-	censusPressing = 500 * time.Millisecond
+	minMachineListInterval       = 1200 * time.Millisecond
+	minUrgentMachineListInterval = 500 * time.Millisecond
 )
 
 // census asks for the list of machines while workers are silent: a life that no machine runs any more has ended, and with it
 // all that it ran, which is known sooner than that its leases have run out.
-func (ow *owner) census(ctx context.Context) {
+func (ow *owner) checkMachines(ctx context.Context) {
 	var last time.Time
 	for ctx.Err() == nil {
-		sleep(ctx, censusEvery)
+		sleep(ctx, machineCheckInterval)
 		now := ow.fl.opts.Now()
 		ow.mu.Lock()
 		missing, pressing := ow.core.Missing(now)
 		ow.mu.Unlock()
-		gap := censusAgain
+		gap := minMachineListInterval
 		if pressing {
-			gap = censusPressing
+			gap = minUrgentMachineListInterval
 		}
 		if len(missing) == 0 || now.Sub(last) < gap {
 			continue
--- a/fleet/machinecontroller.go
+++ b/fleet/machinecontroller.go
@@ -255,7 +255,7 @@
 		if err == nil || asConflict(err) != nil {
 			return
 		}
-		sleep(ctx, writeRetry)
+		sleep(ctx, writeRetryDelay)
 	}
 }
 
@@ -301,7 +301,7 @@
 		ct.mu.Lock()
 		row := ownerRow{Released: true, Ordered: ct.lease.cooldowns(ct.fl.opts.Now(), 0)}
 		ct.mu.Unlock()
-		cf := asConflict(ct.fl.vacate(ctx, machinesCell, ct.leaseVersion(), row))
+		cf := asConflict(ct.fl.commitRelease(ctx, machinesCell, ct.leaseVersion(), row))
 		if cf == nil || !ct.recoverRenewal(cf) {
 			return
 		}
--- a/fleet/machinelease_test.go
+++ b/fleet/machinelease_test.go
@@ -16,24 +16,24 @@
 // TestNoOrderOfAnEarlierHolderIsUnderWay: the holder loses the store and goes on; when the next one begins, all orders of the first are
 // over, those without an answer as well.
 func TestPreviousLeaderHasNoOrdersInFlight(t *testing.T) {
-	st := newSite(t, time.Millisecond)
-	one, two := st.start("one"), st.start("two")
-	first := st.leader(one, two)
+	cl := newCluster(t, time.Millisecond)
+	one, two := cl.start("one"), cl.start("two")
+	first := cl.leader(one, two)
 	next := one
 	if first == one {
 		next = two
 	}
-	st.eventually("the other is ready", next.Ready)
+	cl.eventually("the other is ready", next.Ready)
 	ob := &orderRecorder{}
 	ob.sendConstantly(t, first)
 	ob.sendConstantly(t, next)
-	st.eventually("orders of the first holder", func() bool { return len(ob.byNode(first.opts.Name)) > 1 })
-	first.way.set(func(sw *storeWay) { sw.silent = true })
+	cl.eventually("orders of the first holder", func() bool { return len(ob.byNode(first.opts.Name)) > 1 })
+	first.faultyStore.set(func(fs *faultyStore) { fs.silent = true })
 	// The detour through the peer would keep it in office.
 	first.peers.mu.Lock()
 	first.peers.backoffUntil[next.opts.Address] = time.Now().Add(time.Hour)
 	first.peers.mu.Unlock()
-	st.eventually("orders of the next holder", func() bool { return len(ob.byNode(next.opts.Name)) > 0 })
+	cl.eventually("orders of the next holder", func() bool { return len(ob.byNode(next.opts.Name)) > 0 })
 	begin := ob.byNode(next.opts.Name)[0]
 	for _, gv := range ob.byNode(first.opts.Name) {
 		if gv.to.After(begin.from) {
@@ -47,8 +47,8 @@
 
 // TestTermFollowsTheStore: a store whose answers take long makes the term longer, and the others wait as long as the row says.
 func TestLeaseTermFollowsStoreLatency(t *testing.T) {
-	st := newSite(t, time.Millisecond)
-	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &storeWay{mm: st.mm}, Workers: st.workers, Machines: noMachines{}, Format: plainFormat{}})
+	cl := newCluster(t, time.Millisecond)
+	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &faultyStore{mem: cl.mm}, Workers: cl.workers, Machines: noMachines{}, Format: testFormat{}})
 	if fast := fl.machineLeaseTerm(); fast != machineLeaseTermMin {
 		t.Errorf("the term is %v while the store is fast", fast)
 	}
@@ -80,9 +80,9 @@
 
 // TestShorterTermHoldsFromItsFirstTry: its answer may be lost, and the others wait for the shorter one only.
 func TestShorterTermAppliesFromFirstAttempt(t *testing.T) {
-	st := newSite(t, time.Millisecond)
+	cl := newCluster(t, time.Millisecond)
 	now := time.Now()
-	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &storeWay{mm: st.mm, refuse: true}, Workers: st.workers, Machines: noMachines{}, Format: plainFormat{}, Now: func() time.Time { return now }})
+	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &faultyStore{mem: cl.mm, refuse: true}, Workers: cl.workers, Machines: noMachines{}, Format: testFormat{}, Now: func() time.Time { return now }})
 	fl.controller.waveRunner = machine.NewKeeper(now, 0)
 	fl.controller.lease = machineLease{expires: now.Add(machineLeaseTermMax), ordered: map[cell.MachineID]*machineOrders{}}
 	fl.controller.renewOnce(context.Background(), nil)
@@ -93,14 +93,14 @@
 
 // TestLateClaimDoesNotReplaceAHolderThatRenewed: the claim was decided, or sent, before the renewal.
 func TestLateClaimDoesNotReplaceRenewedLeader(t *testing.T) {
-	st := newSite(t, time.Millisecond)
-	one := st.start("one")
-	st.leader(one)
-	two := st.start("two")
-	st.eventually("the other is ready", two.Ready)
+	cl := newCluster(t, time.Millisecond)
+	one := cl.start("one")
+	cl.leader(one)
+	two := cl.start("two")
+	cl.eventually("the other is ready", two.Ready)
 	stale := two.members.owner(machinesCell)
-	st.eventually("a renewal", func() bool { return one.controller.leaseVersion() > stale.version })
-	two.claimNow(context.Background(), machinesCell, stale)
+	cl.eventually("a renewal", func() bool { return one.controller.leaseVersion() > stale.version })
+	two.commitClaim(context.Background(), machinesCell, stale)
 	if two.controller.isLeader() {
 		t.Fatal("a claim in a version that is gone was granted")
 	}
@@ -109,18 +109,18 @@
 // TestRenewalCountsFromItsFirstTry: one whose answer was lost is known once a later try finds its row, and the others may have seen that
 // row ever since it was sent. The renewal after that changes the row again, so it counts from its own sending.
 func TestRenewalCountsFromFirstAttempt(t *testing.T) {
-	st := newSite(t, time.Millisecond)
+	cl := newCluster(t, time.Millisecond)
 	now := time.Now()
 	var mu sync.Mutex
 	lost := 0
-	way := &storeWay{mm: st.mm, lose: func(tx Tx) bool {
+	way := &faultyStore{mem: cl.mm, dropAnswer: func(tx Tx) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		lost++
 		return lost == 1
 	}}
 	clock := now
-	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: way, Workers: st.workers, Machines: noMachines{}, Format: plainFormat{}, Now: func() time.Time { return clock }})
+	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: way, Workers: cl.workers, Machines: noMachines{}, Format: testFormat{}, Now: func() time.Time { return clock }})
 	fl.controller.row = ownerRow{Holder: "one", Incarnation: fl.opts.Incarnation}
 	fl.controller.waveRunner = machine.NewKeeper(now, 0)
 	fl.controller.lease.ordered = map[cell.MachineID]*machineOrders{}
@@ -147,12 +147,12 @@
 
 // TestOrderIsGivenUpWhenTheLeaseEnds: although calls about machines may take longer.
 func TestOrderIsCancelledWhenLeaseExpires(t *testing.T) {
-	st := newSite(t, time.Millisecond)
-	one := st.start("one")
-	st.leader(one)
+	cl := newCluster(t, time.Millisecond)
+	one := cl.start("one")
+	cl.leader(one)
 	one.controller.announce(context.Background(), []cell.MachineID{busyMachine})
-	one.way.set(func(sw *storeWay) { sw.silent = true })
-	st.eventually("a lease that is not renewed any more", func() bool {
+	one.faultyStore.set(func(fs *faultyStore) { fs.silent = true })
+	cl.eventually("a lease that is not renewed any more", func() bool {
 		one.controller.mu.Lock()
 		defer one.controller.mu.Unlock()
 		return time.Until(one.controller.lease.expires) < machineLeaseTermMin/2
@@ -170,21 +170,21 @@
 
 // TestHandedOverDutyIsTakenAtOnce: no order is under way then, and nobody waits for the lease to end.
 func TestReleasedLeaseIsTakenAtOnce(t *testing.T) {
-	st := newSite(t, time.Millisecond)
-	one := st.start("one")
-	st.leader(one)
-	two := st.start("two")
-	st.eventually("the other is ready", two.Ready)
+	cl := newCluster(t, time.Millisecond)
+	one := cl.start("one")
+	cl.leader(one)
+	two := cl.start("two")
+	cl.eventually("the other is ready", two.Ready)
 	ob := &orderRecorder{}
 	ob.sendConstantly(t, one)
-	st.eventually("orders", func() bool { return len(ob.byNode("one")) > 0 })
+	cl.eventually("orders", func() bool { return len(ob.byNode("one")) > 0 })
 	one.HandOver(context.Background())
-	if st.leaseRow().Holder == "one" {
+	if cl.leaseRow().Holder == "one" {
 		t.Fatal("the duty's row still names the one that left")
 	}
 	handed := time.Now()
-	st.leader(two)
-	st.eventually("the end of what is under way", func() bool { return !one.controller.leaseValid(time.Now()) })
+	cl.leader(two)
+	cl.eventually("the end of what is under way", func() bool { return !one.controller.leaseValid(time.Now()) })
 	sleep(context.Background(), machineLeaseTermMin)
 	for _, gv := range ob.byNode("one") {
 		if gv.to.After(handed) {
@@ -195,9 +195,9 @@
 
 // TestOnlyAnnouncedMachinesGetOrders: the duty's row names a machine before an order for it is given.
 func TestOnlyAnnouncedMachinesGetOrders(t *testing.T) {
-	st := newSite(t, time.Millisecond)
-	one := st.start("one")
-	st.leader(one)
+	cl := newCluster(t, time.Millisecond)
+	one := cl.start("one")
+	cl.leader(one)
 	give := func(id cell.MachineID) (given bool) {
 		one.controller.sendOrder(context.Background(), id, func(context.Context) machine.Outcome {
 			given = true
@@ -208,17 +208,17 @@
 	if give("m1") {
 		t.Error("an order for a machine that was not announced")
 	}
-	one.way.set(func(sw *storeWay) { sw.refuse = true })
+	one.faultyStore.set(func(fs *faultyStore) { fs.refuse = true })
 	one.controller.announce(context.Background(), []cell.MachineID{"m1"})
 	if give("m1") {
 		t.Error("an order for a machine whose announcement is not kept")
 	}
-	one.way.set(func(sw *storeWay) { sw.refuse = false })
-	st.eventually("an order after the announcement", func() bool {
+	one.faultyStore.set(func(fs *faultyStore) { fs.refuse = false })
+	cl.eventually("an order after the announcement", func() bool {
 		one.controller.announce(context.Background(), []cell.MachineID{"m1"})
 		return give("m1")
 	})
-	row := st.leaseRow()
+	row := cl.leaseRow()
 	if _, named := row.Ordered["m1"]; !named {
 		t.Fatalf("the row names %v", row.Ordered)
 	}
@@ -226,10 +226,10 @@
 
 // TestNextHolderRestsFromWhatTheRowNames: and from nothing else, and tells a holder after it, whether the duty is handed over or taken.
 func TestNextLeaderKeepsPublishedCooldowns(t *testing.T) {
-	st := newSite(t, time.Millisecond)
-	one := st.start("one")
-	st.leader(one)
-	st.eventually("an order", func() bool {
+	cl := newCluster(t, time.Millisecond)
+	one := cl.start("one")
+	cl.leader(one)
+	cl.eventually("an order", func() bool {
 		one.controller.announce(context.Background(), []cell.MachineID{"m1"})
 		given := false
 		one.controller.sendOrder(context.Background(), "m1", func(context.Context) machine.Outcome {
@@ -238,17 +238,17 @@
 		})
 		return given
 	})
-	two := st.start("two")
-	st.eventually("the other is ready", two.Ready)
+	two := cl.start("two")
+	cl.eventually("the other is ready", two.Ready)
 	one.HandOver(context.Background())
-	st.leader(two)
+	cl.leader(two)
 	two.controller.mu.Lock()
 	before := two.controller.previous
 	two.controller.mu.Unlock()
 	if left := before.Ordered["m1"]; left <= 0 || left > machineCooldown || len(before.Ordered) != 1 {
 		t.Fatalf("the row names %v", before.Ordered)
 	}
-	if _, passed := st.leaseRow().Ordered["m1"]; !passed && time.Since(before.seenAt) < machineCooldown/2 {
+	if _, passed := cl.leaseRow().Ordered["m1"]; !passed && time.Since(before.seenAt) < machineCooldown/2 {
 		t.Fatal("the next holder's row does not name it")
 	}
 	for _, tc := range []struct {
@@ -285,12 +285,12 @@
 }
 
 // dutyRow is the row of the machines' duty.
-func (st *site) leaseRow() ownerRow {
-	st.t.Helper()
+func (cl *cluster) leaseRow() ownerRow {
+	cl.t.Helper()
 	var or ownerRow
-	for _, rw := range st.mm.read(Query{Table: tableControl, Part: machinesCell, From: ownerKey, Limit: 1}).Rows {
+	for _, rw := range cl.mm.read(Query{Table: tableControl, Part: machinesCell, From: ownerKey, Limit: 1}).Rows {
 		if err := json.Unmarshal(rw.Value, &or); err != nil {
-			st.t.Fatal(err)
+			cl.t.Fatal(err)
 		}
 	}
 	return or
@@ -298,25 +298,25 @@
 
 // TestLateReportDoesNotUndoTheEnd: the word that a wave has begun is carried out after the word that it is over.
 func TestLateReportDoesNotUndoCompletion(t *testing.T) {
-	st := newSite(t, time.Millisecond)
+	cl := newCluster(t, time.Millisecond)
 	tried := make(chan struct{}, 1)
-	one := st.start("one", func(sw *storeWay) {
-		sw.lose = func(tx Tx) bool {
+	one := cl.start("one", func(fs *faultyStore) {
+		fs.dropAnswer = func(tx Tx) bool {
 			if len(tx.Write) == 1 && string(tx.Write[0].Value) == "completed false" {
 				tried <- struct{}{}
 			}
 			return false
 		}
 	})
-	st.leader(one)
+	cl.leader(one)
 	told := func() string {
-		for _, rw := range st.mm.read(Query{Table: "status"}).Rows {
+		for _, rw := range cl.mm.read(Query{Table: "status"}).Rows {
 			return string(rw.Value)
 		}
 		return ""
 	}
 	one.controller.reportWave(context.Background(), machine.Report{Wave: 1, Completed: true})
-	st.eventually("the end is told", func() bool { return told() == "completed true" })
+	cl.eventually("the end is told", func() bool { return told() == "completed true" })
 	one.controller.reportWave(context.Background(), machine.Report{Wave: 1})
 	<-tried
 	if word := told(); word != "completed true" {
@@ -326,10 +326,10 @@
 
 // TestAnnouncementWhoseAnswerIsLostIsRepeated: the row names the machines, and the orders for them are given in the same round.
 func TestAnnouncementIsRepeatedAfterLostAnswer(t *testing.T) {
-	st := newSite(t, time.Millisecond)
+	cl := newCluster(t, time.Millisecond)
 	lost := 0
-	one := st.start("one", func(sw *storeWay) {
-		sw.lose = func(tx Tx) bool {
+	one := cl.start("one", func(fs *faultyStore) {
+		fs.dropAnswer = func(tx Tx) bool {
 			names := len(tx.Write) > 0 && tx.Write[0].Part == machinesCell && bytes.Contains(tx.Write[0].Value, []byte("m1"))
 			if names && lost == 0 {
 				lost++
@@ -338,7 +338,7 @@
 			return false
 		}
 	})
-	st.leader(one)
+	cl.leader(one)
 	one.controller.announce(context.Background(), []cell.MachineID{"m1"})
 	if lost != 1 {
 		t.Fatalf("%d answers were lost", lost)
@@ -351,10 +351,10 @@
 // TestNothingIsOrderedAfterTheClockLeapt: the machine was suspended for longer than the lease, and its holder wakes between the look at the
 // lease and the order.
 func TestNoOrderAfterClockJump(t *testing.T) {
-	st := newSite(t, time.Millisecond)
+	cl := newCluster(t, time.Millisecond)
 	now := time.Now()
 	clock := now
-	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &storeWay{mm: st.mm}, Workers: st.workers, Machines: noMachines{}, Format: plainFormat{}, Now: func() time.Time { return clock }})
+	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &faultyStore{mem: cl.mm}, Workers: cl.workers, Machines: noMachines{}, Format: testFormat{}, Now: func() time.Time { return clock }})
 	du := fl.controller
 	du.row = ownerRow{Holder: "one", Incarnation: fl.opts.Incarnation}
 	du.waveRunner, du.tasks = machine.NewKeeper(now, 0), &sync.WaitGroup{}
--- a/fleet/members.go
+++ b/fleet/members.go
@@ -37,11 +37,11 @@
 func (fl *Fleet) updateLayout(nodes map[string]node) {
 	for _, nd := range nodes {
 		if nd.Layout < layoutSeparatePayloads {
-			fl.apart.Store(false)
+			fl.separatePayloads.Store(false)
 			return
 		}
 	}
-	fl.apart.Store(len(nodes) > 0)
+	fl.separatePayloads.Store(len(nodes) > 0)
 }
 
 // ownerRow is the row of a cell; its version is the epoch when its epoch field is 0.
@@ -108,10 +108,10 @@
 		case strings.HasPrefix(rw.Key, wavePrefix):
 			fl.controller.applyWaveRecord(rw)
 		case strings.HasPrefix(rw.Key, pausePrefix):
-			fl.takePause(rw)
+			fl.applyPause(rw)
 		}
 	}
-	for _, ow := range fl.owned() {
+	for _, ow := range fl.allOwners() {
 		ow.post(func(cr *cell.Core, _ time.Time) { cr.Confirmed(sentAt) })
 	}
 	if drained {
@@ -157,7 +157,7 @@
 	fl.members.mu.Unlock()
 	ow := fl.ownerOf(rw.Part)
 	if ow != nil && or.epoch() > ow.epoch && (or.Holder != fl.opts.Name || or.Incarnation != fl.opts.Incarnation) {
-		ow.overtaken("the store names " + or.Holder)
+		ow.loseOwnership("the store names " + or.Holder)
 	}
 }
 
@@ -247,15 +247,15 @@
 
 // idleBeat is how often an instance that owns nothing renews its row among so many.
 func idleHeartbeatDelay(nodes int) time.Duration {
-	return max(beatIdle, beatIdle*time.Duration(nodes)/idleNodes)
+	return max(idleHeartbeatInterval, idleHeartbeatInterval*time.Duration(nodes)/heartbeatScaleNodes)
 }
 
 // deadIdle is how long the row of an instance that owns nothing may stand still among so many.
-func idleDeadTimeout(nodes int) time.Duration { return 3*idleHeartbeatDelay(nodes) + deadLeast }
+func idleDeadTimeout(nodes int) time.Duration { return 3*idleHeartbeatDelay(nodes) + minDeadTimeout }
 
 // deadSpan is how long the row of an entry instance may stand still before it counts as dead.
 func (fl *Fleet) deadTimeout() time.Duration {
-	return min(deadAfter, deadLeast+deadPaces*fl.store.commitLatency())
+	return min(maxDeadTimeout, minDeadTimeout+deadCommitFactor*fl.store.commitLatency())
 }
 
 func later(one, other time.Time) time.Time {
@@ -281,7 +281,7 @@
 		// The watch of the control table logs that the store is lost.
 		pause := fl.heartbeatDelay()
 		if err != nil {
-			pause = beatAgain
+			pause = heartbeatRetryDelay
 		}
 		fl.sleepUntilHeartbeat(ctx, pause)
 	}
@@ -292,16 +292,16 @@
 	if fl.ownsNoCells() && !fl.controller.isLeader() && !fl.stopping.Load() {
 		return idleHeartbeatDelay(fl.members.count())
 	}
-	return beatEvery
+	return heartbeatInterval
 }
 
 // restUntilOwner waits, not longer than an owner may, once this instance has become one.
 func (fl *Fleet) sleepUntilHeartbeat(ctx context.Context, pause time.Duration) {
-	for slept := time.Duration(0); slept < pause && ctx.Err() == nil; slept += beatEvery {
+	for slept := time.Duration(0); slept < pause && ctx.Err() == nil; slept += heartbeatInterval {
 		if slept >= fl.heartbeatDelay() {
 			return
 		}
-		sleep(ctx, min(beatEvery, pause-slept))
+		sleep(ctx, min(heartbeatInterval, pause-slept))
 	}
 }
 
--- a/fleet/figures.go
+++ b/fleet/metrics.go
@@ -11,7 +11,7 @@
 )
 
 // figures are the counters and histograms of a fleet node.
-type figures struct {
+type fleetMetrics struct {
 	claims, looks, starts, saves, storeFailed metrics.Counter
 	accepted, refused, unknown                metrics.Counter
 	// keysRejected counts calls without a key that the configuration holds.
@@ -22,11 +22,11 @@
 	workersLost, tasksLost, givenUp metrics.Counter
 	// registrationsRejected counts registrations that could not be read.
 	registrationsRejected metrics.Counter
-	accept                metrics.Histogram
+	acceptTime            metrics.Histogram
 	outcomes              map[cell.Outcome]metrics.Counter
 	// commits are how long transactions took, in microseconds, and unanswered how many were not answered, by matter.
-	commits    map[matter]metrics.Histogram
-	unanswered map[matter]metrics.Counter
+	commits    map[txKind]metrics.Histogram
+	unanswered map[txKind]metrics.Counter
 	// writeWait is how long an owner's writes waited for the one before, in microseconds.
 	writeWait metrics.Histogram
 }
@@ -34,40 +34,40 @@
 // histogramSize is how many of the newest values a histogram is made from.
 const histogramSize = 512
 
-func newFigures(rg metrics.Registry) figures {
+func newFleetMetrics(rg metrics.Registry) fleetMetrics {
 	counter := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter(name, rg) }
 	histogram := func(name string) metrics.Histogram {
 		return metrics.GetOrRegisterHistogram(name, rg, metrics.NewUniformSample(histogramSize))
 	}
-	fg := figures{
+	fm := fleetMetrics{
 		claims: counter("cells.claimed"), looks: counter("workers.looks"), starts: counter("workers.starts"), saves: counter("store.saves"), storeFailed: counter("store.failed"),
 		accepted: counter("jobs.accepted"), refused: counter("jobs.refused"), unknown: counter("jobs.unknown"),
 		keysRejected: counter("calls.keysRejected"), accountsWritten: counter("accounts.written"), accountsContended: counter("accounts.contended"),
 		workersLost: counter("workers.lost"), tasksLost: counter("workers.lostTasks"), givenUp: counter("jobs.givenUp"), registrationsRejected: counter("workers.registrationsRejected"),
-		accept:   histogram("jobs.acceptMicros"),
-		outcomes: map[cell.Outcome]metrics.Counter{}, commits: map[matter]metrics.Histogram{}, unanswered: map[matter]metrics.Counter{},
+		acceptTime: histogram("jobs.acceptMicros"),
+		outcomes:   map[cell.Outcome]metrics.Counter{}, commits: map[txKind]metrics.Histogram{}, unanswered: map[txKind]metrics.Counter{},
 		writeWait: histogram("owner.writeWaitMicros"),
 	}
-	for _, mt := range matters {
-		fg.commits[mt] = histogram("store.commitMicros." + string(mt))
-		fg.unanswered[mt] = counter("store.unanswered." + string(mt))
+	for _, kind := range txKinds {
+		fm.commits[kind] = histogram("store.commitMicros." + string(kind))
+		fm.unanswered[kind] = counter("store.unanswered." + string(kind))
 	}
 	for oc := cell.Silent; oc <= cell.Unprepared; oc++ {
-		fg.outcomes[oc] = counter("workers.orders." + oc.String())
+		fm.outcomes[oc] = counter("workers.orders." + oc.String())
 	}
-	return fg
+	return fm
 }
 
-func (fg figures) outcome(oc cell.Outcome) { fg.outcomes[oc].Inc(1) }
+func (fm fleetMetrics) countOutcome(oc cell.Outcome) { fm.outcomes[oc].Inc(1) }
 
 // handed counts a job that was handed in.
-func (fg figures) handed(vd Verdict, took time.Duration) {
-	switch vd {
+func (fm fleetMetrics) recordSubmit(result SubmitResult, took time.Duration) {
+	switch result {
 	case Accepted:
-		fg.accepted.Inc(1)
-		fg.accept.Update(took.Microseconds())
+		fm.accepted.Inc(1)
+		fm.acceptTime.Update(took.Microseconds())
 	case Unknown:
-		fg.unknown.Inc(1)
+		fm.unknown.Inc(1)
 	}
 }
 
@@ -93,13 +93,13 @@
 		fields = append(fields, zap.Int("losses", dc.LossCount))
 	}
 	if dc.Loss != nil {
-		fl.fig.workersLost.Inc(1)
-		fl.fig.tasksLost.Inc(int64(dc.Loss.Tasks))
+		fl.metrics.workersLost.Inc(1)
+		fl.metrics.tasksLost.Inc(int64(dc.Loss.Tasks))
 		fl.opts.Log.Emit(event.WorkerLost, append(fields, zap.Int("tasks", dc.Loss.Tasks), zap.Duration("sinceStart", dc.Loss.SinceStart), zap.Int("before", dc.Loss.Before), zap.String("excuse", dc.Loss.Excuse))...)
 		return
 	}
 	if len(dc.LostWorkers) > 0 {
-		fl.fig.givenUp.Inc(1)
+		fl.metrics.givenUp.Inc(1)
 		fl.opts.Log.Emit(event.JobGivenUp, append(fields, zap.Any("lost", dc.LostWorkers))...)
 		return
 	}
@@ -112,6 +112,6 @@
 }
 
 // logPeer writes that a peer did not answer.
-func (fl *Fleet) logPeer(call, name string, err error) {
+func (fl *Fleet) logPeerError(call, name string, err error) {
 	fl.opts.Log.Emit(event.PeerSilent, zap.String("call", call), zap.String("cell", name), zap.Error(err))
 }
--- a/fleet/orderrecorder_test.go
+++ b/fleet/orderrecorder_test.go
@@ -93,10 +93,10 @@
 }
 
 // holder waits until one of the nodes may give orders.
-func (st *site) leader(nodes ...*testNode) *testNode {
-	st.t.Helper()
+func (cl *cluster) leader(nodes ...*testNode) *testNode {
+	cl.t.Helper()
 	var found *testNode
-	st.eventually("a holder of the machines' duty", func() bool {
+	cl.eventually("a holder of the machines' duty", func() bool {
 		for _, nd := range nodes {
 			if nd.controller.leaseValid(time.Now()) {
 				found = nd
--- a/fleet/organisations.go
+++ b/fleet/organisations.go
@@ -38,7 +38,7 @@
 type OrganisationReport struct {
 	Version       int64                `json:"version"`
 	Organisations []OrganisationStatus `json:"organisations"`
-	Silent        []string             `json:"silent,omitempty"`
+	Unreachable   []string             `json:"silent,omitempty"`
 }
 
 // ReadOrganisations gathers what the store and the owners of cells say of organisations.
@@ -58,12 +58,12 @@
 	rp := &OrganisationReport{Version: cf.Version, Organisations: []OrganisationStatus{}}
 	loads := map[job.OrganisationID][]cell.OrganisationLoad{}
 	for _, address := range addresses {
-		if !askOrganisations(ctx, address, loads) {
-			rp.Silent = append(rp.Silent, address)
+		if !queryOrganisations(ctx, address, loads) {
+			rp.Unreachable = append(rp.Unreachable, address)
 		}
 	}
 	for _, og := range cf.Organisations.List() {
-		rp.Organisations = append(rp.Organisations, statusOf(og, held[og.ID], loads[og.ID]))
+		rp.Organisations = append(rp.Organisations, organisationStatus(og, held[og.ID], loads[og.ID]))
 	}
 	return rp, nil
 }
@@ -133,7 +133,7 @@
 }
 
 // askOrganisations adds what one owner says, and reports whether it answered.
-func askOrganisations(ctx context.Context, address string, loads map[job.OrganisationID][]cell.OrganisationLoad) bool {
+func queryOrganisations(ctx context.Context, address string, loads map[job.OrganisationID][]cell.OrganisationLoad) bool {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	cl := peer.NewCellsProtobufClient("http://"+address, tcp.NewClient(tcp.DialTimeout(peerDialTimeout)))
@@ -152,7 +152,7 @@
 }
 
 // statusOf joins what is known of an organisation.
-func statusOf(og job.Organisation, held job.Size, loads []cell.OrganisationLoad) OrganisationStatus {
+func organisationStatus(og job.Organisation, held job.Size, loads []cell.OrganisationLoad) OrganisationStatus {
 	os := OrganisationStatus{ID: og.ID, Weight: og.Weight, Keys: []string{}, Maximum: og.Maximum, Held: held}
 	for _, ky := range og.Keys {
 		os.Keys = append(os.Keys, ky.Fingerprint())
@@ -171,7 +171,7 @@
 // Organisations tells what the cells owned here have of each organisation.
 func (sv cellsServer) Organisations(context.Context, *peer.OrganisationsRequest) (*peer.OrganisationsResponse, error) {
 	rp := &peer.OrganisationsResponse{}
-	for _, ow := range sv.fl.owned() {
+	for _, ow := range sv.fl.allOwners() {
 		ow.mu.Lock()
 		list := ow.core.OrganisationLoads(ow.fl.opts.Now())
 		ow.mu.Unlock()
--- a/fleet/owner.go
+++ b/fleet/owner.go
@@ -18,19 +18,19 @@
 	// writeTimeout bounds one try at a write; a slow store takes some 400 ms.
 	writeTimeout = 1500 * time.Millisecond
 	// writeRetry is the pause before a write without effect is tried again.
-	writeRetry = 200 * time.Millisecond
+	writeRetryDelay = 200 * time.Millisecond
 	// quietFor bounds how long a handover waits for the last progress to be kept.
-	quietFor = 1500 * time.Millisecond
+	quiesceTimeout = 1500 * time.Millisecond
 	// loadPoll is how often a new owner looks whether all that it needs has been read.
-	loadPoll = 10 * time.Millisecond
+	loadPollInterval = 10 * time.Millisecond
 	// archiveEvery is how often the rows of ended jobs are removed from the table of open ones.
-	archiveEvery = 3 * time.Second
+	archiveInterval = 3 * time.Second
 	// archiveAgain is the pause before the next round while more of them are left: whoever takes the cell over reads them all.
-	archiveAgain = 300 * time.Millisecond
+	archiveBacklogInterval = 300 * time.Millisecond
 	// archiveMost is how many jobs are removed at once: three rows each stay below a transaction's 100 entries.
-	archiveMost = 32
+	archiveBatchSize = 32
 	// archiveParts is how many parts a round removes rows from where each takes a transaction of its own, since each has its price.
-	archiveParts = 4
+	archivePartsPerRound = 4
 )
 
 // owner runs the core of one cell.
@@ -39,40 +39,40 @@
 	name  string
 	epoch job.Epoch
 	// rowVersion is that of the cell's row; each write of progress requires it.
-	rowVersion  atomic.Int64
-	lost        atomic.Bool
-	cancel      context.CancelFunc
-	done        chan struct{}
-	signal      chan struct{}
-	writes      *writes
-	jobs        *tableWatch
-	mu          sync.Mutex // guards what follows
-	core        *cell.Core
-	events      []func(*cell.Core, time.Time)
-	progress    map[job.ID]Row
-	orderQueues map[cell.WorkerID]*orderQueue
-	relays      *relays
-	silenced    bool
+	rowVersion     atomic.Int64
+	lost           atomic.Bool
+	cancel         context.CancelFunc
+	done           chan struct{}
+	signal         chan struct{}
+	writeQueue     *writeQueue
+	jobs           *tableWatch
+	mu             sync.Mutex // guards what follows
+	core           *cell.Core
+	events         []func(*cell.Core, time.Time)
+	storedProgress map[job.ID]Row
+	orderQueues    map[cell.WorkerID]*orderQueue
+	relays         *relays
+	quiescing      bool
 	// since is when the cell was claimed, claimed the row by which it was.
-	since   time.Time
-	claimed ownerRow
+	claimedAt time.Time
+	claimRow  ownerRow
 	// tookOver is set once the core knows what the owner before left.
-	tookOver bool
+	takenOver bool
 	// began is set once the core has planned for the first time.
-	began bool
+	planned bool
 }
 
 // newOwner returns an owner of a cell that knows nothing of its jobs yet.
 func newOwner(fl *Fleet, name string, row ownerRow, cancel context.CancelFunc) *owner {
 	ow := &owner{
 		fl: fl, name: name, epoch: row.epoch(), cancel: cancel, done: make(chan struct{}), signal: make(chan struct{}, 1),
-		writes: newWrites(), progress: map[job.ID]Row{}, orderQueues: map[cell.WorkerID]*orderQueue{},
-		since: fl.opts.Now(), claimed: row,
+		writeQueue: newWriteQueue(), storedProgress: map[job.ID]Row{}, orderQueues: map[cell.WorkerID]*orderQueue{},
+		claimedAt: fl.opts.Now(), claimRow: row,
 	}
 	ow.relays = newRelays(ow)
 	ow.rowVersion.Store(row.version)
 	ow.core = cell.New(job.PoolID(name), ow.epoch, ow.cellOptions())
-	ow.jobs = newTableWatch(fl, jobTable(name), fixedInterval(jobsInterval), jobsWait, ow.jobsChanged)
+	ow.jobs = newTableWatch(fl, jobTable(name), fixedInterval(jobsInterval), jobsWait, ow.jobRowsChanged)
 	return ow
 }
 
@@ -86,12 +86,12 @@
 	fl.mu.Unlock()
 	fl.registry.wake()
 	fl.accounts.wake()
-	if !ow.readProgress(ctx) {
+	if !ow.loadProgress(ctx) {
 		close(ow.done)
 		return
 	}
 	ow.mu.Lock()
-	ow.tookOver = true
+	ow.takenOver = true
 	ow.core.TakeOver(claimed, asked, before.Workers, before.Released)
 	ow.core.Expose(before.Exposed)
 	if cf := fl.config.Load(); cf != nil {
@@ -108,10 +108,10 @@
 	}
 	ow.mu.Unlock()
 	go ow.jobs.run(ctx)
-	go ow.write(ctx)
-	go ow.account(ctx)
-	go ow.archive(ctx)
-	go ow.census(ctx)
+	go ow.runWrites(ctx)
+	go ow.runAccounts(ctx)
+	go ow.runArchive(ctx)
+	go ow.checkMachines(ctx)
 	go ow.relays.run(ctx)
 	go ow.run(ctx)
 	fl.cordonWorkers()
@@ -128,22 +128,22 @@
 }
 
 // readProgress reads what is kept of the cell's jobs; nobody else writes it any more.
-func (ow *owner) readProgress(ctx context.Context) bool {
+func (ow *owner) loadProgress(ctx context.Context) bool {
 	for ctx.Err() == nil && !ow.lost.Load() {
 		rows, _, err := ow.fl.readPart(ctx, tableProgress, ow.name)
 		if err == nil {
 			for _, rw := range rows {
-				ow.progress[job.ID(rw.Key)] = rw
+				ow.storedProgress[job.ID(rw.Key)] = rw
 			}
 			return true
 		}
-		sleep(ctx, writeRetry)
+		sleep(ctx, writeRetryDelay)
 	}
 	return false
 }
 
 // jobsChanged takes jobs and cancellations of the table of open jobs, which other cells may share.
-func (ow *owner) jobsChanged(rows []Row, _ time.Time) {
+func (ow *owner) jobRowsChanged(rows []Row, _ time.Time) {
 	for _, rw := range rows {
 		if rw.Deleted {
 			continue
@@ -152,12 +152,12 @@
 			ow.post(func(cr *cell.Core, now time.Time) { cr.Cancel(now, job.ID(id)) })
 			continue
 		}
-		ow.offer(rw.Value)
+		ow.addJob(rw.Value)
 	}
 }
 
 // offer adds a job by its row.
-func (ow *owner) offer(raw []byte) {
+func (ow *owner) addJob(raw []byte) {
 	sp, err := job.DecodeSpec(raw)
 	if err != nil {
 		ow.fl.opts.Log.Emit(event.JobRowRejected, zap.String("cell", ow.name), zap.Error(err))
@@ -166,17 +166,17 @@
 	if cellName(sp.Pool) != ow.name {
 		return
 	}
-	ow.post(func(cr *cell.Core, now time.Time) { cr.Add(now, ow.stored(sp)) })
+	ow.post(func(cr *cell.Core, now time.Time) { cr.Add(now, ow.withStoredProgress(sp)) })
 }
 
 // stored joins a job with what is kept of its course; the caller holds the lock.
-func (ow *owner) stored(sp *job.Spec) cell.Stored {
+func (ow *owner) withStoredProgress(sp *job.Spec) cell.Stored {
 	sd := cell.Stored{Spec: sp}
-	rw, ok := ow.progress[sp.ID]
+	rw, ok := ow.storedProgress[sp.ID]
 	if !ok {
 		return sd
 	}
-	delete(ow.progress, sp.ID)
+	delete(ow.storedProgress, sp.ID)
 	pg, err := job.DecodeProgress(rw.Value)
 	if err != nil {
 		ow.fl.opts.Log.Emit(event.JobRowRejected, zap.String("cell", ow.name), zap.String("job", string(sp.ID)), zap.Error(err))
@@ -191,11 +191,11 @@
 	ow.mu.Lock()
 	ow.events = append(ow.events, ev)
 	ow.mu.Unlock()
-	ow.nudge()
+	ow.wake()
 }
 
 // nudge has the core plan soon.
-func (ow *owner) nudge() {
+func (ow *owner) wake() {
 	select {
 	case ow.signal <- struct{}{}:
 	default:
@@ -207,7 +207,7 @@
 	defer close(ow.done)
 	// A worker that is not registered would count as leaving, so the registrations come first.
 	for ctx.Err() == nil && !(ow.jobs.loaded() && ow.fl.registry.loaded()) {
-		sleep(ctx, loadPoll)
+		sleep(ctx, loadPollInterval)
 	}
 	ow.fl.opts.Log.Emit(event.CellLoaded, zap.String("cell", ow.name), zap.Int64("epoch", int64(ow.epoch)))
 	timer := time.NewTimer(0)
@@ -219,16 +219,16 @@
 		case <-ow.signal:
 		case <-timer.C:
 		}
-		orders, wake := ow.step()
+		orders, wake := ow.plan()
 		for _, od := range orders {
-			ow.carryOut(ctx, od)
+			ow.execute(ctx, od)
 		}
 		timer.Reset(max(time.Millisecond, wake.Sub(ow.fl.opts.Now())))
 	}
 }
 
 // step hands waiting events to the core and returns its orders.
-func (ow *owner) step() ([]cell.Order, time.Time) {
+func (ow *owner) plan() ([]cell.Order, time.Time) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	events := ow.events
@@ -240,11 +240,11 @@
 	for _, ev := range events {
 		ev(ow.core, now)
 	}
-	if ow.lost.Load() || ow.silenced {
+	if ow.lost.Load() || ow.quiescing {
 		return nil, now.Add(time.Second)
 	}
 	orders := ow.core.Plan(now)
-	ow.began = true
+	ow.planned = true
 	if ow.core.Lost() {
 		ow.lost.Store(true)
 		return nil, now.Add(time.Second)
@@ -253,44 +253,44 @@
 }
 
 // carryOut begins to carry out an order; its result comes back as an event.
-func (ow *owner) carryOut(ctx context.Context, od cell.Order) {
+func (ow *owner) execute(ctx context.Context, od cell.Order) {
 	switch order := od.(type) {
 	case cell.Look:
-		ow.fl.fig.looks.Inc(1)
+		ow.fl.metrics.looks.Inc(1)
 		if !ow.relays.send(ctx, order.Worker, order) {
-			go func() { ow.looked(ow.fl.opts.Workers.Look(ctx, order)) }()
+			go func() { ow.handlePollResult(ow.fl.opts.Workers.Look(ctx, order)) }()
 		}
 	case cell.Start:
-		ow.fl.fig.starts.Inc(1)
-		ow.command(ctx, order.Worker, order)
+		ow.fl.metrics.starts.Inc(1)
+		ow.sendOrder(ctx, order.Worker, order)
 	case cell.Stop:
-		ow.command(ctx, order.Worker, order)
+		ow.sendOrder(ctx, order.Worker, order)
 	case cell.Pace:
-		ow.command(ctx, order.Worker, order)
+		ow.sendOrder(ctx, order.Worker, order)
 	case cell.Save, cell.Enlist:
-		ow.writes.add(ow.fl.opts.Now(), od)
+		ow.writeQueue.add(ow.fl.opts.Now(), od)
 	case cell.Advise:
-		go ow.advise(ctx, order)
+		go ow.requestAdvice(ctx, order)
 	}
 }
 
 // command gives a worker an order, through a peer if one carries out this worker's.
-func (ow *owner) command(ctx context.Context, id cell.WorkerID, od cell.Order) {
+func (ow *owner) sendOrder(ctx context.Context, id cell.WorkerID, od cell.Order) {
 	if ow.relays.send(ctx, id, od) {
 		return
 	}
-	ow.fl.complete(ctx, od, func(od cell.Order) { ow.orderQueue(id).enqueue(ctx, od, ow.ordered) }, func() {
+	ow.fl.attachPayload(ctx, od, func(od cell.Order) { ow.orderQueue(id).enqueue(ctx, od, ow.handleOrderResult) }, func() {
 		now := ow.fl.opts.Now()
-		ow.ordered(cell.Ordered{Order: od, Outcome: cell.Unprepared, Sent: now, Received: now})
+		ow.handleOrderResult(cell.Ordered{Order: od, Outcome: cell.Unprepared, Sent: now, Received: now})
 	})
 }
 
-func (ow *owner) looked(lk cell.Looked) {
+func (ow *owner) handlePollResult(lk cell.Looked) {
 	ow.post(func(cr *cell.Core, now time.Time) { cr.Looked(now, lk) })
 }
 
-func (ow *owner) ordered(od cell.Ordered) {
-	ow.fl.fig.outcome(od.Outcome)
+func (ow *owner) handleOrderResult(od cell.Ordered) {
+	ow.fl.metrics.countOutcome(od.Outcome)
 	ow.post(func(cr *cell.Core, now time.Time) { cr.Ordered(now, od) })
 }
 
@@ -306,7 +306,7 @@
 	return oq
 }
 
-func (ow *owner) advise(ctx context.Context, ad cell.Advise) {
+func (ow *owner) requestAdvice(ctx context.Context, ad cell.Advise) {
 	var tickets []cell.Ticket
 	var valid time.Duration
 	var err error
@@ -320,7 +320,7 @@
 }
 
 // startTime is how long starts take of late, 0 if none was answered.
-func (ow *owner) startTime() time.Duration {
+func (ow *owner) startLatency() time.Duration {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	span, answered := ow.core.StartTime()
@@ -331,7 +331,7 @@
 }
 
 // overtaken ends this owner's work.
-func (ow *owner) overtaken(why string) {
+func (ow *owner) loseOwnership(why string) {
 	ow.lost.Store(true)
 	ow.post(func(cr *cell.Core, _ time.Time) { cr.Overtaken(why) })
 }
@@ -342,29 +342,29 @@
 func (ow *owner) stop() { ow.cancel() }
 
 // quiet stops giving orders and waits until what has ended is kept.
-func (ow *owner) quiet(ctx context.Context) {
-	until := ow.fl.opts.Now().Add(quietFor)
+func (ow *owner) quiesce(ctx context.Context) {
+	until := ow.fl.opts.Now().Add(quiesceTimeout)
 	for ctx.Err() == nil && !ow.lost.Load() && ow.fl.opts.Now().Before(until) {
 		ow.mu.Lock()
-		ow.silenced = true
+		ow.quiescing = true
 		saving := ow.core.Saving() || len(ow.events) > 0
 		var orders []cell.Order
 		if saving {
-			orders = onlySaves(ow.core.Plan(ow.fl.opts.Now()))
+			orders = saveOrders(ow.core.Plan(ow.fl.opts.Now()))
 		}
 		ow.mu.Unlock()
 		if !saving {
 			return
 		}
 		for _, od := range orders {
-			ow.carryOut(ctx, od)
+			ow.execute(ctx, od)
 		}
 		sleep(ctx, 20*time.Millisecond)
 	}
 }
 
 // onlySaves keeps the orders that write progress; the others are the next owner's.
-func onlySaves(orders []cell.Order) []cell.Order {
+func saveOrders(orders []cell.Order) []cell.Order {
 	var saves []cell.Order
 	for _, od := range orders {
 		if sv, ok := od.(cell.Save); ok {
@@ -376,39 +376,39 @@
 
 // left is the cell's row when this owner gives it up: the workers on which it, or one before it, may have started tasks. Released tells that
 // only leases named there are open. An owner that gives a cell up before it has taken over passes on what it found.
-func (ow *owner) left() ownerRow {
+func (ow *owner) handoverRow() ownerRow {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	if !ow.tookOver {
-		return ownerRow{Workers: ow.claimed.Workers, Exposed: ow.claimed.Exposed}
+	if !ow.takenOver {
+		return ownerRow{Workers: ow.claimRow.Workers, Exposed: ow.claimRow.Exposed}
 	}
 	return ownerRow{Workers: ow.core.Release(ow.fl.opts.Now()), Exposed: ow.core.Exposed(), Released: true}
 }
 
 // mayMove reports whether the cell may be given to another instance: it has been here for a while, nothing of earlier owners is open, and no job
 // waits, unless that does not matter.
-func (ow *owner) mayMove(now time.Time, pressed bool) bool {
+func (ow *owner) canMove(now time.Time, evenIfWaiting bool) bool {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	return ow.began && ow.core.Settled() && now.Sub(ow.since) > moveEvery && (pressed || !ow.core.Pressed(now))
+	return ow.planned && ow.core.Settled() && now.Sub(ow.claimedAt) > cellMoveInterval && (evenIfWaiting || !ow.core.Pressed(now))
 }
 
 // state returns a job's state if this owner has it in memory.
-func (ow *owner) state(id job.ID) (word, bool) {
+func (ow *owner) jobStatus(id job.ID) (jobStatus, bool) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	if ow.lost.Load() {
-		return word{}, false
+		return jobStatus{}, false
 	}
 	st, known := ow.core.State(id)
-	return word{st, ow.core.Organisation(id)}, known
+	return jobStatus{st, ow.core.Organisation(id)}, known
 }
 
 // pending counts a queue's jobs that have not begun, once the cell is loaded.
 func (ow *owner) pending(queue job.QueueID) (int, bool) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	if !ow.jobs.loaded() || ow.lost.Load() || len(ow.events) > 0 && !ow.began {
+	if !ow.jobs.loaded() || ow.lost.Load() || len(ow.events) > 0 && !ow.planned {
 		return 0, false
 	}
 	return ow.core.Pending(queue), true
--- a/fleet/control.go
+++ b/fleet/ownership.go
@@ -23,47 +23,47 @@
 	ownerKey     = "owner"
 	machinesCell = "~machines"
 	// nodesPart begins the names of the parts in which the rows of entry instances lie.
-	nodesPart = "nodes/"
+	nodePartPrefix = "nodes/"
 )
 
 // nodeParts is over how many parts the rows of entry instances are spread. A part takes its writes in turn, so that with a slow store all beats
 // in one part would hold each other up until everyone seems dead; and whoever starts reads each part, so that a part for each instance made
 // 90,000 reads when 300 started at once.
-const nodeParts = 32
+const nodePartCount = 32
 
 // nodePlace is where the row of an entry instance lies.
 func nodePlace(name string) Place {
-	return Place{tableControl, nodesPart + strconv.Itoa(int(hash(name)%nodeParts)), nodePrefix + name}
+	return Place{tableControl, nodePartPrefix + strconv.Itoa(int(hash(name)%nodePartCount)), nodePrefix + name}
 }
 
 // Times of membership and ownership.
 const (
 	// beatEvery is how often an entry instance renews its row.
-	beatEvery = 500 * time.Millisecond
+	heartbeatInterval = 500 * time.Millisecond
 	// beatIdle is how often an instance does so that owns nothing. Nobody waits for what it does, and the beats of all are read by all: at
 	// 97 instances that beat twice a second, 300 bytes each, every one would read 58 KB a second of them.
-	beatIdle = 2 * time.Second
+	idleHeartbeatInterval = 2 * time.Second
 	// beatAgain is the pause after a beat that failed, so that the living are seen soon after an outage of the store.
-	beatAgain = 150 * time.Millisecond
+	heartbeatRetryDelay = 150 * time.Millisecond
 	// deadLeast is how long a row may stand still before its entry instance counts as dead while the store is fast: two beats, one lost
 	// answer and the gaps of the feed. A slow store adds deadPaces times what a transaction takes, up to deadAfter.
-	deadLeast = 1500 * time.Millisecond
-	deadPaces = 4
+	minDeadTimeout   = 1500 * time.Millisecond
+	deadCommitFactor = 4
 	// idleNodes is how many instances share one beatIdle: with more of them each beats less often, since all read what all write. At 301
 	// instances 0.77 GB a minute were read from the store, most of it beats.
-	idleNodes = 100
+	heartbeatScaleNodes = 100
 	// deadAfter is the longest, and how old the newest word of the store may be for claims.
-	deadAfter = 2500 * time.Millisecond
+	maxDeadTimeout = 2500 * time.Millisecond
 	// ownEvery is how often ownership is looked over.
-	ownEvery = 100 * time.Millisecond
+	ownershipInterval = 100 * time.Millisecond
 	// rankDelay is how long the next in rank waits for the one before to take a cell without owner.
-	rankDelay = 300 * time.Millisecond
+	claimRankDelay = 300 * time.Millisecond
 	// claimTimeout bounds one try at a claim.
 	claimTimeout = 2 * time.Second
 	// settleFor is how long after its start an entry instance gives no cell away.
-	settleFor = 4 * time.Second
+	startupSettleTime = 4 * time.Second
 	// moveEvery is the least time between two cells that an entry instance gives to a less laden one.
-	moveEvery = 4 * time.Second
+	cellMoveInterval = 4 * time.Second
 )
 
 // cells lists the cells that there have to be.
@@ -78,41 +78,41 @@
 }
 
 // own takes cells without owner until the context ends.
-func (fl *Fleet) own(ctx context.Context) {
+func (fl *Fleet) runOwnership(ctx context.Context) {
 	var moved time.Time
 	started := fl.opts.Now()
 	for ctx.Err() == nil {
-		sleep(ctx, ownEvery)
-		fl.dropLost()
+		sleep(ctx, ownershipInterval)
+		fl.removeLostOwners()
 		if !fl.control.loaded() || fl.stopping.Load() || fl.config.Load() == nil {
 			continue
 		}
 		now := fl.opts.Now()
-		if _, until := fl.control.healthyPeriod(); now.Sub(until) > deadAfter {
+		if _, until := fl.control.healthyPeriod(); now.Sub(until) > maxDeadTimeout {
 			continue
 		}
 		live := fl.liveNodes()
 		fl.updateLayout(live)
 		for _, name := range fl.cells() {
-			fl.consider(ctx, now, name, live)
+			fl.claimIfVacant(ctx, now, name, live)
 		}
-		if now.Sub(started) > settleFor && now.Sub(moved) > moveEvery && fl.giveAway(ctx, live) {
+		if now.Sub(started) > startupSettleTime && now.Sub(moved) > cellMoveInterval && fl.rebalance(ctx, live) {
 			moved = now
 		}
 	}
 }
 
 // consider claims a cell if it has no living owner and it is this instance's turn.
-func (fl *Fleet) consider(ctx context.Context, now time.Time, name string, live map[string]node) {
+func (fl *Fleet) claimIfVacant(ctx context.Context, now time.Time, name string, live map[string]node) {
 	or := fl.members.owner(name)
 	if or.Holder == fl.opts.Name && or.Incarnation == fl.opts.Incarnation {
-		if !fl.works(name) {
+		if !fl.runsCell(name) {
 			// An own claim whose answer was lost, or came after it was given up, was carried out all the same.
-			fl.claim(ctx, name, or)
+			fl.startClaim(ctx, name, or)
 		}
 		return
 	}
-	if fl.ownerLives(name, or, live) {
+	if fl.ownerAlive(name, or, live) {
 		fl.members.mu.Lock()
 		delete(fl.members.vacantSince, name)
 		fl.members.mu.Unlock()
@@ -124,15 +124,15 @@
 		fl.members.vacantSince[name], since = now, now
 	}
 	fl.members.mu.Unlock()
-	rank := fl.rank(name, live)
-	if rank < 0 || now.Sub(since) < time.Duration(rank)*rankDelay {
+	rank := fl.claimRank(name, live)
+	if rank < 0 || now.Sub(since) < time.Duration(rank)*claimRankDelay {
 		return
 	}
-	fl.claim(ctx, name, or)
+	fl.startClaim(ctx, name, or)
 }
 
 // ownerLives reports whether a cell has an owner that lives. The holder of the machines' duty is told by its lease alone.
-func (fl *Fleet) ownerLives(name string, or ownerRow, live map[string]node) bool {
+func (fl *Fleet) ownerAlive(name string, or ownerRow, live map[string]node) bool {
 	if or.Holder == "" {
 		return false
 	}
@@ -153,7 +153,7 @@
 }
 
 // works reports whether this instance works on a cell, or is about to.
-func (fl *Fleet) works(name string) bool {
+func (fl *Fleet) runsCell(name string) bool {
 	if name == machinesCell {
 		return fl.controller.isLeader()
 	}
@@ -161,7 +161,7 @@
 }
 
 // rank is this instance's place among those that may take a cell: the least laden first, then by a hash of cell and name.
-func (fl *Fleet) rank(name string, live map[string]node) int {
+func (fl *Fleet) claimRank(name string, live map[string]node) int {
 	type rated struct {
 		name string
 		load float64
@@ -181,7 +181,7 @@
 }
 
 // claim makes this instance a cell's owner if the row is still the one that was seen.
-func (fl *Fleet) claim(ctx context.Context, name string, old ownerRow) {
+func (fl *Fleet) startClaim(ctx context.Context, name string, old ownerRow) {
 	fl.mu.Lock()
 	if fl.claiming[name] || fl.owners[name] != nil {
 		fl.mu.Unlock()
@@ -195,12 +195,12 @@
 			delete(fl.claiming, name)
 			fl.mu.Unlock()
 		}()
-		fl.claimNow(ctx, name, old)
+		fl.commitClaim(ctx, name, old)
 	}()
 }
 
-func (fl *Fleet) claimNow(ctx context.Context, name string, old ownerRow) {
-	next := ownerRow{Holder: fl.opts.Name, Incarnation: fl.opts.Incarnation, Workers: fl.usedWorkers(name, old.Workers), Exposed: old.Exposed, Ordered: old.Ordered}
+func (fl *Fleet) commitClaim(ctx context.Context, name string, old ownerRow) {
+	next := ownerRow{Holder: fl.opts.Name, Incarnation: fl.opts.Incarnation, Workers: fl.mergeWorkers(name, old.Workers), Exposed: old.Exposed, Ordered: old.Ordered}
 	raw, err := json.Marshal(next)
 	if err != nil {
 		fl.opts.Log.Emit(event.ClaimFailed, zap.String("cell", name), zap.Error(err))
@@ -213,7 +213,7 @@
 	version, err := fl.store.Commit(callCtx, Tx{Expect: []Expect{{place, old.version}}, Write: []Row{{Table: place.Table, Part: place.Part, Key: place.Key, Value: raw}}})
 	var cf *Conflict
 	if errors.As(err, &cf) {
-		if mine := fl.claimedBefore(cf, place, raw); mine != 0 {
+		if mine := fl.earlierClaimVersion(cf, place, raw); mine != 0 {
 			version, err = mine, nil
 		}
 	}
@@ -229,7 +229,7 @@
 	}
 	fl.members.mu.Unlock()
 	fl.opts.Log.Emit(event.CellClaimed, zap.String("cell", name), zap.Int64("epoch", version), zap.String("before", old.Holder), zap.Int("workers", len(next.Workers)))
-	fl.fig.claims.Inc(1)
+	fl.metrics.claims.Inc(1)
 	if name == machinesCell {
 		fl.startMachineController(ctx, next, old)
 		return
@@ -238,7 +238,7 @@
 }
 
 // claimedBefore returns the version of an own earlier claim whose answer was lost, 0 if the row is another's.
-func (fl *Fleet) claimedBefore(cf *Conflict, place Place, raw []byte) int64 {
+func (fl *Fleet) earlierClaimVersion(cf *Conflict, place Place, raw []byte) int64 {
 	for _, rw := range cf.Rows {
 		var or ownerRow
 		if rw.Place() == place && json.Unmarshal(rw.Value, &or) == nil && or.Holder == fl.opts.Name && or.Incarnation == fl.opts.Incarnation && or.Epoch == 0 && string(rw.Value) == string(raw) {
@@ -249,7 +249,7 @@
 }
 
 // usedWorkers are those that earlier owners used and those that are registered.
-func (fl *Fleet) usedWorkers(name string, before []cell.Ref) []cell.Ref {
+func (fl *Fleet) mergeWorkers(name string, before []cell.Ref) []cell.Ref {
 	list := slices.Clone(before)
 	for _, wk := range fl.workerCache.inPool(job.PoolID(name)) {
 		if !slices.ContainsFunc(list, func(rf cell.Ref) bool { return rf.ID == wk.ID }) {
--- a/fleet/partition_test.go
+++ b/fleet/partition_test.go
@@ -11,57 +11,57 @@
 )
 
 // cutSite has two nodes in the hall here and one elsewhere, all of which know each other.
-func partitionSite(t *testing.T) (st *site, here, beside, far *testNode) {
-	st = newSite(t, time.Millisecond)
-	st.halls = map[string]string{"here": "a", "beside": "a", "far": "b"}
-	here, beside, far = st.start("here"), st.start("beside"), st.start("far")
+func partitionSite(t *testing.T) (cl *cluster, here, beside, far *testNode) {
+	cl = newCluster(t, time.Millisecond)
+	cl.halls = map[string]string{"here": "a", "beside": "a", "far": "b"}
+	here, beside, far = cl.start("here"), cl.start("beside"), cl.start("far")
 	for _, nd := range []*testNode{here, beside, far} {
-		st.eventually("all know each other", func() bool { return nd.Ready() && nd.members.count() == 3 })
+		cl.eventually("all know each other", func() bool { return nd.Ready() && nd.members.count() == 3 })
 	}
-	return st, here, beside, far
+	return cl, here, beside, far
 }
 
 // TestCutOffInstanceSendsCallersElsewhere: nothing answers but the neighbour in its own hall, which is cut off as well. A job that the
 // store may have taken gets its answer at once, since another hall can find out.
 func TestCutOffInstanceSendsCallersElsewhere(t *testing.T) {
-	st, here, beside, far := partitionSite(t)
+	cl, here, beside, far := partitionSite(t)
 	for _, nd := range []*testNode{here, beside} {
-		nd.way.set(func(sw *storeWay) { sw.silent = true })
+		nd.faultyStore.set(func(fs *faultyStore) { fs.silent = true })
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), longWait)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	waiting := make(chan Verdict, 1)
+	waiting := make(chan SubmitResult, 1)
 	go func() {
-		vd, _ := here.Submit(ctx, spec("c1"))
-		waiting <- vd
+		result, _ := here.Submit(ctx, testSpec("c1"))
+		waiting <- result
 	}()
 	if err := far.srv.Close(); err != nil {
 		t.Fatal(err)
 	}
-	st.eventually("it is seen that the hall is cut off", here.CutOff)
+	cl.eventually("it is seen that the hall is cut off", here.CutOff)
 	if here.Ready() {
 		t.Error("ready although the hall is cut off")
 	}
-	if vd := <-waiting; vd == Accepted {
-		t.Errorf("verdict %d for a job that the store has not acknowledged", vd)
+	if result := <-waiting; result == Accepted {
+		t.Errorf("verdict %d for a job that the store has not acknowledged", result)
 	}
 	if ctx.Err() != nil {
 		t.Error("the answer came with the end of the caller's time")
 	}
-	if vd := st.submit(here, "c2"); vd != Refused {
-		t.Errorf("verdict %d for a new job", vd)
+	if result := cl.submit(here, "c2"); result != Refused {
+		t.Errorf("verdict %d for a new job", result)
 	}
-	here.way.set(func(sw *storeWay) { sw.silent = false })
-	st.eventually("it is ready again", here.Ready)
+	here.faultyStore.set(func(fs *faultyStore) { fs.silent = false })
+	cl.eventually("it is ready again", here.Ready)
 }
 
 // TestStoreThatIsDownIsNoCut: the other hall answers, and callers are no better off there.
 func TestStoreOutageIsNotAPartition(t *testing.T) {
-	st, here, beside, far := partitionSite(t)
+	cl, here, beside, far := partitionSite(t)
 	for _, nd := range []*testNode{here, beside, far} {
-		nd.way.set(func(sw *storeWay) { sw.silent = true })
+		nd.faultyStore.set(func(fs *faultyStore) { fs.silent = true })
 	}
-	st.eventually("the store has been silent for long", func() bool { return time.Since(here.store.lastAnswer()) > 4*partitionSilence })
+	cl.eventually("the store has been silent for long", func() bool { return time.Since(here.store.lastAnswer()) > 4*partitionSilence })
 	if here.CutOff() || !here.Ready() {
 		t.Error("an outage of the store was taken for a cut")
 	}
@@ -69,15 +69,15 @@
 
 // TestInstancesThatAreGoneTellNothing: the rows of replaced instances stay; only those that lived of late are asked.
 func TestDeadInstancesAreNotProbed(t *testing.T) {
-	st, here, _, _ := partitionSite(t)
+	cl, here, _, _ := partitionSite(t)
 	here.members.mu.Lock()
 	for _, name := range []string{"gone1", "gone2", "gone3", "gone4"} {
 		here.members.nodes[name] = node{Name: name, Address: "127.0.0.1:1", Hall: "b"}
 	}
 	here.members.nodes["leaves"] = node{Name: "leaves", Address: "127.0.0.1:1", Hall: "b", Leaving: true}
-	here.members.nodeSeenAt["leaves"] = time.Now().Add(longWait)
+	here.members.nodeSeenAt["leaves"] = time.Now().Add(testTimeout)
 	here.members.mu.Unlock()
-	st.eventually("the gone are told from the living", func() bool { return len(here.liveNodes()) == 4 })
+	cl.eventually("the gone are told from the living", func() bool { return len(here.liveNodes()) == 4 })
 	rc := &partitionDetector{fl: here.Fleet}
 	for range 10 {
 		for _, nd := range rc.probeTargets() {
@@ -91,18 +91,18 @@
 // TestCutOwnerLearnsOfWorkersThroughPeers: an owner that the store does not answer asks peers for registrations, and does not try the direct
 // way with them again and again, which is silent for as long as a feed may be.
 func TestCutOffOwnerReadsRegistrationsThroughPeers(t *testing.T) {
-	st := newSite(t, time.Hour)
-	one := st.start("one")
-	owner := st.owner(one)
-	two := st.start("two")
-	st.eventually("the peer is known", func() bool { return two.Ready() && len(one.members.others("one")) > 0 })
-	owner.way.set(func(sw *storeWay) { sw.silent = true })
-	st.eventually("it goes through peers", owner.store.proxying)
+	cl := newCluster(t, time.Hour)
+	one := cl.start("one")
+	owner := cl.waitOwner(one)
+	two := cl.start("two")
+	cl.eventually("the peer is known", func() bool { return two.Ready() && len(one.members.others("one")) > 0 })
+	owner.faultyStore.set(func(fs *faultyStore) { fs.silent = true })
+	cl.eventually("it goes through peers", owner.store.proxying)
 	before := 0
 	for at := range 8 {
 		id := fmt.Sprintf("late%d", at)
-		st.write(Row{Table: "registry", Key: id, Value: []byte("{}")})
-		st.eventually("the owner knows "+id, func() bool {
+		cl.write(Row{Table: "registry", Key: id, Value: []byte("{}")})
+		cl.eventually("the owner knows "+id, func() bool {
 			now := owner
 			if two.ownerOf("pool") != nil {
 				// On a busy machine the beats through the peer may be too late, and the cell changes hands.
@@ -111,13 +111,13 @@
 			return slices.ContainsFunc(now.workerCache.inPool("pool"), func(wk cell.Worker) bool { return string(wk.ID) == id })
 		})
 		if at == 0 {
-			before = owner.way.fed("registry")
+			before = owner.faultyStore.feedCalls("registry")
 		}
 		time.Sleep(directProbeInterval / 2)
 	}
-	if tries := owner.way.fed("registry") - before; tries > 1 {
+	if tries := owner.faultyStore.feedCalls("registry") - before; tries > 1 {
 		t.Errorf("the direct way was tried with %d feeds", tries)
 	}
-	owner.way.set(func(sw *storeWay) { sw.silent = false })
-	st.eventually("it goes the direct way again", func() bool { return !owner.store.proxying() })
+	owner.faultyStore.set(func(fs *faultyStore) { fs.silent = false })
+	cl.eventually("it goes the direct way again", func() bool { return !owner.store.proxying() })
 }
--- a/fleet/pause.go
+++ b/fleet/pause.go
@@ -22,7 +22,7 @@
 )
 
 // pausedFor is when callers of a paused queue are told to come back: an operator takes minutes.
-const pausedFor = 30 * time.Second
+const pausedRetryAfter = 30 * time.Second
 
 // ErrNotPaused says that a queue that is to go on is not paused.
 var ErrNotPaused = errors.New("the queue is not paused")
@@ -81,7 +81,7 @@
 }
 
 // takePause takes the row of a paused queue. One that cannot be read pauses the queue that its key names.
-func (fl *Fleet) takePause(rw Row) {
+func (fl *Fleet) applyPause(rw Row) {
 	queue := job.QueueID(strings.TrimPrefix(rw.Key, pausePrefix))
 	ps := Pause{Queue: queue}
 	if err := json.Unmarshal(rw.Value, &ps); err != nil && !rw.Deleted {
@@ -96,7 +96,7 @@
 		fl.opts.Log.Emit(event.QueuePaused, zap.String("queue", string(queue)), zap.String("by", ps.By), zap.String("why", ps.Why))
 	}
 	fl.paused.Store(&paused)
-	for _, ow := range fl.owned() {
+	for _, ow := range fl.allOwners() {
 		ow.post(func(cr *cell.Core, _ time.Time) { cr.Pause(paused) })
 	}
 }
--- a/fleet/payloads.go
+++ b/fleet/payloads.go
@@ -14,82 +14,82 @@
 
 const (
 	// payloadBytes bounds the payloads that are remembered: some 1,700 jobs of 2.4 KB, those of several seconds at an instance.
-	payloadBytes = 4 << 20
+	payloadCacheBytes = 4 << 20
 	// payloadTimeout bounds asking an instance for one; then the store is asked, which is there when the instance is not.
-	payloadTimeout = 300 * time.Millisecond
+	payloadFetchTimeout = 300 * time.Millisecond
 )
 
 // payloads remembers the payloads of jobs that were accepted here, or tasks of which are started here for an owner. A payload has up to
 // 4 KB and goes to the worker with each of a job's tasks, 13 in the mean; an owner that was told of it with the job, read it from its feed and
 // handed it to peers with each task would need most of a narrow link for it. So it lies in a table of its own, and whoever starts tasks asks
 // the instance that accepted the job, once, or the store if that is gone.
-type payloads struct {
+type payloadCache struct {
 	mu    sync.Mutex // guards what follows
 	texts map[job.ID]string
 	order []job.ID
 	bytes int
 	// asked holds the questions that are under way.
-	asked map[job.ID]*question
+	fetches map[job.ID]*payloadFetch
 }
 
 // question asks for a payload; several orders may wait for its end.
-type question struct {
+type payloadFetch struct {
 	done  chan struct{}
 	text  string
 	known bool
 }
 
-func newPayloads() *payloads {
-	return &payloads{texts: map[job.ID]string{}, asked: map[job.ID]*question{}}
+func newPayloadCache() *payloadCache {
+	return &payloadCache{texts: map[job.ID]string{}, fetches: map[job.ID]*payloadFetch{}}
 }
 
 // put remembers a payload, and forgets the oldest ones where they are too many.
-func (ps *payloads) put(id job.ID, text string) {
-	ps.mu.Lock()
-	defer ps.mu.Unlock()
-	if _, known := ps.texts[id]; known {
+func (pc *payloadCache) put(id job.ID, text string) {
+	pc.mu.Lock()
+	defer pc.mu.Unlock()
+	if _, known := pc.texts[id]; known {
 		return
 	}
-	ps.texts[id] = text
-	ps.order = append(ps.order, id)
-	ps.bytes += len(text)
-	for ps.bytes > payloadBytes {
-		oldest := ps.order[0]
-		ps.order = ps.order[1:]
-		ps.bytes -= len(ps.texts[oldest])
-		delete(ps.texts, oldest)
+	pc.texts[id] = text
+	pc.order = append(pc.order, id)
+	pc.bytes += len(text)
+	for pc.bytes > payloadCacheBytes {
+		oldest := pc.order[0]
+		pc.order = pc.order[1:]
+		pc.bytes -= len(pc.texts[oldest])
+		delete(pc.texts, oldest)
 	}
 }
 
-func (ps *payloads) get(id job.ID) (string, bool) {
-	ps.mu.Lock()
-	defer ps.mu.Unlock()
-	text, known := ps.texts[id]
+func (pc *payloadCache) get(id job.ID) (string, bool) {
+	pc.mu.Lock()
+	defer pc.mu.Unlock()
+	text, known := pc.texts[id]
 	return text, known
 }
 
 // ask returns the question for a payload, and whether the caller is to put it.
-func (ps *payloads) ask(id job.ID) (*question, bool) {
-	ps.mu.Lock()
-	defer ps.mu.Unlock()
-	if qs, open := ps.asked[id]; open {
-		return qs, false
+func (pc *payloadCache) startFetch(id job.ID) (*payloadFetch, bool) {
+	pc.mu.Lock()
+	defer pc.mu.Unlock()
+	if pf, open := pc.fetches[id]; open {
+		return pf, false
 	}
-	qs := &question{done: make(chan struct{})}
-	ps.asked[id] = qs
-	return qs, true
+	pf := &payloadFetch{done: make(chan struct{})}
+	pc.fetches[id] = pf
+	return pf, true
 }
 
 // answer ends a question.
-func (ps *payloads) answer(id job.ID, qs *question, text string, known bool) {
+func (pc *payloadCache) finishFetch(id job.ID, pf *payloadFetch, text string, known bool) {
 	if known {
-		ps.put(id, text)
+		pc.put(id, text)
 	}
-	ps.mu.Lock()
-	delete(ps.asked, id)
-	ps.mu.Unlock()
-	qs.text, qs.known = text, known
-	close(qs.done)
+	pc.mu.Lock()
+	delete(pc.fetches, id)
+	pc.mu.Unlock()
+	pf.text, pf.known = text, known
+	close(pf.done)
 }
 
 // payload returns a job's payload, asking the instance at the address, and then the store, if it is not known here; false if neither had it.
@@ -97,25 +97,25 @@
 	if text, known := fl.payloads.get(id); known {
 		return text, true
 	}
-	qs, first := fl.payloads.ask(id)
+	pf, first := fl.payloads.startFetch(id)
 	if first {
 		text, known := fl.peers.payload(ctx, address, id)
 		if !known {
 			text, known = fl.storedPayload(ctx, id)
 		}
-		fl.payloads.answer(id, qs, text, known)
+		fl.payloads.finishFetch(id, pf, text, known)
 	}
 	select {
-	case <-qs.done:
+	case <-pf.done:
 	case <-ctx.Done():
 		return "", false
 	}
-	return qs.text, qs.known
+	return pf.text, pf.known
 }
 
 // storedPayload reads a payload from the store.
 func (fl *Fleet) storedPayload(ctx context.Context, id job.ID) (string, bool) {
-	ctx, cancel := context.WithTimeout(ctx, intakeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, intakeReadTimeout)
 	defer cancel()
 	rw, there, err := fl.readRow(ctx, Place{tablePayload, partName(homePart(id)), string(id)})
 	if err != nil || !there {
@@ -131,12 +131,12 @@
 		// It was accepted by an earlier process here, or its instance has just been silent.
 		return "", false
 	}
-	ctx, cancel := context.WithTimeout(ctx, payloadTimeout)
+	ctx, cancel := context.WithTimeout(ctx, payloadFetchTimeout)
 	defer cancel()
 	rp, err := pr.clientFor(address).Payload(ctx, &peer.PayloadRequest{Job: string(id)})
 	if err != nil {
 		pr.backOff(address)
-		pr.fl.logPeer("payload", string(id), err)
+		pr.fl.logPeerError("payload", string(id), err)
 		return "", false
 	}
 	return rp.Payload, rp.Known
@@ -149,7 +149,7 @@
 }
 
 // complete gives an order what it came without, and hands it on; absent is called instead if that is not to be had.
-func (fl *Fleet) complete(ctx context.Context, od cell.Order, send func(cell.Order), absent func()) {
+func (fl *Fleet) attachPayload(ctx context.Context, od cell.Order, send func(cell.Order), absent func()) {
 	st, ok := od.(cell.Start)
 	if !ok || st.PayloadAt == "" {
 		send(od)
--- a/fleet/peers.go
+++ b/fleet/peers.go
@@ -83,23 +83,23 @@
 	ctx, cancel := context.WithTimeout(pr.fl.background, peerTimeout)
 	defer cancel()
 	if _, err := cl.Offer(ctx, &peer.OfferRequest{Cell: name, Specs: specs}); err != nil {
-		pr.fl.logPeer("offer", name, err)
+		pr.fl.logPeerError("offer", name, err)
 	}
 }
 
-func (pr *peers) jobState(ctx context.Context, name string, id job.ID) (word, bool) {
+func (pr *peers) jobState(ctx context.Context, name string, id job.ID) (jobStatus, bool) {
 	cl, ok := pr.ownerClient(name)
 	if !ok {
-		return word{}, false
+		return jobStatus{}, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	rp, err := cl.JobState(ctx, &peer.JobStateRequest{Cell: name, Job: string(id)})
 	if err != nil {
-		pr.fl.logPeer("jobState", name, err)
-		return word{}, false
+		pr.fl.logPeerError("jobState", name, err)
+		return jobStatus{}, false
 	}
-	return word{job.State(rp.State), job.OrganisationID(rp.Organisation)}, rp.Owner && rp.Known
+	return jobStatus{job.State(rp.State), job.OrganisationID(rp.Organisation)}, rp.Owner && rp.Known
 }
 
 func (pr *peers) cancelJob(name string, id job.ID) {
@@ -110,7 +110,7 @@
 	ctx, cancel := context.WithTimeout(pr.fl.background, peerTimeout)
 	defer cancel()
 	if _, err := cl.CancelJob(ctx, &peer.CancelJobRequest{Cell: name, Job: string(id)}); err != nil {
-		pr.fl.logPeer("cancelJob", name, err)
+		pr.fl.logPeerError("cancelJob", name, err)
 	}
 }
 
@@ -123,7 +123,7 @@
 	defer cancel()
 	rp, err := cl.Pending(ctx, &peer.PendingRequest{Cell: name, Queue: string(queue)})
 	if err != nil {
-		pr.fl.logPeer("pending", name, err)
+		pr.fl.logPeerError("pending", name, err)
 		return 0, false
 	}
 	return int(rp.Pending), rp.Owner
@@ -136,7 +136,7 @@
 			ctx, cancel := context.WithTimeout(pr.fl.background, peerTimeout)
 			defer cancel()
 			if _, err := pr.clientFor(nd.Address).Released(ctx, &peer.ReleasedRequest{Cell: rw.Part, Version: rw.Version, Row: rw.Value}); err != nil {
-				pr.fl.logPeer("released", rw.Part, err)
+				pr.fl.logPeerError("released", rw.Part, err)
 			}
 		}()
 	}
@@ -175,12 +175,12 @@
 		if err != nil {
 			pr.backOff(address)
 			// The peer may have handed it on before it fell silent.
-			return storeResult{}, ErrSilent
+			return storeResult{}, ErrNoAnswer
 		}
 		var sr storeResult
 		if len(rp.Answer) > 0 {
 			if err := json.Unmarshal(rp.Answer, &sr); err != nil {
-				return storeResult{}, ErrSilent
+				return storeResult{}, ErrNoAnswer
 			}
 		}
 		if rp.Outcome != carryRefused {
@@ -225,7 +225,7 @@
 		return &peer.OfferResponse{}, nil
 	}
 	for _, raw := range rq.Specs {
-		ow.offer(raw)
+		ow.addJob(raw)
 	}
 	return &peer.OfferResponse{Owner: true}, nil
 }
@@ -236,8 +236,8 @@
 	if ow == nil {
 		return &peer.JobStateResponse{}, nil
 	}
-	wd, known := ow.state(job.ID(rq.Job))
-	return &peer.JobStateResponse{Owner: true, Known: known, State: string(wd.state), Organisation: string(wd.organisation)}, nil
+	js, known := ow.jobStatus(job.ID(rq.Job))
+	return &peer.JobStateResponse{Owner: true, Known: known, State: string(js.state), Organisation: string(js.organisation)}, nil
 }
 
 // CancelJob stops a job of a cell owned here, whose cancellation is kept.
--- a/fleet/poolsizes.go
+++ b/fleet/poolsizes.go
@@ -28,7 +28,7 @@
 // loads asks every owner for its cells' loads; cells whose owners do not answer are missing. The other instances are called only to be told of
 // queues that are full: all of them at each round were 1,200 calls a second at 300 instances.
 func (fl *Fleet) loads(ctx context.Context, limits map[job.PoolID]int, firm bool, full []*peer.FullQueue, notifyAll bool) map[job.PoolID]cell.Load {
-	fl.full.take(fl.opts.Now(), full)
+	fl.fullQueues.update(fl.opts.Now(), full)
 	found := map[job.PoolID]cell.Load{}
 	var mu sync.Mutex
 	add := func(ld cell.Load) {
@@ -36,7 +36,7 @@
 		defer mu.Unlock()
 		found[ld.Pool] = ld
 	}
-	for _, ow := range fl.owned() {
+	for _, ow := range fl.allOwners() {
 		if ld, ok := ow.load(limits, firm); ok {
 			add(ld)
 		}
@@ -70,7 +70,7 @@
 func (ow *owner) load(limits map[job.PoolID]int, firm bool) (cell.Load, bool) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	if !ow.began || ow.lost.Load() {
+	if !ow.planned || ow.lost.Load() {
 		return cell.Load{}, false
 	}
 	now := ow.fl.opts.Now()
@@ -84,13 +84,13 @@
 
 // Loads tells the loads of the cells owned here.
 func (sv cellsServer) Loads(_ context.Context, rq *peer.LoadsRequest) (*peer.LoadsResponse, error) {
-	sv.fl.full.take(sv.fl.opts.Now(), rq.Full)
+	sv.fl.fullQueues.update(sv.fl.opts.Now(), rq.Full)
 	rp := &peer.LoadsResponse{}
 	limits := map[job.PoolID]int{}
 	for _, lm := range rq.Limits {
 		limits[job.PoolID(lm.Pool)] = int(lm.Machines)
 	}
-	for _, ow := range sv.fl.owned() {
+	for _, ow := range sv.fl.allOwners() {
 		ld, ok := ow.load(limits, rq.Firm)
 		if !ok {
 			continue
@@ -122,7 +122,7 @@
 	}
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	if ow.lost.Load() || !ow.began {
+	if ow.lost.Load() || !ow.planned {
 		return nil
 	}
 	return ow.core.Grab(fl.opts.Now(), ids)
@@ -145,7 +145,7 @@
 	}
 	rp, err := cl.Grab(ctx, rq)
 	if err != nil {
-		fl.logPeer("grab", name, err)
+		fl.logPeerError("grab", name, err)
 		return nil
 	}
 	var granted []cell.WorkerName
@@ -177,7 +177,7 @@
 		loads := ct.fl.loads(ctx, limits, firm, full, notified || len(full) > 0)
 		// Once more when none is full any more.
 		notified = len(full) > 0
-		full = fullQueues(loads)
+		full = collectFullQueues(loads)
 		ct.recordDrained(loads)
 		for _, ld := range loads {
 			ct.fl.opts.Log.Emit(event.PoolLoad, zap.String("pool", string(ld.Pool)), zap.Float64("needed", ld.Needed), zap.Float64("placed", ld.Placed), zap.Float64("lasting", ld.Lasting), zap.Duration("slack", ld.Slack), zap.Int("workers", len(ld.Workers)), zap.Int("open", ld.Open))
--- a/fleet/relay.go
+++ b/fleet/relay.go
@@ -112,7 +112,7 @@
 			sd.addResult(toRelayPollResult(ro.Id, lk), lk.Received)
 		}()
 	default:
-		rl.fl.complete(ctx, order, func(od cell.Order) { rl.enqueueOrder(sd, ro, od) }, func() {
+		rl.fl.attachPayload(ctx, order, func(od cell.Order) { rl.enqueueOrder(sd, ro, od) }, func() {
 			sd.addResult(&peer.RelayResult{Id: ro.Id, Outcome: int32(cell.Unprepared)}, now())
 		})
 	}
--- a/fleet/relay_test.go
+++ b/fleet/relay_test.go
@@ -98,7 +98,7 @@
 
 // linkTo is a link to a peer, of an owner that only takes events.
 func linkTo(call func(*peer.RelayRequest) (*peer.RelayResponse, error)) (*relayLink, *owner) {
-	fl := New(Options{Name: "one", Store: &storeWay{mm: newMemory()}, Workers: newWorkers(time.Second), Machines: noMachines{}, Format: plainFormat{}})
+	fl := New(Options{Name: "one", Store: &faultyStore{mem: newMemStore()}, Workers: newWorkers(time.Second), Machines: noMachines{}, Format: testFormat{}})
 	ow := &owner{fl: fl, name: "pool", signal: make(chan struct{}, 1)}
 	ow.relays = newRelays(ow)
 	ln := &relayLink{rs: ow.relays, node: node{Name: "two", Incarnation: "i2"}, peer: relayPeer{call: call}, pending: map[uint64]pendingOrder{}}
@@ -108,7 +108,7 @@
 // waitEvents waits until the core would have been told so much.
 func waitEvents(t *testing.T, ow *owner, want int) {
 	t.Helper()
-	for until := time.Now().Add(longWait); ; time.Sleep(pollGap) {
+	for until := time.Now().Add(testTimeout); ; time.Sleep(testPollInterval) {
 		ow.mu.Lock()
 		got := len(ow.events)
 		ow.mu.Unlock()
@@ -160,7 +160,7 @@
 		ln.setCallPause(time.Millisecond)
 		ln.send(t.Context(), cell.Stop{Worker: "w", Task: relayedTask, Attempt: 1})
 		waitEvents(t, ow, 1)
-		if got := ow.fl.fig.outcomes[want].Count(); got != 1 {
+		if got := ow.fl.metrics.outcomes[want].Count(); got != 1 {
 			t.Errorf("%v: %d orders are %s", err, got, want)
 		}
 	}
@@ -258,18 +258,18 @@
 // TestLargeCellRunsThroughPeers: most calls to workers are made by the owner's peers, every task is started once, and jobs end while
 // the peers are taken away one after the other.
 func TestLargeCellUsesRelays(t *testing.T) {
-	st := newSite(t, 50*time.Millisecond)
+	cl := newCluster(t, 50*time.Millisecond)
 	for at := range relayThreshold + 10 {
-		st.write(Row{Table: "registry", Key: fmt.Sprintf("x%d", at), Value: []byte("{}")})
+		cl.write(Row{Table: "registry", Key: fmt.Sprintf("x%d", at), Value: []byte("{}")})
 	}
-	counts := &callCount{fakeWorkers: st.workers, by: map[string]int{}}
-	st.workersAt = func(name string) Workers { return countingWorkers{counts, name} }
+	counts := &callCount{fakeWorkers: cl.workers, by: map[string]int{}}
+	cl.workersAt = func(name string) Workers { return countingWorkers{counts, name} }
 	var nodes []*testNode
 	for _, name := range []string{"one", "two", "three"} {
-		nodes = append(nodes, st.start(name))
+		nodes = append(nodes, cl.start(name))
 	}
-	ow := st.owner(nodes...)
-	st.eventually("peers are chosen", func() bool {
+	ow := cl.waitOwner(nodes...)
+	cl.eventually("peers are chosen", func() bool {
 		rs := ow.ownerOf("pool").relays
 		rs.mu.Lock()
 		defer rs.mu.Unlock()
@@ -278,8 +278,8 @@
 	submitted := 0
 	submit := func() {
 		for range 10 {
-			if vd := st.submit(ow, job.ID(fmt.Sprintf("%016x", submitted))); vd != Accepted {
-				t.Fatalf("verdict %d", vd)
+			if result := cl.submit(ow, job.ID(fmt.Sprintf("%016x", submitted))); result != Accepted {
+				t.Fatalf("verdict %d", result)
 			}
 			submitted++
 		}
@@ -287,8 +287,8 @@
 	counts.reset()
 	submit()
 	for at := range submitted {
-		st.completed(ow, job.ID(fmt.Sprintf("%016x", at)))
-		st.once(job.ID(fmt.Sprintf("%016x", at)))
+		cl.waitCompleted(ow, job.ID(fmt.Sprintf("%016x", at)))
+		cl.checkRanOnce(job.ID(fmt.Sprintf("%016x", at)))
 	}
 	if own, all := counts.of(ow.opts.Name); own*2 > all {
 		t.Errorf("the owner made %d of %d calls to workers itself", own, all)
@@ -301,7 +301,7 @@
 	}
 	submit()
 	for at := range submitted {
-		st.completed(ow, job.ID(fmt.Sprintf("%016x", at)))
+		cl.waitCompleted(ow, job.ID(fmt.Sprintf("%016x", at)))
 	}
 }
 
--- a/fleet/relays.go
+++ b/fleet/relays.go
@@ -89,7 +89,7 @@
 	workers := fl.workerCache.inPool(rs.ow.pool())
 	assigned := map[cell.WorkerID]*relayLink{}
 	var links []*relayLink
-	rs.scale = nextScale(rs.scale, rs.ow.startTime()-2*rs.callPause)
+	rs.scale = nextScale(rs.scale, rs.ow.startLatency()-2*rs.callPause)
 	if len(workers) > relayThreshold || rs.scale > 1 {
 		links = rs.candidates(now, float64(len(workers))*rs.scale)
 	}
@@ -333,10 +333,10 @@
 // deliver passes the result of an order to the core.
 func (ln *relayLink) deliver(po pendingOrder, rr *peer.RelayResult, receivedAt time.Time) {
 	if look, ok := po.order.(cell.Look); ok {
-		ln.rs.ow.looked(fromRelayPollResult(rr, look, po.sentAt, receivedAt))
+		ln.rs.ow.handlePollResult(fromRelayPollResult(rr, look, po.sentAt, receivedAt))
 		return
 	}
-	ln.rs.ow.ordered(fromRelayOrderResult(rr, po.order, po.sentAt, receivedAt))
+	ln.rs.ow.handleOrderResult(fromRelayOrderResult(rr, po.order, po.sentAt, receivedAt))
 }
 
 // deliverAll gives the same outcome to orders for which no result will arrive.
--- a/fleet/release.go
+++ b/fleet/release.go
@@ -12,8 +12,8 @@
 )
 
 // dropLost forgets owners that were overtaken.
-func (fl *Fleet) dropLost() {
-	for _, ow := range fl.owned() {
+func (fl *Fleet) removeLostOwners() {
+	for _, ow := range fl.allOwners() {
 		if ow.isLost() {
 			fl.mu.Lock()
 			if fl.owners[ow.name] == ow {
@@ -30,16 +30,16 @@
 // pressedRatio is by how many times less laden another instance must be for a cell some of whose jobs wait. Its next owner looks at all workers
 // before it goes on, and what was accepted before waits for those that it cannot reach: on days with a hall cut off four such handovers fell into
 // bursts, after one of which 58 to 139 machines' worth ran on 163 to 229 machines for 4 s.
-const pressedRatio = 3
+const waitingMoveRatio = 3
 
 // giveAway leaves one cell to an instance that would be less laden with it than this one is; it reports whether it did.
-func (fl *Fleet) giveAway(ctx context.Context, live map[string]node) bool {
-	ratio := fl.lighter(live)
+func (fl *Fleet) rebalance(ctx context.Context, live map[string]node) bool {
+	ratio := fl.bestLoadRatio(live)
 	if ratio <= 1 {
 		return false
 	}
 	now := fl.opts.Now()
-	own := slices.DeleteFunc(fl.owned(), func(ow *owner) bool { return !ow.mayMove(now, ratio > pressedRatio) })
+	own := slices.DeleteFunc(fl.allOwners(), func(ow *owner) bool { return !ow.canMove(now, ratio > waitingMoveRatio) })
 	if len(own) == 0 {
 		return false
 	}
@@ -50,7 +50,7 @@
 }
 
 // lighter is by how many times less laden than this instance another one would be with one more cell, at the most.
-func (fl *Fleet) lighter(live map[string]node) float64 {
+func (fl *Fleet) bestLoadRatio(live map[string]node) float64 {
 	held := fl.members.cellCounts()
 	mine, most := live[fl.opts.Name].load(held[fl.opts.Name]), 0.0
 	for name, nd := range live {
@@ -63,20 +63,20 @@
 
 // release ends an owner's work and leaves its cell without an owner.
 func (fl *Fleet) release(ctx context.Context, ow *owner) {
-	ow.quiet(ctx)
+	ow.quiesce(ctx)
 	fl.mu.Lock()
 	if fl.owners[ow.name] == ow {
 		delete(fl.owners, ow.name)
 	}
 	fl.mu.Unlock()
 	ow.stop()
-	row := ow.left()
+	row := ow.handoverRow()
 	// A failure is logged there; the others then find the owner gone.
-	_ = fl.vacate(ctx, ow.name, ow.rowVersion.Load(), row)
+	_ = fl.commitRelease(ctx, ow.name, ow.rowVersion.Load(), row)
 }
 
 // vacate writes that a cell has no owner, and tells the peers.
-func (fl *Fleet) vacate(ctx context.Context, name string, version int64, row ownerRow) error {
+func (fl *Fleet) commitRelease(ctx context.Context, name string, version int64, row ownerRow) error {
 	raw, err := json.Marshal(row)
 	if err != nil {
 		return err
@@ -97,11 +97,11 @@
 }
 
 // handOver leaves all cells without an owner and takes this instance out of the membership.
-func (fl *Fleet) handOver(ctx context.Context) {
+func (fl *Fleet) releaseAll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, 2*claimTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
-	for _, ow := range fl.owned() {
+	for _, ow := range fl.allOwners() {
 		wg.Go(func() { fl.release(ctx, ow) })
 	}
 	wg.Go(func() { fl.controller.handOver(ctx) })
--- a/fleet/release_test.go
+++ b/fleet/release_test.go
@@ -9,39 +9,39 @@
 
 // TestPressedCellIsNotGivenAway replays a handover in a burst: while a job waits, a cell goes only to an instance that would be far less laden.
 func TestPressedCellIsNotGivenAway(t *testing.T) {
-	st := newSite(t, 20*time.Millisecond)
-	one := st.start("one")
-	st.owner(one)
-	sp := spec("huge")
+	cl := newCluster(t, 20*time.Millisecond)
+	one := cl.start("one")
+	cl.waitOwner(one)
+	sp := testSpec("huge")
 	sp.Steps[0].Size = job.Size{CPUMillis: 1 << 30}
-	if vd, _ := one.Submit(t.Context(), sp); vd != Accepted {
-		t.Fatal(vd)
+	if result, _ := one.Submit(t.Context(), sp); result != Accepted {
+		t.Fatal(result)
 	}
 	ow := one.ownerOf("pool")
 	waits := func() bool {
 		ow.mu.Lock()
 		defer ow.mu.Unlock()
-		ow.since = time.Time{}
+		ow.claimedAt = time.Time{}
 		return ow.core.Pressed(one.opts.Now())
 	}
-	st.eventually("a job that waits", waits)
-	if ow.mayMove(one.opts.Now(), false) {
+	cl.eventually("a job that waits", waits)
+	if ow.canMove(one.opts.Now(), false) {
 		t.Error("a pressed cell may be given away")
 	}
-	if !ow.mayMove(one.opts.Now(), true) {
+	if !ow.canMove(one.opts.Now(), true) {
 		t.Error("a pressed cell may not be given to an instance that is far less laden")
 	}
 	if err := one.Cancel(t.Context(), "", "huge"); err != nil {
 		t.Fatal(err)
 	}
-	st.eventually("calm", func() bool { return !waits() })
-	if !ow.mayMove(one.opts.Now(), false) {
+	cl.eventually("calm", func() bool { return !waits() })
+	if !ow.canMove(one.opts.Now(), false) {
 		t.Error("a calm cell may not be given away")
 	}
 }
 
 func TestHowMuchLessLadenAnotherIs(t *testing.T) {
-	fl := New(Options{Name: "small", Store: &storeWay{mm: newMemory()}, Workers: newWorkers(0), Machines: noMachines{}, Format: plainFormat{}})
+	fl := New(Options{Name: "small", Store: &faultyStore{mem: newMemStore()}, Workers: newWorkers(0), Machines: noMachines{}, Format: testFormat{}})
 	live := map[string]node{"small": {Name: "small", Power: 0.2}, "large": {Name: "large", Power: 0.8}, "leaving": {Name: "leaving", Power: 8, Leaving: true}}
 	own := func(cells ...string) {
 		fl.members.owners = map[string]ownerRow{}
@@ -54,7 +54,7 @@
 		want  float64
 	}{{nil, 0}, {[]string{"small"}, 4}, {[]string{"small", "large", "large", "large"}, 1}, {[]string{"small", "small", "large"}, 4}} {
 		own(tc.cells...)
-		if got := fl.lighter(live); got != tc.want {
+		if got := fl.bestLoadRatio(live); got != tc.want {
 			t.Errorf("%v: %v, want %v", tc.cells, got, tc.want)
 		}
 	}
--- a/fleet/serialstore_test.go
+++ b/fleet/serialstore_test.go
@@ -18,7 +18,7 @@
 // turnStore is a store whose parts take their transactions in turn, as its pages say, on a synthetic clock. A transaction that was given
 // up is carried out all the same; one that would wait for longer than a second is refused.
 type serialStore struct {
-	mm *memory
+	mm *memStore
 	// turn is how long a part is taken by a transaction, answer how long its answer takes besides.
 	perPart, answer time.Duration
 	mu              sync.Mutex // guards the fields below
@@ -37,7 +37,7 @@
 )
 
 func newSerialStore(factor int) *serialStore {
-	return &serialStore{mm: newMemory(), perPart: fastCommit * time.Duration(factor), answer: fastAnswer * time.Duration(factor), freeAt: map[string]time.Time{}}
+	return &serialStore{mm: newMemStore(), perPart: fastCommit * time.Duration(factor), answer: fastAnswer * time.Duration(factor), freeAt: map[string]time.Time{}}
 }
 
 // lossy makes a share of the transactions be done and not answered.
@@ -116,7 +116,7 @@
 	case rs := <-answer:
 		return rs.version, rs.err
 	case <-ctx.Done():
-		return 0, ErrSilent
+		return 0, ErrNoAnswer
 	}
 }
 
@@ -156,7 +156,7 @@
 func startIntake(ctx context.Context, store *serialStore, count int) intakeFleet {
 	fl := intakeFleet{store: store}
 	for at := range count {
-		nd := New(Options{Name: fmt.Sprintf("n%d", at), Store: store, Machines: noMachines{}, Format: plainFormat{}})
+		nd := New(Options{Name: fmt.Sprintf("n%d", at), Store: store, Machines: noMachines{}, Format: testFormat{}})
 		nd.background = ctx
 		fl.nodes = append(fl.nodes, nd)
 		for _, in := range nd.intakes {
@@ -175,7 +175,7 @@
 
 // handedIn is what became of the jobs that were handed in.
 type submissions struct {
-	verdicts map[Verdict]int
+	verdicts map[SubmitResult]int
 	// late counts the callers that had no answer when their time was over.
 	late int
 	// refused are the jobs whose callers were told that they were not taken.
@@ -188,7 +188,7 @@
 // handIn hands in so many jobs a second for a while, each at one instance, and waits for all verdicts.
 func (fl intakeFleet) submitJobs(seed uint64, perSecond int, span time.Duration) submissions {
 	rd := rand.New(rand.NewPCG(seed, seed))
-	res := submissions{verdicts: map[Verdict]int{}}
+	res := submissions{verdicts: map[SubmitResult]int{}}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for range int(span.Seconds() * float64(perSecond)) {
@@ -197,11 +197,11 @@
 			ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 			defer cancel()
 			began := time.Now()
-			vd, _ := nd.Submit(ctx, spec(id))
+			result, _ := nd.Submit(ctx, testSpec(id))
 			mu.Lock()
 			defer mu.Unlock()
-			res.verdicts[vd]++
-			if vd == Refused {
+			res.verdicts[result]++
+			if result == Refused {
 				res.refused = append(res.refused, id)
 			}
 			if time.Since(began) > callerTimeout {
@@ -286,7 +286,7 @@
 func TestDrainedWorkersAreReportedWithoutTheStore(t *testing.T) {
 	const wanted = 70
 	store := newSerialStore(60)
-	fl := New(Options{Name: "one", Store: store, Machines: noMachines{}, Format: plainFormat{}})
+	fl := New(Options{Name: "one", Store: store, Machines: noMachines{}, Format: testFormat{}})
 	ids := map[cell.WorkerName]bool{}
 	for at := range wanted {
 		id := fmt.Sprintf("%02d", at)
@@ -294,7 +294,7 @@
 		fl.members.applyDrain(Row{Key: drainPrefix + "m" + id, Version: 7, Value: fmt.Appendf(nil, `{"machine":"m%s","worker":"w%s","pool":"pool"}`, id, id)})
 	}
 	ow := newOwner(fl, "pool", ownerRow{version: 5}, func() {})
-	ow.began = true
+	ow.planned = true
 	ow.core.Cordon(ids)
 	fl.owners["pool"] = ow
 	for _, tc := range []struct {
@@ -315,7 +315,7 @@
 // startDutyHolder starts what renews the lease of the machines' duty over a store.
 func startLeaseHolder(ctx context.Context, t *testing.T, store *serialStore) *machineController {
 	t.Helper()
-	fl := New(Options{Name: "one", Store: store, Machines: noMachines{}, Format: plainFormat{}})
+	fl := New(Options{Name: "one", Store: store, Machines: noMachines{}, Format: testFormat{}})
 	fl.background = ctx
 	version, err := store.mm.commit(Tx{Write: []Row{{Table: tableControl, Part: machinesCell, Key: ownerKey, Value: []byte("{}")}}})
 	if err != nil {
--- a/fleet/start_test.go
+++ b/fleet/start_test.go
@@ -10,7 +10,7 @@
 // TestStartReadsNoPartForEachInstance replays what an instance meets that starts with 300 others: the reads that it makes of their rows do not
 // grow with their number. With a part for each they were 300 and more.
 func TestStartReadsNoPartForEachInstance(t *testing.T) {
-	st := newSite(t, 20*time.Millisecond)
+	cl := newCluster(t, 20*time.Millisecond)
 	for at := range 300 {
 		name := fmt.Sprintf("edge-%d", at)
 		raw, err := json.Marshal(node{Name: name, Address: "127.0.0.1:1", Hall: "h", Incarnation: "i", Layout: layoutSeparatePayloads})
@@ -18,12 +18,12 @@
 			t.Fatal(err)
 		}
 		place := nodePlace(name)
-		st.write(Row{Table: place.Table, Part: place.Part, Key: place.Key, Value: raw})
+		cl.write(Row{Table: place.Table, Part: place.Part, Key: place.Key, Value: raw})
 	}
-	one := st.start("one")
-	st.eventually("readiness", one.Ready)
+	one := cl.start("one")
+	cl.eventually("readiness", one.Ready)
 	// 32 parts of instances, and those of cells; a fixed bound, so that more parts are found.
-	if got := one.way.readOf(tableControl); got > 42 {
+	if got := one.faultyStore.readCalls(tableControl); got > 42 {
 		t.Errorf("%d reads of the control table", got)
 	}
 	if got := one.members.count(); got < 300 {
@@ -34,15 +34,15 @@
 // TestReadyWithoutRegistrations: at 3,000 workers a reading of all registrations is 1.2 MB, which a link of 2 Mbit/s carries in 4.7 s; an instance
 // is ready without it.
 func TestReadyWithoutRegistrations(t *testing.T) {
-	st := newSite(t, 20*time.Millisecond)
-	one := st.start("one")
-	st.owner(one)
-	two := st.start("two")
-	st.eventually("readiness", two.Ready)
-	if got := two.way.readOf("registry"); got != 0 {
+	cl := newCluster(t, 20*time.Millisecond)
+	one := cl.start("one")
+	cl.waitOwner(one)
+	two := cl.start("two")
+	cl.eventually("readiness", two.Ready)
+	if got := two.faultyStore.readCalls("registry"); got != 0 {
 		t.Errorf("%d reads of registrations by an instance that owns nothing", got)
 	}
-	if got := one.way.readOf("registry"); got == 0 {
+	if got := one.faultyStore.readCalls("registry"); got == 0 {
 		t.Error("the owner has read none")
 	}
 }
@@ -50,7 +50,7 @@
 // TestBeatsOfManyDoNotGrowWithTheirSquare: each reads what all write, so that idle instances of a large fleet write less often; up to a hundred
 // nothing changes.
 func TestBeatsOfManyDoNotGrowWithTheirSquare(t *testing.T) {
-	if idleHeartbeatDelay(1) != beatIdle || idleHeartbeatDelay(100) != beatIdle {
+	if idleHeartbeatDelay(1) != idleHeartbeatInterval || idleHeartbeatDelay(100) != idleHeartbeatInterval {
 		t.Errorf("small fleets: %v %v", idleHeartbeatDelay(1), idleHeartbeatDelay(100))
 	}
 	for _, nodes := range []int{100, 300, 1000, 20000} {
--- a/fleet/store.go
+++ b/fleet/store.go
@@ -62,9 +62,9 @@
 	// ErrRefused says that nothing was done.
 	ErrRefused = errors.New("the store refused the call")
 	// ErrSilent says that it is not known whether the call was, or will be, carried out.
-	ErrSilent = errors.New("the store did not answer")
+	ErrNoAnswer = errors.New("the store did not answer")
 	// ErrHistory says that the feed cannot go on from the version given.
-	ErrHistory = errors.New("the store has forgotten its history")
+	ErrHistoryTruncated = errors.New("the store has forgotten its history")
 )
 
 // Conflict is the error of a transaction whose conditions do not hold.
--- a/fleet/storeclient.go
+++ b/fleet/storeclient.go
@@ -55,7 +55,7 @@
 	peers   *peers
 	log     *event.Logger
 	now     func() time.Time
-	metrics figures
+	metrics fleetMetrics
 	mu      sync.Mutex // guards the fields below
 	// detour is set while calls go through a peer first.
 	viaPeers bool
@@ -119,7 +119,7 @@
 	sc.latency += time.Duration(latencyWeight * float64(span-sc.latency))
 }
 
-func newStoreClient(store Store, pr *peers, lg *event.Logger, now func() time.Time, metrics figures) *storeClient {
+func newStoreClient(store Store, pr *peers, lg *event.Logger, now func() time.Time, metrics fleetMetrics) *storeClient {
 	return &storeClient{store: store, peers: pr, log: lg, now: now, metrics: metrics}
 }
 
@@ -136,7 +136,7 @@
 	sr, err := sc.call(ctx, storeCall{Kind: callCommit, Tx: &tx})
 	span := sc.now().Sub(sentAt)
 	if !errors.Is(err, ErrRefused) {
-		sc.recordCommit(span, !errors.Is(err, ErrSilent))
+		sc.recordCommit(span, !errors.Is(err, ErrNoAnswer))
 	}
 	sc.tell(tx, span, err)
 	return sr.Version, err
@@ -194,7 +194,7 @@
 }
 
 // unreached reports whether the store itself did not do a call.
-func unavailable(err error) bool { return errors.Is(err, ErrRefused) || errors.Is(err, ErrSilent) }
+func unavailable(err error) bool { return errors.Is(err, ErrRefused) || errors.Is(err, ErrNoAnswer) }
 
 func (sc *storeClient) proxying() bool {
 	sc.mu.Lock()
@@ -293,7 +293,7 @@
 		return carryDone
 	case errors.As(err, &cf):
 		return carryConflict
-	case errors.Is(err, ErrHistory):
+	case errors.Is(err, ErrHistoryTruncated):
 		return carryHistoryTruncated
 	case errors.Is(err, ErrRefused):
 		return carryRefused
@@ -312,11 +312,11 @@
 		}
 		return &Conflict{}
 	case carryHistoryTruncated:
-		return ErrHistory
+		return ErrHistoryTruncated
 	case carryRefused:
 		return ErrRefused
 	}
-	return ErrSilent
+	return ErrNoAnswer
 }
 
 // conflictOf returns the rows that a transaction's conditions met.
--- a/fleet/tablewatch.go
+++ b/fleet/tablewatch.go
@@ -83,7 +83,7 @@
 // ownsNothing reports whether this instance owns no cell. Then it needs no registrations: workers renew theirs all the time, each renewal is
 // a row of the feed, and 63 a second of 390 bytes (95 workers) were more than half of what an instance without cells read from the store. It
 // reads them whole when it takes a cell.
-func (fl *Fleet) ownsNoCells() bool { return len(fl.owned()) == 0 }
+func (fl *Fleet) ownsNoCells() bool { return len(fl.allOwners()) == 0 }
 
 // loaded reports whether the table has been read whole since somebody needs it.
 func (wt *tableWatch) loaded() bool { return wt.ready.Load() }
@@ -108,7 +108,7 @@
 		switch {
 		case err == nil:
 			reload = false
-		case errors.Is(err, ErrHistory):
+		case errors.Is(err, ErrHistoryTruncated):
 			reload, pause = true, 0
 		default:
 			pause = feedRetryDelay
@@ -163,7 +163,7 @@
 }
 
 func (wt *tableWatch) logHealth(err error) {
-	if err == nil || errors.Is(err, ErrHistory) {
+	if err == nil || errors.Is(err, ErrHistoryTruncated) {
 		if wt.failing {
 			wt.fl.opts.Log.Emit(event.StoreReached, zap.String("table", wt.table))
 		}
--- a/fleet/tablewatch_test.go
+++ b/fleet/tablewatch_test.go
@@ -8,17 +8,17 @@
 
 // TestTimesOfTheStoreAreOnTheSteadyClock: a jump of the time of day must not make a row look as if it stood still.
 func TestWatchUsesTheMonotonicClock(t *testing.T) {
-	st := newSite(t, time.Millisecond)
+	cl := newCluster(t, time.Millisecond)
 	// A clock that has nothing to do with the time of day: were that read anywhere, it would show as an age of decades.
 	started := time.Now()
 	steady := func() time.Time { return time.Unix(0, 0).Add(time.Since(started)) }
-	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &storeWay{mm: st.mm}, Workers: st.workers, Machines: noMachines{}, Format: plainFormat{}, Now: steady})
+	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &faultyStore{mem: cl.mm}, Workers: cl.workers, Machines: noMachines{}, Format: testFormat{}, Now: steady})
 	if err := fl.operator.load(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	since, until := fl.operator.healthyPeriod()
 	for _, at := range []time.Time{since, until} {
-		if age := steady().Sub(at); age < 0 || age > longWait {
+		if age := steady().Sub(at); age < 0 || age > testTimeout {
 			t.Errorf("the store was heard of %v ago", age)
 		}
 	}
@@ -26,8 +26,8 @@
 
 // TestWatchTellsWhatItReadBeforeItCountsAsRead: else a living owner's rows are older than the store's newest answer for a moment.
 func TestWatchReportsRowsBeforeItCountsAsHealthy(t *testing.T) {
-	st := newSite(t, time.Millisecond)
-	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &storeWay{mm: st.mm}, Workers: st.workers, Machines: noMachines{}, Format: plainFormat{}})
+	cl := newCluster(t, time.Millisecond)
+	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &faultyStore{mem: cl.mm}, Workers: cl.workers, Machines: noMachines{}, Format: testFormat{}})
 	var wt *tableWatch
 	told := 0
 	wt = newTableWatch(fl, "registry", fixedInterval(time.Millisecond), time.Millisecond, func(rows []Row, asked time.Time) {
--- /dev/null
+++ b/fleet/txkind.go
@@ -0,0 +1,63 @@
+package fleet
+
+import (
+	"time"
+
+	"github.com/aspenseam/aspenseam/event"
+	"go.uber.org/zap"
+)
+
+// slowCommit is from when on a transaction is told in the log; one takes some 4 ms on a store that is fast.
+const slowCommitThreshold = 100 * time.Millisecond
+
+// matter is what a transaction is for.
+type txKind string
+
+const (
+	txIntake    txKind = "intake"
+	txProgress  txKind = "progress"
+	txCell      txKind = "cell"
+	txHeartbeat txKind = "beat"
+	txMachines  txKind = "machines"
+	txAccounts  txKind = "accounts"
+	txOther     txKind = "other"
+)
+
+var txKinds = []txKind{txIntake, txProgress, txCell, txHeartbeat, txMachines, txAccounts, txOther}
+
+// matterOf tells what a transaction is for, and in which part.
+func txKindOf(tx Tx) (txKind, string) {
+	if len(tx.Write) == 0 {
+		return txOther, ""
+	}
+	first := tx.Write[0]
+	switch {
+	case first.Table == tableHome:
+		return txIntake, first.Part
+	case first.Table == tableProgress:
+		return txProgress, first.Part
+	case first.Table == tableAccount:
+		return txAccounts, first.Part
+	case first.Table != tableControl:
+		return txOther, first.Part
+	case first.Part == machinesCell:
+		return txMachines, first.Part
+	case first.Key == ownerKey:
+		return txCell, first.Part
+	}
+	return txHeartbeat, first.Part
+}
+
+// tell counts a transaction, and writes down one that took long or failed.
+func (sc *storeClient) tell(tx Tx, span time.Duration, err error) {
+	kind, part := txKindOf(tx)
+	sc.metrics.commits[kind].Update(span.Microseconds())
+	word := carryOutcome(err)
+	if word == carryNoAnswer {
+		sc.metrics.unanswered[kind].Inc(1)
+	}
+	if span < slowCommitThreshold && (word == carryDone || word == carryConflict) {
+		return
+	}
+	sc.log.Emit(event.StoreSlow, zap.String("matter", string(kind)), zap.String("part", part), zap.Int("rows", len(tx.Write)), zap.Duration("took", span), zap.String("outcome", word))
+}
--- a/fleet/workercache.go
+++ b/fleet/workercache.go
@@ -150,7 +150,7 @@
 		fl.unregister(name)
 	case rd.err != nil:
 		fl.opts.Log.Emit(event.RegistrationRejected, zap.String("worker", rd.row.Key), zap.Error(rd.err))
-		fl.fig.registrationsRejected.Inc(1)
+		fl.metrics.registrationsRejected.Inc(1)
 		fl.withhold(name)
 	default:
 		fl.register(rd.worker)
--- a/fleet/workercache_test.go
+++ b/fleet/workercache_test.go
@@ -13,7 +13,7 @@
 // newRegistry is a fleet that reads registrations, for a cell that it owns.
 func newRegistry(t *testing.T) (*Fleet, *owner) {
 	t.Helper()
-	fl := New(Options{Name: "one", Store: &storeWay{mm: newMemory()}, Machines: noMachines{}, Format: plainFormat{}})
+	fl := New(Options{Name: "one", Store: &faultyStore{mem: newMemStore()}, Machines: noMachines{}, Format: testFormat{}})
 	ow := newOwner(fl, "pool", ownerRow{Epoch: 7}, func() {})
 	fl.owners["pool"] = ow
 	return fl, ow
@@ -21,7 +21,7 @@
 
 // unused says of which workers the owner gives nothing to.
 func unusableWorkers(ow *owner) map[cell.WorkerID]bool {
-	ow.step()
+	ow.plan()
 	leaving := map[cell.WorkerID]bool{}
 	for _, ld := range ow.core.Load(time.Now()).Workers {
 		leaving[ld.ID] = !ld.Usable
@@ -34,15 +34,15 @@
 func TestUnreadableRegistrationStopsNewTasks(t *testing.T) {
 	fl, ow := newRegistry(t)
 	row := func(id, value string) Row { return Row{Table: "registry", Key: id, Value: []byte(value)} }
-	fl.applyRegistrations([]Row{row("w0", "{}"), row("w1", foreignEntry), row("w2", "{}")}, time.Time{})
+	fl.applyRegistrations([]Row{row("w0", "{}"), row("w1", unreadableRegistration), row("w2", "{}")}, time.Time{})
 	if got := unusableWorkers(ow); len(got) != 2 || got["w0"] || got["w2"] {
 		t.Errorf("workers %v, want w0 and w2 in use", got)
 	}
-	fl.applyRegistrations([]Row{row("w0", foreignEntry)}, time.Time{})
+	fl.applyRegistrations([]Row{row("w0", unreadableRegistration)}, time.Time{})
 	if got := unusableWorkers(ow); !got["w0"] || got["w2"] {
 		t.Errorf("workers without new tasks %v, want w0 alone", got)
 	}
-	if got := fl.fig.registrationsRejected.Count(); got < 2 {
+	if got := fl.metrics.registrationsRejected.Count(); got < 2 {
 		t.Errorf("%d rejected registrations counted", got)
 	}
 	fl.applyRegistrations([]Row{row("w0", "{}")}, time.Time{})
@@ -74,7 +74,7 @@
 }
 
 // bornFormat reads when a worker's life began from its row.
-type startTimeFormat struct{ plainFormat }
+type startTimeFormat struct{ testFormat }
 
 func (startTimeFormat) Worker(rw Row) (cell.Worker, error) {
 	born, err := strconv.ParseInt(string(rw.Value), 10, 64)
--- a/fleet/writes.go
+++ b/fleet/writes.go
@@ -14,84 +14,84 @@
 
 // writes are those of a cell's owner that wait for the one under way. They all need the condition of the cell's row, so they go one after
 // the other; what waits goes together, so that no write waits for more than one besides its own, and the owner waits for none.
-type writes struct {
-	mu   sync.Mutex // guards what follows
-	next batch
+type writeQueue struct {
+	mu      sync.Mutex // guards what follows
+	pending writeBatch
 	// waiting tells that there is a batch.
-	waiting chan struct{}
+	ready chan struct{}
 }
 
 // batch is what one transaction writes.
-type batch struct {
+type writeBatch struct {
 	save *cell.Save
 	// enlist is the newest wish to name the workers in use. It names those of the ones before as well.
 	enlist *cell.Enlist
 	// since is when the first of them came.
-	since time.Time
+	queuedAt time.Time
 }
 
-func newWrites() *writes { return &writes{waiting: make(chan struct{}, 1)} }
+func newWriteQueue() *writeQueue { return &writeQueue{ready: make(chan struct{}, 1)} }
 
 // add puts a write into the next batch. The core orders a save only once the one before is kept.
-func (ws *writes) add(now time.Time, od cell.Order) {
-	ws.mu.Lock()
-	if ws.next.since.IsZero() {
-		ws.next.since = now
+func (wq *writeQueue) add(now time.Time, od cell.Order) {
+	wq.mu.Lock()
+	if wq.pending.queuedAt.IsZero() {
+		wq.pending.queuedAt = now
 	}
 	switch order := od.(type) {
 	case cell.Save:
-		ws.next.save = &order
+		wq.pending.save = &order
 	case cell.Enlist:
-		ws.next.enlist = &order
+		wq.pending.enlist = &order
 	}
-	ws.mu.Unlock()
+	wq.mu.Unlock()
 	select {
-	case ws.waiting <- struct{}{}:
+	case wq.ready <- struct{}{}:
 	default:
 	}
 }
 
 // take returns the next batch; it is empty if none waits.
-func (ws *writes) take() batch {
-	ws.mu.Lock()
-	defer ws.mu.Unlock()
-	next := ws.next
-	ws.next = batch{}
+func (wq *writeQueue) takeBatch() writeBatch {
+	wq.mu.Lock()
+	defer wq.mu.Unlock()
+	next := wq.pending
+	wq.pending = writeBatch{}
 	return next
 }
 
 // write carries out the owner's writes to the store until the context ends.
-func (ow *owner) write(ctx context.Context) {
+func (ow *owner) runWrites(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-ow.writes.waiting:
-			if bt := ow.writes.take(); !bt.since.IsZero() {
-				ow.waited(bt)
-				ow.keep(ctx, bt)
+		case <-ow.writeQueue.ready:
+			if wb := ow.writeQueue.takeBatch(); !wb.queuedAt.IsZero() {
+				ow.recordWriteWait(wb)
+				ow.commitBatch(ctx, wb)
 			}
 		}
 	}
 }
 
 // waited notes how long a batch waited for the one before.
-func (ow *owner) waited(bt batch) {
-	span := ow.fl.opts.Now().Sub(bt.since)
-	ow.fl.fig.writeWait.Update(span.Microseconds())
-	if span >= slowCommit {
-		ow.fl.opts.Log.Emit(event.WriteWaited, zap.String("cell", ow.name), zap.Bool("progress", bt.save != nil), zap.Bool("workers", bt.enlist != nil), zap.Duration("waited", span))
+func (ow *owner) recordWriteWait(wb writeBatch) {
+	span := ow.fl.opts.Now().Sub(wb.queuedAt)
+	ow.fl.metrics.writeWait.Update(span.Microseconds())
+	if span >= slowCommitThreshold {
+		ow.fl.opts.Log.Emit(event.WriteWaited, zap.String("cell", ow.name), zap.Bool("progress", wb.save != nil), zap.Bool("workers", wb.enlist != nil), zap.Duration("waited", span))
 	}
 }
 
 // keep writes a batch. It is tried until the store says how it ended, since a try without an answer may still be carried out.
-func (ow *owner) keep(ctx context.Context, bt batch) {
-	tx := Tx{Expect: []Expect{{ow.place(), ow.rowVersion.Load()}}}
-	if err := ow.addSave(&tx, bt.save); err != nil {
+func (ow *owner) commitBatch(ctx context.Context, wb writeBatch) {
+	tx := Tx{Expect: []Expect{{ow.rowPlace(), ow.rowVersion.Load()}}}
+	if err := ow.addProgress(&tx, wb.save); err != nil {
 		ow.fl.opts.Log.Emit(event.SaveFailed, zap.String("cell", ow.name), zap.Error(err))
 		return
 	}
-	if err := ow.addWorkers(&tx, bt.enlist); err != nil {
+	if err := ow.addWorkers(&tx, wb.enlist); err != nil {
 		ow.fl.opts.Log.Emit(event.SaveFailed, zap.String("cell", ow.name), zap.Error(err))
 		return
 	}
@@ -100,28 +100,28 @@
 		ow.post(func(cr *cell.Core, _ time.Time) { cr.EnlistFailed() })
 		return
 	}
-	if bt.enlist != nil {
+	if wb.enlist != nil {
 		ow.rowVersion.Store(version)
 	}
-	if bt.save != nil {
-		ow.fl.fig.saves.Inc(1)
+	if wb.save != nil {
+		ow.fl.metrics.saves.Inc(1)
 	}
-	ow.post(func(cr *cell.Core, now time.Time) { bt.done(cr, now, version) })
+	ow.post(func(cr *cell.Core, now time.Time) { wb.notifyCore(cr, now, version) })
 }
 
 // done tells the core that a batch is written.
-func (bt batch) done(cr *cell.Core, now time.Time, version int64) {
-	if bt.enlist != nil {
-		cr.Enlisted(bt.enlist.Workers)
+func (wb writeBatch) notifyCore(cr *cell.Core, now time.Time, version int64) {
+	if wb.enlist != nil {
+		cr.Enlisted(wb.enlist.Workers)
 		cr.EnlistFailed()
 	}
-	if bt.save != nil {
+	if wb.save != nil {
 		cr.Saved(now, version)
 	}
 }
 
 // addSave adds progress rows to a transaction.
-func (ow *owner) addSave(tx *Tx, sv *cell.Save) error {
+func (ow *owner) addProgress(tx *Tx, sv *cell.Save) error {
 	if sv == nil {
 		return nil
 	}
@@ -146,9 +146,9 @@
 	if err != nil {
 		return err
 	}
-	place := ow.place()
+	place := ow.rowPlace()
 	tx.Write = append(tx.Write, Row{Table: place.Table, Part: place.Part, Key: place.Key, Value: raw})
 	return nil
 }
 
-func (ow *owner) place() Place { return Place{tableControl, ow.name, ownerKey} }
+func (ow *owner) rowPlace() Place { return Place{tableControl, ow.name, ownerKey} }
--- a/fleet/writes_test.go
+++ b/fleet/writes_test.go
@@ -25,13 +25,13 @@
 		var asked int
 		stalls := 0
 		for at := range come {
-			refs = append(refs, usedBy(cell.WorkerID(fmt.Sprintf("w%d", at)))...)
+			refs = append(refs, workerRefs(cell.WorkerID(fmt.Sprintf("w%d", at)))...)
 			began := time.Now()
 			if at == saveAt {
 				asked = store.count()
-				ow.carryOut(ctx, cell.Save{Rows: []cell.SaveRow{{ID: "a1", Progress: &job.Progress{State: job.Completed}}}})
+				ow.execute(ctx, cell.Save{Rows: []cell.SaveRow{{ID: "a1", Progress: &job.Progress{State: job.Completed}}}})
 			}
-			ow.carryOut(ctx, cell.Enlist{Workers: refs})
+			ow.execute(ctx, cell.Enlist{Workers: refs})
 			if time.Since(began) > 0 {
 				stalls++
 			}
@@ -70,8 +70,8 @@
 		for at := range saves {
 			key := job.ID(fmt.Sprintf("a%d", at))
 			asked := time.Now()
-			ow.carryOut(ctx, cell.Save{Rows: []cell.SaveRow{{ID: key, Progress: &job.Progress{State: job.Completed}}}})
-			for len(ow.takeEvents()) == 0 {
+			ow.execute(ctx, cell.Save{Rows: []cell.SaveRow{{ID: key, Progress: &job.Progress{State: job.Completed}}}})
+			for len(ow.drainEvents()) == 0 {
 				time.Sleep(10 * time.Millisecond)
 			}
 			if time.Since(asked) > time.Second {
@@ -87,7 +87,7 @@
 }
 
 // takeEvents takes what the core would be told.
-func (ow *owner) takeEvents() []func(*cell.Core, time.Time) {
+func (ow *owner) drainEvents() []func(*cell.Core, time.Time) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	events := ow.events
@@ -99,14 +99,14 @@
 func startWriter(ctx context.Context, t *testing.T) (*owner, *serialStore) {
 	t.Helper()
 	store := newSerialStore(60)
-	fl := New(Options{Name: "one", Store: store, Machines: noMachines{}, Format: plainFormat{}})
+	fl := New(Options{Name: "one", Store: store, Machines: noMachines{}, Format: testFormat{}})
 	fl.background = ctx
 	version, err := store.mm.commit(Tx{Write: []Row{{Table: tableControl, Part: "pool", Key: ownerKey, Value: []byte("{}")}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ow := newOwner(fl, "pool", ownerRow{version: version}, func() {})
-	go ow.write(ctx)
+	go ow.runWrites(ctx)
 	return ow, store
 }
 
@@ -127,15 +127,15 @@
 // While jobs end faster than a round every three seconds takes out of the table of open ones, it goes on at once: a new owner read more than two
 // megabytes of ended jobs over a link of 250 KB/s, and lost the cell before it had done so.
 func TestEndedJobsAreTakenOutAtTheRateAtWhichTheyEnd(t *testing.T) {
-	if got := archivePause(archiveMost); got != archiveAgain {
+	if got := archiveDelay(archiveBatchSize); got != archiveBacklogInterval {
 		t.Errorf("%v after a full round", got)
 	}
-	for _, taken := range []int{0, 1, archiveMost - 1} {
-		if got := archivePause(taken); got != archiveEvery {
+	for _, taken := range []int{0, 1, archiveBatchSize - 1} {
+		if got := archiveDelay(taken); got != archiveInterval {
 			t.Errorf("%v after a round that took %d", got, taken)
 		}
 	}
-	if perSecond := float64(archiveMost) / archiveAgain.Seconds(); perSecond < 100 {
+	if perSecond := float64(archiveBatchSize) / archiveBacklogInterval.Seconds(); perSecond < 100 {
 		t.Errorf("%.0f jobs a second", perSecond)
 	}
 }
--- a/organisations.go
+++ b/organisations.go
@@ -78,7 +78,7 @@
 		}
 		line(tw, row...)
 	}
-	for _, address := range rp.Silent {
+	for _, address := range rp.Unreachable {
 		line(tw, "no answer from "+address)
 	}
 	return tw.Flush()
