--- a/fleet/drain.go
+++ b/fleet/drain.go
@@ -13,10 +13,10 @@
 	"go.uber.org/zap"
 )
 
-// shortWait is how long short tasks may keep a machine that is wanted.
+// shortTaskGrace is how long short tasks may delay the drain of a machine.
 const shortTaskGrace = 5 * time.Second
 
-// drainRow is the row of a machine that is wanted.
+// drainRow is the row of a machine that is being drained.
 type drainRow struct {
 	Machine cell.MachineID  `json:"machine"`
 	Worker  cell.WorkerName `json:"worker"`
@@ -26,7 +26,7 @@
 	seenAt  time.Time
 }
 
-// takeDrain takes the row of a machine that is wanted.
+// applyDrain applies the row of a machine that is being drained.
 func (mb *members) applyDrain(rw Row) {
 	id := cell.MachineID(strings.TrimPrefix(rw.Key, drainPrefix))
 	mb.mu.Lock()
@@ -47,7 +47,7 @@
 	mb.drains[id] = dr
 }
 
-// cordon tells the cells owned here which workers are to be emptied.
+// cordonWorkers tells the cells owned here which workers to drain.
 func (fl *Fleet) cordonWorkers() {
 	fl.members.mu.RLock()
 	drains := maps.Clone(fl.members.drains)
@@ -61,7 +61,7 @@
 	}
 }
 
-// clears are the wanted workers of a pool that have become empty. The caller holds the owner's lock.
+// drainedWorkers returns the cordoned workers of the pool that are empty. The caller holds the owner's lock.
 func (ow *owner) drainedWorkers(now time.Time) []cell.WorkerName {
 	mb := ow.fl.members
 	mb.mu.RLock()
@@ -76,8 +76,9 @@
 	return list
 }
 
-// noteClear takes from the loads which wanted workers are empty. Owners tell the holder of the duty each time it asks; in the store, where
-// nobody else needs it, it would take turns from the duty's lease. An owner that has been replaced knows nothing of its successor's tasks.
+// recordDrained records from the loads which cordoned workers are empty. Owners report them each time the controller's leader
+// asks. They are not stored: nobody else needs them, and the writes would compete with the renewals of the machine lease. A
+// report from an owner that has been replaced is ignored, since that owner does not know the tasks of its successor.
 func (ct *machineController) recordDrained(loads map[job.PoolID]cell.Load) {
 	drained := map[cell.WorkerName]bool{}
 	for pool, ld := range loads {
@@ -93,7 +94,8 @@
 	ct.drained = drained
 }
 
-// isClear reports whether nothing runs on a worker that has been wanted for some time. The caller holds the owner's lock.
+// isDrained reports whether a cordoned worker is empty, or has only short tasks left after shortTaskGrace. The caller holds the
+// owner's lock.
 func (ow *owner) isDrained(id cell.WorkerName, since time.Duration) bool {
 	return ow.core.Cordoned(id) && (ow.core.Clear(id) || since > shortTaskGrace && ow.core.OnlyShort(id))
 }
--- a/fleet/members.go
+++ b/fleet/members.go
@@ -15,25 +15,25 @@
 	"go.uber.org/zap"
 )
 
-// node is the row of an entry instance.
+// node is the row of an entry instance in the control table.
 type node struct {
 	Name        string `json:"name"`
 	Address     string `json:"address"`
 	Hall        string `json:"hall"`
 	Incarnation string `json:"incarnation"`
 	Beat        int64  `json:"beat"`
-	// Power is its share of a core, by which cells are spread.
+	// Power is the instance's share of a core. Cells are distributed in proportion to it.
 	Power   float64 `json:"power,omitempty"`
 	Leaving bool    `json:"leaving,omitempty"`
-	// Layout is the newest layout of rows that the instance reads.
+	// Layout is the newest row layout that the instance can read.
 	Layout int `json:"layout,omitempty"`
 }
 
-// layoutApart is the layout in which payloads lie apart from jobs. An instance that reads only older ones would start a job without its
-// payload, so rows are written in it only while all that live read it.
+// layoutSeparatePayloads is the layout in which payloads are stored separately from jobs. An instance that reads only older
+// layouts would start a job without its payload, so the layout is used only while all live instances can read it.
 const layoutSeparatePayloads = 1
 
-// agreeLayout notes whether all instances that live read payloads apart from jobs.
+// updateLayout records whether all live instances can read payloads that are stored separately.
 func (fl *Fleet) updateLayout(nodes map[string]node) {
 	for _, nd := range nodes {
 		if nd.Layout < layoutSeparatePayloads {
@@ -44,27 +44,27 @@
 	fl.separatePayloads.Store(len(nodes) > 0)
 }
 
-// ownerRow is the row of a cell; its version is the epoch when its epoch field is 0.
+// ownerRow is the row of a cell's owner. If its Epoch is 0, the row version is the epoch.
 type ownerRow struct {
 	Holder      string     `json:"holder,omitempty"`
 	Incarnation string     `json:"incarnation,omitempty"`
 	Epoch       job.Epoch  `json:"epoch,omitempty"`
 	Workers     []cell.Ref `json:"workers,omitempty"`
-	// Exposed is the owner before which tasks may have been lost with workers that no owner saw again.
+	// Exposed is the epoch of the owner before which tasks may have been lost with workers that no later owner has seen.
 	Exposed job.Epoch `json:"exposed,omitempty"`
-	// Ordered are the machines for which the holder of their duty has given orders of late, or is about to, with for how long from when
-	// the row was written another holder must leave them alone.
+	// Ordered lists the machines with recent or planned orders of the machine controller, and for how long, from the time the row
+	// was written, the next leader must not send orders for them.
 	Ordered map[cell.MachineID]time.Duration `json:"ordered,omitempty"`
-	// Term is for how long after a renewal was sent the holder of the machines' duty may have orders under way.
+	// Term is how long after a renewal was sent the controller's leader may have orders in flight.
 	Term time.Duration `json:"term,omitempty"`
-	// Released means that the last owner gave the cell up and has given no lease since.
+	// Released means that the last owner released the cell and has granted no lease since.
 	Released bool `json:"released,omitempty"`
-	// version is that of the row, seen when it was first seen here.
+	// version is the version of the row, seenAt when this version was first read here.
 	version int64
 	seenAt  time.Time
 }
 
-// epoch is that of the owner.
+// epoch returns the owner's epoch.
 func (or ownerRow) epoch() job.Epoch {
 	if or.Epoch != 0 {
 		return or.Epoch
@@ -72,20 +72,20 @@
 	return job.Epoch(or.version)
 }
 
-// members is what the control table says of entry instances and cells.
+// members holds the entry instances, cell owners and machine drains of the control table.
 type members struct {
 	now   func() time.Time
 	log   *event.Logger
 	mu    sync.RWMutex // guards the fields below
 	nodes map[string]node
-	// versions are those of the rows of instances.
+	// versions holds the versions of the instances' rows.
 	versions   map[string]int64
 	nodeSeenAt map[string]time.Time
 	owners     map[string]ownerRow
-	// ownedAt is when a cell's row was last seen to change.
+	// ownerChangedAt is when a cell's row was last seen to change.
 	ownerChangedAt map[string]time.Time
 	drains         map[cell.MachineID]drainRow
-	// vacant is since when a cell has had no owner that lives.
+	// vacantSince is since when a cell has had no live owner.
 	vacantSince map[string]time.Time
 }
 
@@ -93,7 +93,8 @@
 	return &members{now: now, log: log, nodes: map[string]node{}, versions: map[string]int64{}, nodeSeenAt: map[string]time.Time{}, owners: map[string]ownerRow{}, ownerChangedAt: map[string]time.Time{}, drains: map[cell.MachineID]drainRow{}, vacantSince: map[string]time.Time{}}
 }
 
-// controlChanged takes changes of the control table. An answer of the store's, with rows or without, confirms what is owned.
+// applyControlRows applies changes of the control table. Every answer of the store confirms the ownership of the cells owned
+// here, even one without rows.
 func (fl *Fleet) applyControlRows(rows []Row, sentAt time.Time) {
 	drained := false
 	for _, rw := range rows {
@@ -119,7 +120,7 @@
 	}
 }
 
-// takeNode takes the row of an entry instance. One of another version may have left an older row in another part.
+// applyNode applies the row of an entry instance. Another version of the instance may have left an older row in another part.
 func (mb *members) applyNode(rw Row) {
 	name := strings.TrimPrefix(rw.Key, nodePrefix)
 	mb.mu.Lock()
@@ -141,7 +142,7 @@
 	mb.nodes[name], mb.nodeSeenAt[name] = nd, mb.now()
 }
 
-// takeOwner takes a cell's row, and ends the work of an owner that has been replaced.
+// applyOwner applies the row of a cell, and stops an owner that has been replaced.
 func (fl *Fleet) applyOwner(rw Row) {
 	var or ownerRow
 	if !rw.Deleted && json.Unmarshal(rw.Value, &or) != nil {
@@ -161,21 +162,21 @@
 	}
 }
 
-// owner returns a cell's row.
+// owner returns the row of a cell.
 func (mb *members) owner(name string) ownerRow {
 	mb.mu.RLock()
 	defer mb.mu.RUnlock()
 	return mb.owners[name]
 }
 
-// changed is when a cell's row was last seen to change.
+// ownerChanged returns when a cell's row was last seen to change.
 func (mb *members) ownerChanged(name string) time.Time {
 	mb.mu.RLock()
 	defer mb.mu.RUnlock()
 	return mb.ownerChangedAt[name]
 }
 
-// node returns an entry instance's row.
+// node returns the row of an entry instance.
 func (mb *members) node(name string) (node, bool) {
 	mb.mu.RLock()
 	defer mb.mu.RUnlock()
@@ -183,14 +184,14 @@
 	return nd, ok
 }
 
-// count is the number of entry instances that have a row.
+// count returns the number of entry instances that have a row.
 func (mb *members) count() int {
 	mb.mu.RLock()
 	defer mb.mu.RUnlock()
 	return len(mb.nodes)
 }
 
-// others lists the other entry instances that were heard of last.
+// others lists all entry instances that have a row, except the named one.
 func (mb *members) others(name string) []node {
 	mb.mu.RLock()
 	defer mb.mu.RUnlock()
@@ -204,7 +205,7 @@
 	return list
 }
 
-// owning lists the other entry instances that own cells, or all others.
+// cellOwners lists the other entry instances that own cells; all other instances if all is set.
 func (mb *members) cellOwners(name string, all bool) []node {
 	list := mb.others(name)
 	if all {
@@ -219,7 +220,7 @@
 	return slices.DeleteFunc(list, func(nd node) bool { return !holders[nd.Name] })
 }
 
-// alive lists the entry instances whose rows move, as far as the store has been answering.
+// liveNodes returns the entry instances whose rows keep changing, judged over the period in which the store has been answering.
 func (fl *Fleet) liveNodes() map[string]node {
 	since, until := fl.control.healthyPeriod()
 	maxSpan := fl.deadTimeout()
@@ -235,7 +236,7 @@
 		span := idleDeadTimeout(len(mb.nodes))
 		lastSeen := later(mb.nodeSeenAt[name], since)
 		if tookCellAt, owns := cellTakenAt[name]; owns {
-			// It beats faster from when it took the cell.
+			// The instance sends heartbeats more often since it took the cell.
 			span, lastSeen = maxSpan, later(lastSeen, tookCellAt)
 		}
 		if until.Sub(lastSeen) < span {
@@ -245,15 +246,15 @@
 	return live
 }
 
-// idleBeat is how often an instance that owns nothing renews its row among so many.
+// idleHeartbeatDelay is the heartbeat interval of an instance that owns nothing, in a fleet of the given size.
 func idleHeartbeatDelay(nodes int) time.Duration {
 	return max(idleHeartbeatInterval, idleHeartbeatInterval*time.Duration(nodes)/heartbeatScaleNodes)
 }
 
-// deadIdle is how long the row of an instance that owns nothing may stand still among so many.
+// idleDeadTimeout is how long the row of an instance that owns nothing may stay unchanged, in a fleet of the given size.
 func idleDeadTimeout(nodes int) time.Duration { return 3*idleHeartbeatDelay(nodes) + minDeadTimeout }
 
-// deadSpan is how long the row of an entry instance may stand still before it counts as dead.
+// deadTimeout is how long the row of an entry instance may stay unchanged before the instance counts as dead.
 func (fl *Fleet) deadTimeout() time.Duration {
 	return min(maxDeadTimeout, minDeadTimeout+deadCommitFactor*fl.store.commitLatency())
 }
@@ -265,7 +266,7 @@
 	return other
 }
 
-// beat renews this instance's row until the context ends.
+// heartbeat renews this instance's row until the context ends.
 func (fl *Fleet) heartbeat(ctx context.Context) {
 	at := nodePlace(fl.opts.Name)
 	nd := node{Name: fl.opts.Name, Address: fl.opts.Address, Hall: fl.opts.Hall, Incarnation: fl.opts.Incarnation, Power: fl.opts.Power, Layout: layoutSeparatePayloads}
@@ -278,7 +279,7 @@
 			_, err = fl.store.Commit(callCtx, Tx{Write: []Row{{Table: at.Table, Part: at.Part, Key: at.Key, Value: raw}}})
 			cancel()
 		}
-		// The watch of the control table logs that the store is lost.
+		// The watch of the control table logs that the store is unreachable.
 		pause := fl.heartbeatDelay()
 		if err != nil {
 			pause = heartbeatRetryDelay
@@ -287,7 +288,7 @@
 	}
 }
 
-// beatPause is how long this instance's row may stand still.
+// heartbeatDelay is how long this instance's row may stay unchanged.
 func (fl *Fleet) heartbeatDelay() time.Duration {
 	if fl.ownsNoCells() && !fl.controller.isLeader() && !fl.stopping.Load() {
 		return idleHeartbeatDelay(fl.members.count())
@@ -295,7 +296,8 @@
 	return heartbeatInterval
 }
 
-// restUntilOwner waits, not longer than an owner may, once this instance has become one.
+// sleepUntilHeartbeat waits for the given time. If this instance becomes an owner meanwhile, it waits no longer than an owner
+// may.
 func (fl *Fleet) sleepUntilHeartbeat(ctx context.Context, pause time.Duration) {
 	for slept := time.Duration(0); slept < pause && ctx.Err() == nil; slept += heartbeatInterval {
 		if slept >= fl.heartbeatDelay() {
@@ -305,7 +307,7 @@
 	}
 }
 
-// burden is how much so many cells are for an instance.
+// load returns the load of an instance with that many cells, relative to its share of a core.
 func (nd node) load(cells int) float64 {
 	if nd.Power <= 0 {
 		return float64(cells)
@@ -313,7 +315,7 @@
 	return float64(cells) / nd.Power
 }
 
-// held counts the cells of each instance.
+// cellCounts counts the cells of each instance.
 func (mb *members) cellCounts() map[string]int {
 	mb.mu.RLock()
 	defer mb.mu.RUnlock()
--- a/fleet/partition.go
+++ b/fleet/partition.go
@@ -11,30 +11,31 @@
 	"go.uber.org/zap"
 )
 
-// Times of telling whether this instance's hall is cut off.
+// Intervals and thresholds of detecting that this instance's data hall is cut off.
 const (
-	// reachEvery is how often it is looked at.
+	// partitionCheckInterval is how often the detector checks.
 	partitionCheckInterval = 100 * time.Millisecond
-	// reachSilent is how long nothing must have come from the store before other halls are asked. With some instances in the fleet an
-	// answer of the control table's feed comes several times a second.
+	// partitionSilence is how long the store must have been silent before other data halls are probed. In a fleet with several
+	// instances, the feed of the control table answers several times a second.
 	partitionSilence = 300 * time.Millisecond
-	// reachTimeout bounds one question, whose answer takes some 5 ms.
+	// partitionProbeTimeout bounds a probe; an answer takes about 5 ms.
 	partitionProbeTimeout = 250 * time.Millisecond
-	// reachAsked is how many instances of other halls are asked at once. Those that own nothing count as living for some seconds after they
-	// are gone: where half of them are, all that are asked are gone at one of 32 times.
+	// partitionProbes is the number of instances in other data halls that are probed at once. Instances that own nothing count as
+	// live for some seconds after they have died: if half of them are dead, all the probed ones are dead in one of 32 checks.
 	partitionProbes = 5
 )
 
-// reach tells whether this instance is cut off: neither the store nor any instance of another hall answers. While it is, callers are
-// served better elsewhere. A store that is down for all is something else: then the other halls answer, and nobody is better off there.
+// partitionDetector detects whether this instance is cut off: neither the store nor any instance in another data hall answers.
+// While it is cut off, callers are better served elsewhere. An outage of the store is different: the other halls still answer,
+// and callers are no better off there.
 type partitionDetector struct {
 	fl *Fleet
-	// off is set while this instance is cut off.
+	// cutOff is set while this instance is cut off.
 	cutOff   atomic.Bool
 	rotation int
 }
 
-// run looks at it until the context ends.
+// run checks until the context ends.
 func (pd *partitionDetector) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, partitionCheckInterval)
@@ -50,7 +51,7 @@
 	}
 }
 
-// set notes whether this instance is cut off.
+// setCutOff records whether this instance is cut off, and logs a change.
 func (pd *partitionDetector) setCutOff(cutOff bool, silent time.Duration) {
 	if pd.cutOff.Swap(cutOff) == cutOff {
 		return
@@ -62,8 +63,8 @@
 	pd.fl.opts.Log.Emit(kind, zap.Duration("storeSilent", silent))
 }
 
-// elsewhere are some instances of other halls that lived when the store was heard of last, others each time. Rows of instances that are
-// gone for good stay, and their silence tells nothing.
+// probeTargets returns some instances of other data halls that were live when the store last answered, in rotation. The rows of
+// dead instances remain in the table, so their silence proves nothing.
 func (pd *partitionDetector) probeTargets() []node {
 	live := pd.fl.liveNodes()
 	var list []node
@@ -83,7 +84,7 @@
 	return picked
 }
 
-// anyAnswers reports whether one of some instances answers.
+// anyAnswers reports whether at least one of the instances answers.
 func (pd *partitionDetector) anyAnswers(ctx context.Context, nodes []node) bool {
 	ctx, cancel := context.WithTimeout(ctx, partitionProbeTimeout)
 	defer cancel()
@@ -91,7 +92,7 @@
 	var answered atomic.Bool
 	for _, nd := range nodes {
 		wg.Go(func() {
-			// The smallest question that there is: nobody owns a cell without a name.
+			// The cheapest request there is: nobody owns a cell without a name.
 			if _, err := pd.fl.peers.clientFor(nd.Address).JobState(ctx, &peer.JobStateRequest{}); err == nil {
 				answered.Store(true)
 				cancel()
--- a/fleet/peers.go
+++ b/fleet/peers.go
@@ -15,23 +15,23 @@
 	"go.uber.org/zap"
 )
 
-// Times of calls to peers.
+// Timeouts and limits of calls to peers.
 const (
 	peerDialTimeout = 300 * time.Millisecond
 	peerTimeout     = 500 * time.Millisecond
-	// peerIdle is how long an unused connection to a peer is kept.
+	// peerIdleTimeout is how long an unused connection to a peer is kept.
 	peerIdleTimeout = 20 * time.Second
-	// peerConnections is how many unused connections to a peer are kept.
+	// peerIdleConnections is the number of unused connections kept per peer.
 	peerIdleConnections = 4
-	// maxCellBytes bounds what a peer may send.
+	// maxPeerRequestBytes bounds the size of a request from a peer.
 	maxPeerRequestBytes = 4 << 20
-	// carryTries is how many peers are asked to carry a call.
+	// carryAttempts is the number of peers that are asked to carry out a store call.
 	carryAttempts = 2
-	// carryBad is how long a peer that could not carry a call is passed over.
+	// carryBackoff is how long a peer that could not carry out a store call is not used.
 	carryBackoff = time.Second
 )
 
-// peers speaks to the other entry instances.
+// peers makes calls to the other entry instances.
 type peers struct {
 	fl           *Fleet
 	client       *http.Client
@@ -64,7 +64,7 @@
 	return cl
 }
 
-// owner returns the peer that owns a cell, as far as is known here.
+// ownerClient returns the client of the peer that owns a cell, according to the rows known here.
 func (pr *peers) ownerClient(name string) (peer.Cells, bool) {
 	or := pr.fl.members.owner(name)
 	nd, ok := pr.fl.members.node(or.Holder)
@@ -74,7 +74,7 @@
 	return pr.clientFor(nd.Address), true
 }
 
-// offer tells a cell's owner of accepted jobs.
+// offer sends accepted jobs to the owner of their cell.
 func (pr *peers) offer(name string, specs [][]byte) {
 	cl, ok := pr.ownerClient(name)
 	if !ok {
@@ -129,7 +129,7 @@
 	return int(rp.Pending), rp.Owner
 }
 
-// tellReleased tells all peers that a cell has no owner.
+// notifyReleased notifies all peers that a cell has no owner.
 func (pr *peers) notifyReleased(rw Row) {
 	for _, nd := range pr.fl.members.others(pr.fl.opts.Name) {
 		go func() {
@@ -142,7 +142,7 @@
 	}
 }
 
-// carriers returns the addresses of peers to try, another first each time.
+// carriers returns the addresses of the peers to try, starting with a different one each time.
 func (pr *peers) carriers() []string {
 	var addresses []string
 	for _, nd := range pr.fl.members.others(pr.fl.opts.Name) {
@@ -168,13 +168,13 @@
 	return list
 }
 
-// carry has a peer hand a call to the store; ErrRefused if none could have done it.
+// carry makes a store call through a peer. It returns ErrRefused if no peer can have made the call.
 func (pr *peers) carry(ctx context.Context, raw []byte) (storeResult, error) {
 	for _, address := range pr.carriers() {
 		rp, err := pr.clientFor(address).Carry(ctx, &peer.CarryRequest{Call: raw})
 		if err != nil {
 			pr.backOff(address)
-			// The peer may have handed it on before it fell silent.
+			// The peer may have made the call before it failed.
 			return storeResult{}, ErrNoAnswer
 		}
 		var sr storeResult
@@ -191,14 +191,14 @@
 	return storeResult{}, ErrRefused
 }
 
-// isBad reports whether a peer is left out at this time.
+// backingOff reports whether a peer is not used at present.
 func (pr *peers) backingOff(address string) bool {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
 	return pr.fl.opts.Now().Before(pr.backoffUntil[address])
 }
 
-// passOver leaves a peer out for a while.
+// backOff stops using a peer for a while.
 func (pr *peers) backOff(address string) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
@@ -206,10 +206,10 @@
 	pr.rotation++
 }
 
-// cellsServer answers other entry instances.
+// cellsServer serves the calls of other entry instances.
 type cellsServer struct{ fl *Fleet }
 
-// Handler answers other entry instances.
+// Handler returns the HTTP handler for calls of other entry instances.
 func (fl *Fleet) Handler() http.Handler {
 	twirp := peer.NewCellsServer(cellsServer{fl})
 	return http.HandlerFunc(func(wr http.ResponseWriter, rq *http.Request) {
@@ -218,7 +218,7 @@
 	})
 }
 
-// Offer takes jobs for a cell owned here.
+// Offer accepts jobs for a cell that is owned here.
 func (sv cellsServer) Offer(_ context.Context, rq *peer.OfferRequest) (*peer.OfferResponse, error) {
 	ow := sv.fl.ownerOf(rq.Cell)
 	if ow == nil {
@@ -230,7 +230,7 @@
 	return &peer.OfferResponse{Owner: true}, nil
 }
 
-// JobState tells the state of a job of a cell owned here.
+// JobState returns the state of a job of a cell that is owned here.
 func (sv cellsServer) JobState(_ context.Context, rq *peer.JobStateRequest) (*peer.JobStateResponse, error) {
 	ow := sv.fl.ownerOf(rq.Cell)
 	if ow == nil {
@@ -240,7 +240,7 @@
 	return &peer.JobStateResponse{Owner: true, Known: known, State: string(js.state), Organisation: string(js.organisation)}, nil
 }
 
-// CancelJob stops a job of a cell owned here, whose cancellation is kept.
+// CancelJob stops a job of a cell that is owned here, after the cancellation has been stored.
 func (sv cellsServer) CancelJob(_ context.Context, rq *peer.CancelJobRequest) (*peer.CancelJobResponse, error) {
 	ow := sv.fl.ownerOf(rq.Cell)
 	if ow == nil {
@@ -250,7 +250,7 @@
 	return &peer.CancelJobResponse{Owner: true, Known: true}, nil
 }
 
-// Pending counts the waiting jobs of a cell owned here.
+// Pending counts the waiting jobs of a queue of a cell that is owned here.
 func (sv cellsServer) Pending(_ context.Context, rq *peer.PendingRequest) (*peer.PendingResponse, error) {
 	ow := sv.fl.ownerOf(rq.Cell)
 	if ow == nil {
@@ -260,13 +260,13 @@
 	return &peer.PendingResponse{Owner: ok, Pending: int64(count)}, nil
 }
 
-// Released takes the row of a cell that has no owner any more.
+// Released applies the row of a cell that has no owner any more.
 func (sv cellsServer) Released(_ context.Context, rq *peer.ReleasedRequest) (*peer.ReleasedResponse, error) {
 	sv.fl.applyOwner(Row{Table: tableControl, Part: rq.Cell, Key: ownerKey, Value: rq.Row, Version: rq.Version})
 	return &peer.ReleasedResponse{}, nil
 }
 
-// Carry hands a call to the store.
+// Carry makes a store call for a peer.
 func (sv cellsServer) Carry(ctx context.Context, rq *peer.CarryRequest) (*peer.CarryResponse, error) {
 	var call storeCall
 	if err := json.Unmarshal(rq.Call, &call); err != nil {
--- a/fleet/poolsizes.go
+++ b/fleet/poolsizes.go
@@ -15,18 +15,20 @@
 	"go.uber.org/zap"
 )
 
-// Times of sizing pools.
+// Intervals and timeouts of pool sizing.
 const (
-	// sizeEvery is how often the holder of the machines' duty looks at the loads.
+	// sizeInterval is how often the controller's leader evaluates the loads.
 	sizeInterval = 250 * time.Millisecond
-	// sizeList is how old the list of machines may be for it.
+	// machineListMaxAge is the maximum age of the machine list used for sizing.
 	machineListMaxAge = 600 * time.Millisecond
-	// grabTimeout bounds asking for idle workers; a machine that was given up must be moved soon, before its cell may change hands.
+	// reserveTimeout bounds a request for idle workers. A machine that was given up must be moved soon, before its cell may
+	// change owners.
 	reserveTimeout = 300 * time.Millisecond
 )
 
-// loads asks every owner for its cells' loads; cells whose owners do not answer are missing. The other instances are called only to be told of
-// queues that are full: all of them at each round were 1,200 calls a second at 300 instances.
+// loads collects the loads of all cells from their owners; cells whose owners do not answer are missing. Instances that own no
+// cell are called only to notify them of full queues: calling all of them in each round made 1,200 calls a second at 300
+// instances.
 func (fl *Fleet) loads(ctx context.Context, limits map[job.PoolID]int, firm bool, full []*peer.FullQueue, notifyAll bool) map[job.PoolID]cell.Load {
 	fl.fullQueues.update(fl.opts.Now(), full)
 	found := map[job.PoolID]cell.Load{}
@@ -66,7 +68,8 @@
 	return found
 }
 
-// load is the cell's, once it has begun to plan. Its pool may be told that it has more machines than are its own.
+// load returns the load of the cell once the owner has begun to plan. limits may tell the cell to plan with fewer machines than
+// its pool has.
 func (ow *owner) load(limits map[job.PoolID]int, firm bool) (cell.Load, bool) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -82,7 +85,7 @@
 	return ld, true
 }
 
-// Loads tells the loads of the cells owned here.
+// Loads returns the loads of the cells that are owned here.
 func (sv cellsServer) Loads(_ context.Context, rq *peer.LoadsRequest) (*peer.LoadsResponse, error) {
 	sv.fl.fullQueues.update(sv.fl.opts.Now(), rq.Full)
 	rp := &peer.LoadsResponse{}
@@ -102,7 +105,7 @@
 	return rp, nil
 }
 
-// Grab keeps idle workers of a cell owned here free.
+// Grab reserves idle workers of a cell that is owned here.
 func (sv cellsServer) Grab(_ context.Context, rq *peer.GrabRequest) (*peer.GrabResponse, error) {
 	ids := make([]cell.WorkerName, len(rq.Workers))
 	for at, id := range rq.Workers {
@@ -128,7 +131,7 @@
 	return ow.core.Grab(fl.opts.Now(), ids)
 }
 
-// grab asks a cell's owner, here or at a peer, to keep idle workers free.
+// reserve asks the owner of a cell, here or at a peer, to keep idle workers free.
 func (fl *Fleet) reserve(ctx context.Context, name string, ids []cell.WorkerName) []cell.WorkerName {
 	if fl.ownerOf(name) != nil {
 		return fl.reserveLocal(name, ids)
@@ -155,7 +158,7 @@
 	return granted
 }
 
-// size moves machines between pools as their loads want it.
+// sizePools moves machines between pools according to their loads.
 func (ct *machineController) sizePools(ctx context.Context) {
 	listed := time.Time{}
 	var full []*peer.FullQueue
@@ -175,7 +178,7 @@
 		limits, firm := ct.sizer.Limits(), ct.sizer.Firm()
 		ct.mu.Unlock()
 		loads := ct.fl.loads(ctx, limits, firm, full, notified || len(full) > 0)
-		// Once more when none is full any more.
+		// Send one more update after the last queue is no longer full.
 		notified = len(full) > 0
 		full = collectFullQueues(loads)
 		ct.recordDrained(loads)
@@ -190,7 +193,7 @@
 	}
 }
 
-// shift asks for the workers and moves the machines that it gets.
+// moveMachines reserves the workers of the planned moves, and moves the machines whose workers were granted.
 func (ct *machineController) moveMachines(ctx context.Context, machines map[cell.MachineID]machine.Machine, shifts []machine.Shift) {
 	wanted := map[job.PoolID][]cell.WorkerName{}
 	for _, sh := range shifts {
--- a/fleet/storeclient.go
+++ b/fleet/storeclient.go
@@ -11,17 +11,18 @@
 	"go.uber.org/zap"
 )
 
-// Times of reaching the store.
+// Intervals and thresholds of reaching the store.
 const (
-	// directAgain is how often the direct way is tried while calls go through a peer, and directTimeout bounds the try. It is a read of its
-	// own: a feed that tried the direct way was silent for 2.4 s of each 4 s of a cut, and with it the registrations of new workers.
+	// directProbeInterval is how often the direct path to the store is probed while calls go through a peer; directProbeTimeout
+	// bounds the probe. The probe is a separate read: when a feed call probed the direct path, the feed was silent for 2.4 s of
+	// every 4 s of a network partition, and registrations of new workers were missed for as long.
 	directProbeInterval = time.Second
 	directProbeTimeout  = 400 * time.Millisecond
-	// quietAfter is how many calls in a row must fail before the store counts as not to be reached.
+	// unreachableAfter is the number of consecutive failed calls after which the store counts as unreachable.
 	unreachableAfter = 3
 )
 
-// callKind names a store call that a peer carries.
+// callKind is the kind of a store call that a peer carries out.
 type callKind string
 
 const (
@@ -31,7 +32,7 @@
 	callParts  callKind = "parts"
 )
 
-// carried is a store call on its way through a peer.
+// storeCall is a store call in the form in which it is sent to a peer.
 type storeCall struct {
 	Kind  callKind      `json:"kind"`
 	Tx    *Tx           `json:"tx,omitempty"`
@@ -41,7 +42,7 @@
 	Wait  time.Duration `json:"wait,omitempty"`
 }
 
-// answer is what became of a store call.
+// storeResult is the result of a store call.
 type storeResult struct {
 	Version  int64     `json:"version,omitempty"`
 	Page     *Page     `json:"page,omitempty"`
@@ -49,7 +50,8 @@
 	Conflict *Conflict `json:"conflict,omitempty"`
 }
 
-// link reaches the store directly, or through a peer while the store turns this entry instance away.
+// storeClient calls the store directly, or through a peer while the store is unreachable or refuses calls from this entry
+// instance.
 type storeClient struct {
 	store   Store
 	peers   *peers
@@ -57,57 +59,58 @@
 	now     func() time.Time
 	metrics fleetMetrics
 	mu      sync.Mutex // guards the fields below
-	// detour is set while calls go through a peer first.
+	// viaPeers is set while calls are first tried through a peer.
 	viaPeers bool
 	failures int
-	// answered is when the store was heard of last, in either way.
+	// lastAnswerAt is when the store last answered, directly or through a peer.
 	lastAnswerAt time.Time
-	// answer is the smoothed time that a transaction takes which is answered, vain how many in a row were not.
+	// latency is the smoothed duration of answered transactions; timeouts counts the consecutive transactions without an answer.
 	latency  time.Duration
 	timeouts int
 }
 
-// How long a transaction may take before it is tried again.
+// Bounds of the time after which an unanswered transaction is retried.
 const (
 	commitTimeoutMin    = 500 * time.Millisecond
 	commitTimeoutMax    = 1600 * time.Millisecond
 	commitTimeoutFactor = 4
-	// answerShare is the weight of the newest transaction in the smoothed time.
+	// latencyWeight is the weight of the newest transaction in the smoothed latency.
 	latencyWeight = 0.2
-	// vainMost bounds how often the wait doubles.
+	// maxTimeoutDoublings bounds how often the timeout doubles.
 	maxTimeoutDoublings = 2
 )
 
-// patience is how long to wait for a transaction: some times what one takes that is answered, and twice as long for each in a row that was
-// waited for in vain, since the store may have become slower. Where answers are lost now and then others come between, so that a lost one is
-// missed soon.
+// commitTimeout returns how long to wait for a transaction: a multiple of the smoothed latency. It doubles with each consecutive
+// timeout, since the store may have become slower. If only some answers are lost, answered transactions in between reset it, so
+// that a lost answer is noticed early.
 func (sc *storeClient) commitTimeout() time.Duration {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	return min(commitTimeoutMax, sc.baseTimeout()<<min(sc.timeouts, maxTimeoutDoublings))
 }
 
-// haste is how long to wait for a transaction without which a lease ends: not longer because others were waited for in vain.
+// leaseCommitTimeout returns how long to wait for a transaction that renews a lease. It does not grow with timeouts, since the
+// lease would end meanwhile.
 func (sc *storeClient) leaseCommitTimeout() time.Duration {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	return min(commitTimeoutMax, sc.baseTimeout())
 }
 
-// expected is how long most transactions that are answered take at the most. The caller holds the lock.
+// baseTimeout is the time within which most answered transactions complete. The caller holds the lock.
 func (sc *storeClient) baseTimeout() time.Duration {
 	return max(commitTimeoutMin, commitTimeoutFactor*sc.latency)
 }
 
-// usual is the smoothed time that a transaction takes which is answered. An outage does not count: after it the dead are told as soon as
-// before.
+// commitLatency returns the smoothed duration of answered transactions. Unanswered ones do not count, so that an outage does not
+// delay the detection of dead instances afterwards.
 func (sc *storeClient) commitLatency() time.Duration {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	return sc.latency
 }
 
-// took notes how long a transaction took, or was waited for in vain.
+// recordCommit records the duration of a transaction, or that it was not answered.
 func (sc *storeClient) recordCommit(span time.Duration, answered bool) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
@@ -123,14 +126,14 @@
 	return &storeClient{store: store, peers: pr, log: lg, now: now, metrics: metrics}
 }
 
-// Reachable reports whether the store has answered recently, in one way or the other.
+// Reachable reports whether the store has answered recently, directly or through a peer.
 func (sc *storeClient) Reachable() bool {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	return sc.failures < unreachableAfter
 }
 
-// Commit carries out a transaction.
+// Commit runs a transaction.
 func (sc *storeClient) Commit(ctx context.Context, tx Tx) (int64, error) {
 	sentAt := sc.now()
 	sr, err := sc.call(ctx, storeCall{Kind: callCommit, Tx: &tx})
@@ -142,13 +145,13 @@
 	return sr.Version, err
 }
 
-// Read returns rows.
+// Read returns the rows that a query selects.
 func (sc *storeClient) Read(ctx context.Context, qu Query) (Page, error) {
 	sr, err := sc.call(ctx, storeCall{Kind: callRead, Query: &qu})
 	return sr.page(), err
 }
 
-// Feed returns changes.
+// Feed returns the changes of a table after a version.
 func (sc *storeClient) Feed(ctx context.Context, table string, after int64, wait time.Duration) (Page, error) {
 	sr, err := sc.call(ctx, storeCall{Kind: callFeed, Table: table, After: after, Wait: wait})
 	return sr.page(), err
@@ -167,25 +170,26 @@
 	return *sr.Page
 }
 
-// call tries the direct way, and a peer's if the store did nothing or has been silent of late.
-func (sc *storeClient) call(ctx context.Context, cd storeCall) (storeResult, error) {
+// call makes a store call directly, and through a peer if the store refused it. While the direct path fails, the peer is tried
+// first.
+func (sc *storeClient) call(ctx context.Context, request storeCall) (storeResult, error) {
 	if sc.proxying() {
-		sr, err := sc.callPeer(ctx, cd)
+		sr, err := sc.callPeer(ctx, request)
 		if err == nil || !errors.Is(err, ErrRefused) {
 			sc.recordResult(err)
 			return sr, err
 		}
 	}
-	sr, err := perform(ctx, sc.store, cd)
+	sr, err := perform(ctx, sc.store, request)
 	if errors.Is(ctx.Err(), context.Canceled) {
-		// The caller gave up; that says nothing of the store.
+		// The caller cancelled the call, which says nothing about the store.
 		return sr, err
 	}
 	if unavailable(err) {
 		sc.startProxying(err)
 	}
 	if errors.Is(err, ErrRefused) && ctx.Err() == nil {
-		if peerResult, peerErr := sc.callPeer(ctx, cd); !errors.Is(peerErr, ErrRefused) {
+		if peerResult, peerErr := sc.callPeer(ctx, request); !errors.Is(peerErr, ErrRefused) {
 			sr, err = peerResult, peerErr
 		}
 	}
@@ -193,7 +197,7 @@
 	return sr, err
 }
 
-// unreached reports whether the store itself did not do a call.
+// unavailable reports whether a call failed because the store was not reached or did not answer.
 func unavailable(err error) bool { return errors.Is(err, ErrRefused) || errors.Is(err, ErrNoAnswer) }
 
 func (sc *storeClient) proxying() bool {
@@ -213,7 +217,7 @@
 	go sc.probeDirect(sc.peers.fl.background)
 }
 
-// tryDirect ends the detour once the store answers directly.
+// probeDirect probes the direct path, and ends the use of peers once the store answers.
 func (sc *storeClient) probeDirect(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, directProbeInterval)
@@ -229,7 +233,7 @@
 	}
 }
 
-// note counts calls that failed in both ways.
+// recordResult counts calls that failed both directly and through peers.
 func (sc *storeClient) recordResult(err error) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
@@ -241,14 +245,14 @@
 	sc.failures, sc.lastAnswerAt = 0, sc.now()
 }
 
-// heard is when the store was heard of last.
+// lastAnswer returns when the store last answered.
 func (sc *storeClient) lastAnswer() time.Time {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	return sc.lastAnswerAt
 }
 
-// viaPeer has a peer carry the call; ErrRefused if no peer could.
+// callPeer makes the call through a peer; ErrRefused if no peer could have made it.
 func (sc *storeClient) callPeer(ctx context.Context, call storeCall) (storeResult, error) {
 	raw, err := json.Marshal(call)
 	if err != nil {
@@ -257,7 +261,7 @@
 	return sc.peers.carry(ctx, raw)
 }
 
-// perform carries out a call at the store.
+// perform makes a call at the store.
 func perform(ctx context.Context, st Store, call storeCall) (storeResult, error) {
 	switch {
 	case call.Kind == callCommit && call.Tx != nil:
@@ -276,7 +280,7 @@
 	return storeResult{}, ErrRefused
 }
 
-// Words for what became of a carried call.
+// Outcomes of a call that was carried out by a peer, as sent between instances.
 const (
 	carryDone             = "done"
 	carryConflict         = "conflict"
@@ -285,7 +289,7 @@
 	carryHistoryTruncated = "history"
 )
 
-// wordOf names an error for a peer.
+// carryOutcome returns the outcome that stands for an error.
 func carryOutcome(err error) string {
 	var cf *Conflict
 	switch {
@@ -301,7 +305,7 @@
 	return carryNoAnswer
 }
 
-// errorOf is the error that a peer's word stands for.
+// carryError returns the error that an outcome stands for.
 func carryError(outcome string, sr storeResult) error {
 	switch outcome {
 	case carryDone:
@@ -319,7 +323,7 @@
 	return ErrNoAnswer
 }
 
-// conflictOf returns the rows that a transaction's conditions met.
+// asConflict returns the conflict that err wraps, or nil.
 func asConflict(err error) *Conflict {
 	var cf *Conflict
 	if errors.As(err, &cf) {
--- a/fleet/tablewatch.go
+++ b/fleet/tablewatch.go
@@ -13,12 +13,13 @@
 	"go.uber.org/zap"
 )
 
-// Times of following tables. Each feed call has its price, so rows that come close together share one.
+// Intervals and limits of table watches. Each feed call has a cost, so changes that arrive close together share one call.
 const (
 	controlInterval = 150 * time.Millisecond
-	// controlMost is the gap of a large fleet: with more instances more rows change, and each feed call carries more of them.
+	// controlIntervalMax bounds the interval in a large fleet: with more instances more rows change, and each feed call returns
+	// more of them.
 	controlIntervalMax = 500 * time.Millisecond
-	// controlNodes is how many instances share one controlGap.
+	// controlNodesPerInterval is the number of instances for which the interval grows by one controlInterval.
 	controlNodesPerInterval = 10
 	controlWait             = time.Second
 	operatorInterval        = 50 * time.Millisecond
@@ -26,41 +27,44 @@
 	jobsInterval            = 600 * time.Millisecond
 	jobsWait                = 2 * time.Second
 	feedWait                = 1500 * time.Millisecond
-	// feedMargin is added to a feed's wait before the call is given up on which nothing comes.
+	// feedTimeoutMargin is added to the wait of a feed call; the call is cancelled if nothing arrives within that time.
 	feedTimeoutMargin = 900 * time.Millisecond
-	// feedRetry is the pause after a feed call that failed.
+	// feedRetryDelay is the delay after a failed feed call.
 	feedRetryDelay = 250 * time.Millisecond
-	// readTimeout bounds for how long a read may receive nothing.
+	// readTimeout bounds how long a read may receive no data.
 	readTimeout = 1500 * time.Millisecond
-	// longAgo is how long before its start a watch counts as heard of last.
+	// staleAge is the age of the last answer that a new watch starts with.
 	staleAge = time.Hour
-	// readLimit is how many rows are read at once.
+	// readPageSize is the number of rows per read.
 	readPageSize = 500
-	// readAtOnce is how many parts are read at once, so that a table of many parts is read soon though the store is slow.
+	// parallelReads is the number of parts that are read in parallel, so that a table with many parts loads quickly even on a
+	// slow store.
 	parallelReads = 12
 )
 
-// watch follows one table: it reads it whole, then takes its changes.
+// tableWatch follows one table: it loads the whole table and then polls the change feed.
 type tableWatch struct {
 	fl       *Fleet
 	table    string
 	interval func() time.Duration
 	wait     time.Duration
-	// changed is told of rows that are new to this watch, and of when the store was asked.
+	// onChange receives the rows that are new to this watch, and when the store was asked for them.
 	onChange func(rows []Row, asked time.Time)
 	mu       sync.Mutex // guards rows
 	rows     map[Place]Row
 	version  int64
 	ready    atomic.Bool
-	// origin is the time from which good and since count, on the steady clock: the time of day may jump.
+	// origin is the reference point of lastSuccess and successSince on the monotonic clock, since the wall clock may jump.
 	origin time.Time
-	// good is when the last call that succeeded was sent, since is when the calls began to succeed; 0 for never.
+	// lastSuccess is when the last successful call was sent; successSince is when the current series of successful calls began, 0
+	// for none.
 	lastSuccess, successSince atomic.Int64
 	failing                   bool
-	// idle tells whether nobody needs the table at this time, nil for never. forget is called when that begins.
+	// idle reports whether nobody needs the table at present; nil means it is always needed. onIdle is called when the watch
+	// becomes idle.
 	idle   func() bool
 	onIdle func()
-	// woken ends a rest.
+	// wakeup ends a pause.
 	wakeup chan struct{}
 }
 
@@ -69,31 +73,31 @@
 	return &tableWatch{fl: fl, table: table, interval: interval, wait: wait, onChange: onChange, rows: map[Place]Row{}, origin: origin, wakeup: make(chan struct{}, 1)}
 }
 
-// fixed is a gap that does not change.
+// fixedInterval returns an interval function that always returns the same value.
 func fixedInterval(interval time.Duration) func() time.Duration {
 	return func() time.Duration { return interval }
 }
 
-// controlPause is the gap between two feed calls for the control table.
+// controlPollInterval is the interval between feed calls for the control table.
 func (fl *Fleet) controlPollInterval() time.Duration {
 	nodes := fl.members.count()
 	return min(controlIntervalMax, max(1, time.Duration(nodes)/controlNodesPerInterval)*controlInterval)
 }
 
-// ownsNothing reports whether this instance owns no cell. Then it needs no registrations: workers renew theirs all the time, each renewal is
-// a row of the feed, and 63 a second of 390 bytes (95 workers) were more than half of what an instance without cells read from the store. It
-// reads them whole when it takes a cell.
+// ownsNoCells reports whether this instance owns no cell. Such an instance does not read registrations: workers renew theirs
+// continually, and each renewal is a row in the feed. At 95 workers, 63 renewals a second of 390 bytes each were more than half
+// of what an instance without cells read from the store. It loads the whole table when it takes a cell.
 func (fl *Fleet) ownsNoCells() bool { return len(fl.allOwners()) == 0 }
 
-// loaded reports whether the table has been read whole since somebody needs it.
+// loaded reports whether the whole table has been read since it was last needed.
 func (wt *tableWatch) loaded() bool { return wt.ready.Load() }
 
-// healthy returns since when, and until when, the store has answered.
+// healthyPeriod returns since when, and until when, the store has answered.
 func (wt *tableWatch) healthyPeriod() (since, until time.Time) {
 	return wt.origin.Add(time.Duration(wt.successSince.Load())), wt.origin.Add(time.Duration(wt.lastSuccess.Load()))
 }
 
-// run follows the table until the context ends, while somebody needs it.
+// run follows the table until the context ends, and pauses while nobody needs it.
 func (wt *tableWatch) run(ctx context.Context) {
 	reload := true
 	wt.waitWhileIdle(ctx)
@@ -124,7 +128,7 @@
 	}
 }
 
-// rest waits until the next call is due or wanted.
+// pause waits for the given time, or until the watch is woken.
 func (wt *tableWatch) pause(ctx context.Context, span time.Duration) {
 	if span <= 0 {
 		return
@@ -138,7 +142,7 @@
 	}
 }
 
-// pass waits while nobody needs the table, and reports whether it has to be read whole.
+// waitWhileIdle waits while nobody needs the table, and reports whether the table must be loaded again.
 func (wt *tableWatch) waitWhileIdle(ctx context.Context) bool {
 	if wt.idle == nil || !wt.idle() {
 		return false
@@ -154,7 +158,7 @@
 	return true
 }
 
-// wake ends a rest.
+// wake ends a pause.
 func (wt *tableWatch) wake() {
 	select {
 	case wt.wakeup <- struct{}{}:
@@ -177,7 +181,7 @@
 	wt.successSince.Store(0)
 }
 
-// succeeded notes a call that was answered.
+// recordSuccess records a successful call.
 func (wt *tableWatch) recordSuccess(sentAt time.Time) {
 	if wt.successSince.Load() == 0 {
 		wt.successSince.Store(int64(sentAt.Sub(wt.origin)))
@@ -185,7 +189,7 @@
 	wt.lastSuccess.Store(int64(sentAt.Sub(wt.origin)))
 }
 
-// follow takes the next changes.
+// fetchChanges reads and merges the next changes.
 func (wt *tableWatch) fetchChanges(ctx context.Context) error {
 	ctx, cancel := tcp.UntilQuiet(ctx, wt.wait+feedTimeoutMargin)
 	defer cancel()
@@ -196,12 +200,12 @@
 	}
 	wt.merge(pg.Rows, sentAt)
 	wt.version = max(wt.version, pg.Version)
-	// Only now: whoever sees that the store answered sees what it said.
+	// This must come last: whoever sees that the store has answered must also see the rows it returned.
 	wt.recordSuccess(sentAt)
 	return nil
 }
 
-// take merges rows and tells of those that are new.
+// merge merges rows and reports the new ones.
 func (wt *tableWatch) merge(rows []Row, sentAt time.Time) {
 	var fresh []Row
 	wt.mu.Lock()
@@ -220,7 +224,7 @@
 	wt.onChange(fresh, sentAt)
 }
 
-// load reads the table whole. Rows that it no longer holds are told as deleted.
+// load reads the whole table. Rows that are no longer in it are reported as deleted.
 func (wt *tableWatch) load(ctx context.Context) error {
 	sentAt := wt.fl.opts.Now()
 	rows, version, err := wt.fl.readTable(ctx, wt.table)
@@ -246,7 +250,7 @@
 	return nil
 }
 
-// readTable reads all parts of a table; the version is one that all changes after the reading are newer than.
+// readTable reads all parts of a table. All changes made after the read are newer than the returned version.
 func (fl *Fleet) readTable(ctx context.Context, table string) ([]Row, int64, error) {
 	rows, version, err := fl.readPart(ctx, table, "")
 	if err != nil || table == fl.opts.Format.OperatorTable() || table == fl.opts.Format.RegistryTable() {
@@ -262,7 +266,7 @@
 	return append(rows, found...), version, err
 }
 
-// readParts reads some parts of a table, several at once.
+// readParts reads several parts of a table in parallel.
 func (fl *Fleet) readParts(ctx context.Context, table string, parts []string) ([]Row, error) {
 	found := make([][]Row, len(parts))
 	gr := fl.readers.NewGroupContext(ctx)
@@ -278,7 +282,7 @@
 	return slices.Concat(found...), nil
 }
 
-// readPart reads all rows of a part, and the version as of which its first page was read.
+// readPart reads all rows of a part, and returns the version as of which the first page was read.
 func (fl *Fleet) readPart(ctx context.Context, table, part string) ([]Row, int64, error) {
 	var rows []Row
 	var version int64
@@ -297,12 +301,12 @@
 		if !pg.More || len(pg.Rows) == 0 {
 			return rows, version, nil
 		}
-		// Below every key that continues the last one, since keys hold no blanks.
+		// The character sorts below every character that may continue the last key, since keys hold no blanks.
 		qu.From = pg.Rows[len(pg.Rows)-1].Key + "!"
 	}
 }
 
-// sleep waits, or returns when the context ends.
+// sleep waits for the given time, or until the context ends.
 func sleep(ctx context.Context, span time.Duration) {
 	if span <= 0 {
 		return
--- a/fleet/traffic.go
+++ b/fleet/traffic.go
@@ -16,26 +16,26 @@
 	"go.uber.org/zap"
 )
 
-// bytesEvery is how often the log tells what moved; a line takes some 400 bytes.
+// trafficLogInterval is how often the traffic is logged; a line takes about 400 bytes.
 const trafficLogInterval = 2 * time.Second
 
-// Traffic counts what an instance's connections move, by the kind of call. It implements tcp.Meter.
+// Traffic counts the bytes that an instance's connections transfer, by the kind of call. It implements tcp.Meter.
 type Traffic struct {
 	registry metrics.Registry
 	kinds    sync.Map // of string to *moved
 }
 
-// moved is what one kind of call has moved.
+// trafficCount is the traffic of one kind of call.
 type trafficCount struct {
 	out, in atomic.Int64
-	// toldOut and toldIn are what the log has told of.
+	// loggedOut and loggedIn are the counts as of the last log line.
 	loggedOut, loggedIn int64
 }
 
-// NewTraffic returns counters that show in a registry.
+// NewTraffic returns counters that are exposed as gauges in a registry.
 func NewTraffic(registry metrics.Registry) *Traffic { return &Traffic{registry: registry} }
 
-// Moved counts bytes.
+// Moved adds transferred bytes to the counters of a kind.
 func (tr *Traffic) Moved(kind string, out, in int) {
 	found, known := tr.kinds.Load(kind)
 	if !known {
@@ -54,16 +54,16 @@
 	tr.registry.GetOrRegister(name, metrics.NewFunctionalGauge(count.Load))
 }
 
-// PeerCall names a call to a peer for the counters.
+// PeerCall returns the kind under which a call to a peer is counted.
 func PeerCall(rq *http.Request) string { return "peer." + path.Base(rq.URL.Path) }
 
-// share is what one kind moved since the last line of the log.
+// trafficDelta is the traffic of one kind of call since the last log line.
 type trafficDelta struct {
 	kind    string
 	out, in int64
 }
 
-// shares returns what moved since it was last asked, the most first. It is for one caller at a time.
+// deltas returns the traffic since the previous call, largest first. It must not be called concurrently.
 func (tr *Traffic) deltas() []trafficDelta {
 	var list []trafficDelta
 	tr.kinds.Range(func(kind, value any) bool {
@@ -81,7 +81,7 @@
 	return list
 }
 
-// tellBytes logs what moved until the context ends.
+// logTraffic logs the traffic until the context ends.
 func (fl *Fleet) logTraffic(ctx context.Context) {
 	if fl.opts.Bytes == nil {
 		return
@@ -100,5 +100,5 @@
 	}
 }
 
-// bytesKinds is how many kinds a line of the log names.
+// trafficLogKinds is the maximum number of kinds in a log line.
 const trafficLogKinds = 10
--- a/fleet/workercache.go
+++ b/fleet/workercache.go
@@ -11,21 +11,21 @@
 	"go.uber.org/zap"
 )
 
-// Errors of a registration that lacks what those of others have, so that no worker wrote it.
+// Errors of a registration that lacks a field which the registrations of other workers have: no worker can have written it.
 var (
 	errNoMachine   = errors.New("registration without a machine")
-	errNoStartTime = errors.New("registration that does not tell when its worker started")
+	errNoStartTime = errors.New("registration without its worker's start time")
 )
 
-// traits are what registrations of workers have on some platforms and on others not.
+// optionalFields records which optional fields registrations have; this depends on the platform.
 type optionalFields struct{ machine, startTime bool }
 
-// of adds what a worker's registration has.
+// with adds the fields of a worker's registration.
 func (of optionalFields) with(wk cell.Worker) optionalFields {
 	return optionalFields{of.machine || wk.Machine != "", of.startTime || wk.ID.Born() != 0}
 }
 
-// lacks says what a worker's registration does not have; nil if it has all.
+// missing returns an error if a worker's registration lacks one of the fields; nil if it has all.
 func (of optionalFields) missing(wk cell.Worker) error {
 	switch {
 	case of.machine && wk.Machine == "":
@@ -36,13 +36,13 @@
 	return nil
 }
 
-// roster holds the registered workers, each in its newest life.
+// workerCache holds the registered workers, each with its newest incarnation.
 type workerCache struct {
 	mu      sync.Mutex // guards the fields below
 	workers map[cell.WorkerName]cell.Worker
 }
 
-// traits are what the registrations of workers have.
+// optionalFields returns the fields that the cached registrations have.
 func (wc *workerCache) optionalFields() (of optionalFields) {
 	wc.mu.Lock()
 	defer wc.mu.Unlock()
@@ -54,21 +54,21 @@
 
 func newWorkerCache() *workerCache { return &workerCache{workers: map[cell.WorkerName]cell.Worker{}} }
 
-// clear forgets all workers.
+// reset removes all workers.
 func (wc *workerCache) reset() {
 	wc.mu.Lock()
 	defer wc.mu.Unlock()
 	wc.workers = map[cell.WorkerName]cell.Worker{}
 }
 
-// put takes a registration.
+// put stores a registration.
 func (wc *workerCache) put(wk cell.Worker) {
 	wc.mu.Lock()
 	defer wc.mu.Unlock()
 	wc.workers[wk.ID.Name()] = wk
 }
 
-// get returns what is known of a worker.
+// get returns a worker's registration.
 func (wc *workerCache) get(name cell.WorkerName) (cell.Worker, bool) {
 	wc.mu.Lock()
 	defer wc.mu.Unlock()
@@ -76,7 +76,7 @@
 	return wk, known
 }
 
-// drop forgets a worker and returns what was known of it.
+// remove removes a worker and returns its registration.
 func (wc *workerCache) remove(name cell.WorkerName) (cell.Worker, bool) {
 	wc.mu.Lock()
 	defer wc.mu.Unlock()
@@ -85,7 +85,7 @@
 	return wk, known
 }
 
-// of lists the workers of a pool.
+// inPool lists the workers of a pool.
 func (wc *workerCache) inPool(pool job.PoolID) []cell.Worker {
 	wc.mu.Lock()
 	defer wc.mu.Unlock()
@@ -98,15 +98,15 @@
 	return list
 }
 
-// registrationRow is a registration as it was read, or why it could not be.
+// registrationRow is a registration, or the error of reading it.
 type registrationRow struct {
 	row    Row
 	worker cell.Worker
 	err    error
 }
 
-// told is since when registrations were written that came with an answer: since the answer before it. Those that are read whole may be from before
-// an outage that has just ended.
+// writtenSince returns the earliest time at which the registrations of an answer may have been written: the time of the previous
+// answer. Registrations from a load of the whole table may date from before an outage that has just ended.
 func (fl *Fleet) writtenSince(sentAt time.Time) time.Time {
 	if fl.registry.loaded() {
 		_, previous := fl.registry.healthyPeriod()
@@ -118,7 +118,7 @@
 	return sentAt
 }
 
-// registryChanged takes changes of the workers' registrations.
+// applyRegistrations applies changes of the workers' registrations.
 func (fl *Fleet) applyRegistrations(rows []Row, sentAt time.Time) {
 	writtenSince := fl.writtenSince(sentAt)
 	usedFields := fl.workerCache.optionalFields()
@@ -142,7 +142,7 @@
 	}
 }
 
-// takeRegistration takes one.
+// applyRegistration applies one registration.
 func (fl *Fleet) applyRegistration(rd registrationRow) {
 	name := cell.WorkerName(rd.row.Key)
 	switch {
@@ -157,7 +157,8 @@
 	}
 }
 
-// withdraw keeps new tasks from a worker whose registration cannot be read any more: whoever wrote it, it names no worker to use.
+// withhold stops giving new tasks to a worker whose registration can't be read any more: whoever wrote it, it names no usable
+// worker.
 func (fl *Fleet) withhold(name cell.WorkerName) {
 	if wk, known := fl.workerCache.get(name); known {
 		wk.Withheld = true
@@ -165,8 +166,9 @@
 	}
 }
 
-// register takes a registration. A worker that names another pool than before is none of the former's any more. One that started again under its
-// name is a worker of its own: that its former life is over is for whoever answers there to tell, since others write entries too.
+// register applies a registration. A worker that names another pool than before leaves the former pool. A worker that restarted
+// under the same name is a new worker. The registration alone does not prove that the former incarnation has ended, since others
+// can write entries too; only an answer from the worker's address does.
 func (fl *Fleet) register(wk cell.Worker) {
 	previous, known := fl.workerCache.get(wk.ID.Name())
 	if known && previous.ID != wk.ID {
