--- a/fleet/accounts.go
+++ b/fleet/accounts.go
@@ -139,9 +139,9 @@
 		if err != nil {
 			return tx, err
 		}
-		at := Place{tableAccount, accountPart, string(ar.Organisation)}
-		tx.Expect = append(tx.Expect, Expect{at, ar.Version})
-		tx.Write = append(tx.Write, Row{Table: at.Table, Part: at.Part, Key: at.Key, Value: raw})
+		place := Place{tableAccount, accountPart, string(ar.Organisation)}
+		tx.Expect = append(tx.Expect, Expect{place, ar.Version})
+		tx.Write = append(tx.Write, Row{Table: place.Table, Part: place.Part, Key: place.Key, Value: raw})
 	}
 	return tx, nil
 }
--- a/fleet/accounts_test.go
+++ b/fleet/accounts_test.go
@@ -36,7 +36,7 @@
 
 // TestMaximumOverPools: jobs of one organisation in two pools, under owners on several instances, of which one is stopped without a word. What
 // runs at once stays within the maximum, and all jobs end.
-func TestMaximumOverPools(t *testing.T) {
+func TestMaximumAcrossPools(t *testing.T) {
 	cl := newCluster(t, 150*time.Millisecond)
 	cl.format = maximumFormat{}
 	for _, id := range []string{"v0", "v1"} {
@@ -46,11 +46,11 @@
 	cl.waitOwner(nodes...)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	hand := func(from, to int) (ids []job.ID) {
-		for at := from; at < to; at++ {
-			sp := testSpec(job.ID(fmt.Sprintf("m%d", at)))
+	submit := func(from, to int) (ids []job.ID) {
+		for i := from; i < to; i++ {
+			sp := testSpec(job.ID(fmt.Sprintf("m%d", i)))
 			sp.Organisation = "mill"
-			if at%2 == 1 {
+			if i%2 == 1 {
 				sp.Queue, sp.Pool = otherQueue.ID, otherQueue.Pool
 			}
 			cl.eventually("acceptance of "+string(sp.ID), func() bool {
@@ -61,20 +61,20 @@
 		}
 		return ids
 	}
-	ids := hand(0, 8)
+	ids := submit(0, 8)
 	time.Sleep(300 * time.Millisecond)
-	var gone *testNode
+	var stopped *testNode
 	for _, nd := range nodes[1:] {
 		if nd.ownerOf("pool") != nil || nd.ownerOf("pool2") != nil {
-			gone = nd
+			stopped = nd
 		}
 	}
-	if gone != nil {
-		gone.stop()
-		<-gone.done
-		_ = gone.srv.Close()
+	if stopped != nil {
+		stopped.stop()
+		<-stopped.done
+		_ = stopped.srv.Close()
 	}
-	for _, id := range append(ids, hand(8, 12)...) {
+	for _, id := range append(ids, submit(8, 12)...) {
 		cl.eventually("the end of "+string(id), func() bool {
 			state, err := nodes[0].State(ctx, "mill", &testQueue, id)
 			return err == nil && state == job.Completed
@@ -86,7 +86,7 @@
 }
 
 // TestAccountThatCannotBeRead: a foreign writer's row changes nothing of what is known.
-func TestAccountThatCannotBeRead(t *testing.T) {
+func TestUnreadableAccountIsIgnored(t *testing.T) {
 	cl := newCluster(t, 20*time.Millisecond)
 	cl.format = maximumFormat{}
 	one := cl.start("one")
--- a/fleet/archive.go
+++ b/fleet/archive.go
@@ -17,11 +17,11 @@
 func (ow *owner) commit(ctx context.Context, tx Tx) (int64, bool) {
 	for ctx.Err() == nil && !ow.lost.Load() {
 		callCtx, cancel := context.WithTimeout(ctx, ow.fl.store.commitTimeout())
-		asked := ow.fl.opts.Now()
+		sentAt := ow.fl.opts.Now()
 		version, err := ow.fl.store.Commit(callCtx, tx)
 		cancel()
 		if err == nil {
-			ow.post(func(cr *cell.Core, _ time.Time) { cr.Confirmed(asked) })
+			ow.post(func(cr *cell.Core, _ time.Time) { cr.Confirmed(sentAt) })
 			return version, true
 		}
 		var cf *Conflict
@@ -73,8 +73,8 @@
 }
 
 // archivePause is when the next round follows one that took so many jobs out of the table of open ones.
-func archiveDelay(taken int) time.Duration {
-	if taken < archiveBatchSize {
+func archiveDelay(archived int) time.Duration {
+	if archived < archiveBatchSize {
 		return archiveInterval
 	}
 	return archiveBacklogInterval
@@ -101,7 +101,7 @@
 // for each of the parts with the most rows.
 func (ow *owner) removeRows(ctx context.Context, ids []job.ID, rows func(job.ID) []Place) []job.ID {
 	groups := [][]job.ID{ids}
-	if ow.fl.opts.OnePart {
+	if ow.fl.opts.SinglePartTx {
 		groups = groupByPart(ids, rows)
 	}
 	var done []job.ID
@@ -119,12 +119,12 @@
 
 // byPart groups jobs by the part of their rows, the largest groups alone.
 func groupByPart(ids []job.ID, rows func(job.ID) []Place) [][]job.ID {
-	found := map[string][]job.ID{}
+	byPart := map[string][]job.ID{}
 	for _, id := range ids {
 		part := rows(id)[0].Part
-		found[part] = append(found[part], id)
+		byPart[part] = append(byPart[part], id)
 	}
-	groups := slices.SortedFunc(maps.Values(found), func(one, other []job.ID) int {
+	groups := slices.SortedFunc(maps.Values(byPart), func(one, other []job.ID) int {
 		return cmp.Or(cmp.Compare(len(other), len(one)), cmp.Compare(one[0], other[0]))
 	})
 	return groups[:min(len(groups), archivePartsPerRound)]
--- a/fleet/archive_test.go
+++ b/fleet/archive_test.go
@@ -11,11 +11,11 @@
 // TestEndedJobsAreArchivedPartByPart: a store that takes no transaction over several parts refused them all, and the table of open jobs grew.
 func TestEndedJobsAreArchivedPartByPart(t *testing.T) {
 	cl := newCluster(t, 5*time.Millisecond)
-	one := cl.start("one", func(fs *faultyStore) { fs.onePart = true })
+	one := cl.start("one", func(fs *faultyStore) { fs.singlePartTx = true })
 	cl.waitOwner(one)
 	var ids []job.ID
-	for at := range 8 {
-		id := job.ID(fmt.Sprintf("a%d", at))
+	for i := range 8 {
+		id := job.ID(fmt.Sprintf("a%d", i))
 		if result := cl.submit(one, id); result != Accepted {
 			t.Fatalf("%s: %v", id, result)
 		}
--- a/fleet/fakes_test.go
+++ b/fleet/fakes_test.go
@@ -59,10 +59,10 @@
 		ms.rows[rw.Place()] = rw
 		ms.history = append(ms.history, rw)
 	}
-	for _, at := range tx.Remove {
-		if _, there := ms.rows[at]; there {
-			delete(ms.rows, at)
-			ms.history = append(ms.history, Row{Table: at.Table, Part: at.Part, Key: at.Key, Version: ms.version, Deleted: true})
+	for _, place := range tx.Remove {
+		if _, there := ms.rows[place]; there {
+			delete(ms.rows, place)
+			ms.history = append(ms.history, Row{Table: place.Table, Part: place.Part, Key: place.Key, Version: ms.version, Deleted: true})
 		}
 	}
 	close(ms.changed)
@@ -74,8 +74,8 @@
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	pg := Page{Version: ms.version}
-	for at, rw := range ms.rows {
-		if at.Table == qu.Table && at.Part == qu.Part && at.Key >= qu.From && (qu.To == "" || at.Key < qu.To) {
+	for place, rw := range ms.rows {
+		if place.Table == qu.Table && place.Part == qu.Part && place.Key >= qu.From && (qu.To == "" || place.Key < qu.To) {
 			pg.Rows = append(pg.Rows, rw)
 		}
 	}
@@ -115,11 +115,11 @@
 	mem *memStore
 	mu  sync.Mutex
 	// refuse makes every call refused, silent unanswered without effect.
-	refuse, silent bool
+	refuse, unresponsive bool
 	// hang tells which tables' feeds never answer.
-	hang func(table string) bool
+	hangFeed func(table string) bool
 	// onePart has transactions over several parts refused.
-	onePart bool
+	singlePartTx bool
 	// lose tells which transactions are done and not answered.
 	dropAnswer func(Tx) bool
 	// feeds counts the calls for each table's changes, reads those for rows of each table.
@@ -149,7 +149,7 @@
 // fault returns the error that a call meets, after the time that it takes to find out.
 func (fs *faultyStore) fault(ctx context.Context) error {
 	fs.mu.Lock()
-	refuse, silent := fs.refuse, fs.silent
+	refuse, silent := fs.refuse, fs.unresponsive
 	fs.mu.Unlock()
 	if silent {
 		<-ctx.Done()
@@ -166,7 +166,7 @@
 		return 0, err
 	}
 	fs.mu.Lock()
-	refused := fs.onePart && tx.parts() > 1
+	refused := fs.singlePartTx && tx.parts() > 1
 	fs.mu.Unlock()
 	if refused {
 		return 0, ErrRefused
@@ -190,8 +190,8 @@
 	for _, rw := range tx.Write {
 		parts[rw.Part] = true
 	}
-	for _, at := range tx.Remove {
-		parts[at.Part] = true
+	for _, place := range tx.Remove {
+		parts[place.Part] = true
 	}
 	return len(parts)
 }
@@ -220,7 +220,7 @@
 		return Page{}, err
 	}
 	fs.mu.Lock()
-	hangs := fs.hang != nil && fs.hang(table)
+	hangs := fs.hangFeed != nil && fs.hangFeed(table)
 	fs.mu.Unlock()
 	if hangs {
 		<-ctx.Done()
@@ -236,9 +236,9 @@
 	fs.mem.mu.Lock()
 	defer fs.mem.mu.Unlock()
 	var parts []string
-	for at := range fs.mem.rows {
-		if at.Table == table && !slices.Contains(parts, at.Part) {
-			parts = append(parts, at.Part)
+	for place := range fs.mem.rows {
+		if place.Table == table && !slices.Contains(parts, place.Part) {
+			parts = append(parts, place.Part)
 		}
 	}
 	return parts, nil
@@ -252,7 +252,7 @@
 	tokens    map[cell.WorkerID]cell.Token
 	runs      map[cell.WorkerID]map[job.Task]fakeRun
 	ends      map[cell.WorkerID][]cell.End
-	last      map[cell.WorkerID]int64
+	lastEnd   map[cell.WorkerID]int64
 	starts    map[job.Task]int
 	// most is how many tasks ran at once at the most.
 	maxRunning int
@@ -264,7 +264,7 @@
 }
 
 func newWorkers(takes time.Duration) *fakeWorkers {
-	return &fakeWorkers{startedAt: time.Now(), taskTime: takes, tokens: map[cell.WorkerID]cell.Token{}, runs: map[cell.WorkerID]map[job.Task]fakeRun{}, ends: map[cell.WorkerID][]cell.End{}, last: map[cell.WorkerID]int64{}, starts: map[job.Task]int{}}
+	return &fakeWorkers{startedAt: time.Now(), taskTime: takes, tokens: map[cell.WorkerID]cell.Token{}, runs: map[cell.WorkerID]map[job.Task]fakeRun{}, ends: map[cell.WorkerID][]cell.End{}, lastEnd: map[cell.WorkerID]int64{}, starts: map[job.Task]int{}}
 }
 
 // note keeps how many tasks ran at once at the most.
@@ -290,8 +290,8 @@
 	for tk, rn := range fw.runs[id] {
 		if time.Now().After(rn.ends) {
 			delete(fw.runs[id], tk)
-			fw.last[id]++
-			fw.ends[id] = append(fw.ends[id], cell.End{Number: fw.last[id], Task: tk, Attempt: rn.attempt, How: cell.EndDone})
+			fw.lastEnd[id]++
+			fw.ends[id] = append(fw.ends[id], cell.End{Number: fw.lastEnd[id], Task: tk, Attempt: rn.attempt, How: cell.EndDone})
 		}
 	}
 }
@@ -398,7 +398,7 @@
 	mm      *memStore
 	workers *fakeWorkers
 	// workersAt are the workers as a node calls them; nil for the same ones everywhere.
-	workersAt func(name string) Workers
+	workersFor func(name string) Workers
 	// format reads rows; plainFormat if it is nil.
 	format Format
 	// halls are those of nodes; h unless one is named.
@@ -444,8 +444,8 @@
 		fault(way)
 	}
 	var workers Workers = cl.workers
-	if cl.workersAt != nil {
-		workers = cl.workersAt(name)
+	if cl.workersFor != nil {
+		workers = cl.workersFor(name)
 	}
 	hall := "h"
 	if named, ok := cl.halls[name]; ok {
@@ -455,7 +455,7 @@
 	if cl.format != nil {
 		format = cl.format
 	}
-	fl := New(Options{Name: name, Hall: hall, Address: ln.Addr().String(), Store: way, Workers: workers, Machines: noMachines{}, Format: format, OnePart: way.onePart})
+	fl := New(Options{Name: name, Hall: hall, Address: ln.Addr().String(), Store: way, Workers: workers, Machines: noMachines{}, Format: format, SinglePartTx: way.singlePartTx})
 	srv := &http.Server{Handler: fl.Handler()}
 	go func() {
 		// It ends when the test closes it.
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -59,20 +59,20 @@
 	Seeds []string
 	Store Store
 	// OnePart means that the store takes no transaction over rows of several parts.
-	OnePart  bool
-	Workers  Workers
-	Adviser  Adviser
-	Machines Machines
-	Format   Format
-	Cell     cell.Options
-	Sizes    machine.SizeOptions
-	Log      *event.Logger
-	Registry metrics.Registry
+	SinglePartTx bool
+	Workers      Workers
+	Adviser      Adviser
+	Machines     Machines
+	Format       Format
+	Cell         cell.Options
+	Sizes        machine.SizeOptions
+	Log          *event.Logger
+	Registry     metrics.Registry
 	// Bytes counts what the instance's connections move; nil if nothing does.
 	Bytes *Traffic
 	Now   func() time.Time
 	// Day is the time of day, in which jobs have due times.
-	Day func() time.Time
+	WallClock func() time.Time
 }
 
 // Fleet is one entry instance's part in running the jobs.
@@ -120,10 +120,10 @@
 	if options.Sizes == (machine.SizeOptions{}) {
 		options.Sizes = machine.DefaultSizes()
 	}
-	if options.Day == nil {
-		options.Day = time.Now
+	if options.WallClock == nil {
+		options.WallClock = time.Now
 		if options.Now != nil {
-			options.Day = options.Now
+			options.WallClock = options.Now
 		}
 	}
 	if options.Now == nil {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -27,13 +27,13 @@
 	cl.waitCompleted(one, "a1")
 	cl.waitCompleted(two, "a1")
 	cl.checkRanOnce("a1")
-	if _, err := one.State(context.Background(), "", &testQueue, "none"); !errors.Is(err, ErrNoJob) {
+	if _, err := one.State(context.Background(), "", &testQueue, "none"); !errors.Is(err, ErrJobNotFound) {
 		t.Errorf("a job that nobody handed in: %v", err)
 	}
 }
 
 // TestSecondTryDoesNotMakeAJobFresh: its epoch would tell a new owner that nobody else can have started it.
-func TestSecondTryDoesNotMakeAJobFresh(t *testing.T) {
+func TestResubmitDoesNotReachOwner(t *testing.T) {
 	cl := newCluster(t, time.Hour)
 	one := cl.start("one")
 	cl.waitOwner(one)
@@ -60,7 +60,7 @@
 }
 
 // TestClaimWhoseAnswerIsLostIsTakenUp: the row names an instance that would otherwise not work on the cell.
-func TestClaimWhoseAnswerIsLostIsTakenUp(t *testing.T) {
+func TestClaimWithLostAnswerIsUsed(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	lost := 0
 	one := cl.start("one", func(fs *faultyStore) {
@@ -132,7 +132,7 @@
 }
 
 // TestTurnedAwayNodeWorksThroughPeers: the store refuses one instance alone.
-func TestTurnedAwayNodeWorksThroughPeers(t *testing.T) {
+func TestNodeRefusedByStoreUsesPeers(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	one, two := cl.start("one"), cl.start("two")
 	cl.eventually("both are ready", func() bool { return one.Ready() && two.Ready() })
@@ -147,7 +147,7 @@
 }
 
 // TestUnknownIsNotRefused: a refusal promises that the job never runs.
-func TestUnknownIsNotRefused(t *testing.T) {
+func TestUnansweredCommitIsNotRefused(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	one := cl.start("one")
 	cl.waitOwner(one)
@@ -164,7 +164,7 @@
 }
 
 // TestRefusedWhileTheStoreIsDown: at once, with a time to come back; nothing of it runs later.
-func TestRefusedWhileTheStoreIsDown(t *testing.T) {
+func TestSubmitRefusedWhileStoreIsDown(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	one := cl.start("one")
 	cl.waitOwner(one)
@@ -182,7 +182,7 @@
 }
 
 // TestCancelIsKeptAndStops: and the state is told by the other node, too.
-func TestCancelIsKeptAndStops(t *testing.T) {
+func TestCancelIsStoredAndStopsTasks(t *testing.T) {
 	cl := newCluster(t, time.Hour)
 	one, two := cl.start("one"), cl.start("two")
 	cl.waitOwner(one, two)
@@ -211,13 +211,13 @@
 		}
 		return true
 	})
-	if err := one.Cancel(context.Background(), "", "none"); !errors.Is(err, ErrNoJob) {
+	if err := one.Cancel(context.Background(), "", "none"); !errors.Is(err, ErrJobNotFound) {
 		t.Errorf("cancelling what is not there: %v", err)
 	}
 }
 
 // TestReleaseBeforeTakingOverPassesWorkersOn: a cell that is given up at once keeps the workers that its row named.
-func TestReleaseBeforeTakingOverPassesWorkersOn(t *testing.T) {
+func TestReleaseBeforeTakeoverKeepsWorkers(t *testing.T) {
 	ow := &owner{claimRow: ownerRow{Workers: workerRefs("w7"), Exposed: 6}}
 	if row := ow.handoverRow(); len(row.Workers) != 1 || row.Exposed != 6 || row.Released {
 		t.Fatalf("row %+v", row)
@@ -225,7 +225,7 @@
 }
 
 // TestEndedJobsLeaveNothingBehind: after their retention no row is left of them, and nobody knows them.
-func TestEndedJobsLeaveNothingBehind(t *testing.T) {
+func TestExpiredJobsAreDeleted(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	cl.retention = 100 * time.Millisecond
 	one := cl.start("one")
@@ -243,18 +243,18 @@
 		}
 		return true
 	})
-	if _, err := one.State(context.Background(), "", &testQueue, "k1"); !errors.Is(err, ErrNoJob) {
+	if _, err := one.State(context.Background(), "", &testQueue, "k1"); !errors.Is(err, ErrJobNotFound) {
 		t.Errorf("after its retention: %v", err)
 	}
 	cl.checkRanOnce("k1")
 }
 
 // TestFeedThatHangsIsGivenUp: a call that the store forgot does not keep a configuration from coming into force.
-func TestFeedThatHangsIsGivenUp(t *testing.T) {
+func TestHangingFeedTimesOut(t *testing.T) {
 	cl := newCluster(t, time.Hour)
 	hung := 0
 	one := cl.start("one", func(fs *faultyStore) {
-		fs.hang = func(table string) bool {
+		fs.hangFeed = func(table string) bool {
 			if table == "operator" && hung == 0 {
 				hung++
 				return true
@@ -272,7 +272,7 @@
 }
 
 // TestWaitingJobsAreNotCountedBeforeTheyAreKnown: an owner that has not loaded its cell says nothing, rather than 0.
-func TestWaitingJobsAreNotCountedBeforeTheyAreKnown(t *testing.T) {
+func TestPendingUnknownBeforeLoad(t *testing.T) {
 	cl := newCluster(t, time.Hour)
 	one := cl.start("one")
 	ow := &owner{fl: one.Fleet, name: "pool"}
@@ -286,12 +286,12 @@
 }
 
 // TestFeedsAreReadLessOftenInALargeFleet: each call has its price, and with more instances each answer carries more rows.
-func TestFeedsAreReadLessOftenInALargeFleet(t *testing.T) {
+func TestControlPollIntervalGrowsWithFleet(t *testing.T) {
 	fl := New(Options{Name: "one", Store: &faultyStore{mem: newMemStore()}, Machines: noMachines{}, Format: testFormat{}})
 	last := time.Duration(0)
 	for _, nodes := range []int{6, 37, 300} {
-		for at := len(fl.members.nodes); at < nodes; at++ {
-			fl.members.nodes[fmt.Sprintf("n%d", at)] = node{}
+		for i := len(fl.members.nodes); i < nodes; i++ {
+			fl.members.nodes[fmt.Sprintf("n%d", i)] = node{}
 		}
 		pause := fl.controlPollInterval()
 		if pause < last || pause > controlIntervalMax || nodes < controlNodesPerInterval && pause != controlInterval {
@@ -340,7 +340,7 @@
 
 // TestOwnersThatAreGoneAreToldAsSoonAsBefore: instances without cells may be silent for longer, and one that has just taken a cell has yet
 // to beat as an owner does.
-func TestOwnersThatAreGoneAreToldAsSoonAsBefore(t *testing.T) {
+func TestDeadOwnerIsDetectedSoonerThanIdleNode(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	fl := New(Options{Name: "one", Store: &faultyStore{mem: newMemStore()}, Machines: noMachines{}, Format: testFormat{}, Now: func() time.Time { return now }})
 	for _, name := range []string{"owner", "fresh", "idle"} {
--- a/fleet/fullqueues.go
+++ b/fleet/fullqueues.go
@@ -41,8 +41,8 @@
 	if report == nil || now.Sub(report.at) > fullQueueTTL {
 		return 0
 	}
-	if span, full := report.queues[id]; full {
-		return min(maxRetryAfter, max(defaultRetryAfter, span))
+	if delay, exists := report.queues[id]; exists {
+		return min(maxRetryAfter, max(defaultRetryAfter, delay))
 	}
 	return 0
 }
@@ -51,8 +51,8 @@
 func collectFullQueues(loads map[job.PoolID]cell.Load) []*peer.FullQueue {
 	var list []*peer.FullQueue
 	for _, ld := range loads {
-		for id, span := range ld.Full {
-			list = append(list, &peer.FullQueue{Queue: string(id), ComeBackMillis: span.Milliseconds()})
+		for id, delay := range ld.Full {
+			list = append(list, &peer.FullQueue{Queue: string(id), ComeBackMillis: delay.Milliseconds()})
 		}
 	}
 	return list
--- a/fleet/intake.go
+++ b/fleet/intake.go
@@ -51,7 +51,7 @@
 // Errors of job calls.
 var (
 	// ErrNoJob says that there is no such job.
-	ErrNoJob = errors.New("no such job")
+	ErrJobNotFound = errors.New("no such job")
 	// ErrNotNow says that the answer is not to be had at this time.
 	ErrUnavailable = errors.New("the answer is not to be had now")
 )
@@ -152,10 +152,10 @@
 		fl.logJob(event.JobRefused, sp.ID, zap.String("why", "the store does not answer"))
 		return Refused, defaultRetryAfter
 	}
-	if span := fl.fullQueues.retryAfter(fl.opts.Now(), sp.Queue); span > 0 {
+	if delay := fl.fullQueues.retryAfter(fl.opts.Now(), sp.Queue); delay > 0 {
 		fl.metrics.refused.Inc(1)
-		fl.logJob(event.JobRefused, sp.ID, zap.String("why", "its pool cannot serve it in time"), zap.Duration("comeBack", span))
-		return Refused, span
+		fl.logJob(event.JobRefused, sp.ID, zap.String("why", "its pool cannot serve it in time"), zap.Duration("comeBack", delay))
+		return Refused, delay
 	}
 	if fl.pausedQueues()[sp.Queue] {
 		fl.metrics.refused.Inc(1)
@@ -270,7 +270,7 @@
 
 // expire answers the callers whose time is over, and all of them once this instance is cut off.
 func (in *intake) answerExpired(waiting []*submission) []*submission {
-	var left []*submission
+	var remaining []*submission
 	for _, sb := range waiting {
 		switch {
 		case in.fl.CutOff() && sb.inDoubt:
@@ -279,29 +279,29 @@
 		case in.fl.CutOff():
 			sb.result <- Refused
 		case sb.ctx.Err() == nil:
-			left = append(left, sb)
+			remaining = append(remaining, sb)
 		case sb.inDoubt:
 			sb.result <- Unknown
 		default:
 			sb.result <- Refused
 		}
 	}
-	return left
+	return remaining
 }
 
 // refuse answers at once what the store has refused for a while and cannot have taken, and returns the others.
 func (in *intake) refuse(waiting []*submission) []*submission {
-	var left []*submission
+	var remaining []*submission
 	for _, sb := range waiting {
 		if sb.inDoubt || in.fl.opts.Now().Sub(sb.started) < intakeRefuseTimeout {
-			left = append(left, sb)
+			remaining = append(remaining, sb)
 			continue
 		}
 		in.fl.metrics.refused.Inc(1)
 		in.fl.logJob(event.JobRefused, sb.spec.ID, append(sb.logFields(in.fl.opts.Now()), zap.String("why", "the store does not take it"))...)
 		sb.result <- Refused
 	}
-	return left
+	return remaining
 }
 
 // unique leaves out later tries of a job that waits already; their callers are told to ask again.
@@ -368,18 +368,18 @@
 			homes[rw.Key] = hr
 		}
 	}
-	var left []*submission
+	var remaining []*submission
 	for _, sb := range group {
-		hr, there := homes[string(sb.spec.ID)]
-		if !there {
-			left = append(left, sb)
+		hr, exists := homes[string(sb.spec.ID)]
+		if !exists {
+			remaining = append(remaining, sb)
 			continue
 		}
 		in.fl.homes.add(sb.spec.ID, hr)
 		in.fl.logJob(event.JobKnown, sb.spec.ID)
 		sb.result <- hr.resubmitResult(sb.spec.Organisation)
 	}
-	return left
+	return remaining
 }
 
 // offer tells a cell's owner of new jobs; the owner's feed finds them as well, only later.
--- a/fleet/jobstate.go
+++ b/fleet/jobstate.go
@@ -59,7 +59,7 @@
 		return homeRow{}, err
 	}
 	if !ok {
-		return homeRow{}, ErrNoJob
+		return homeRow{}, ErrJobNotFound
 	}
 	var hr homeRow
 	if err := json.Unmarshal(rw.Value, &hr); err != nil {
@@ -71,13 +71,13 @@
 }
 
 // readRow reads one row, again if the store does not answer, as long as the context allows.
-func (fl *Fleet) readRow(ctx context.Context, at Place) (Row, bool, error) {
+func (fl *Fleet) readRow(ctx context.Context, place Place) (Row, bool, error) {
 	for {
 		callCtx, cancel := context.WithTimeout(ctx, intakeReadTimeout)
-		pg, err := fl.store.Read(callCtx, Query{Table: at.Table, Part: at.Part, From: at.Key, To: at.Key + "!", Limit: 1})
+		pg, err := fl.store.Read(callCtx, Query{Table: place.Table, Part: place.Part, From: place.Key, To: place.Key + "!", Limit: 1})
 		cancel()
 		if err == nil {
-			if len(pg.Rows) == 0 || pg.Rows[0].Key != at.Key {
+			if len(pg.Rows) == 0 || pg.Rows[0].Key != place.Key {
 				return Row{}, false, nil
 			}
 			return pg.Rows[0], true, nil
--- a/fleet/keys_test.go
+++ b/fleet/keys_test.go
@@ -11,39 +11,39 @@
 
 // TestJobsAreTheirOrganisations: through both instances, from the owner and from the store, a job is seen, sent again and cancelled by callers of
 // its own organisation alone; one without an organisation by all.
-func TestJobsAreTheirOrganisations(t *testing.T) {
+func TestJobAccessIsLimitedToItsOrganisation(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	one, two := cl.start("one"), cl.start("two")
 	cl.waitOwner(one, two)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	hand := func(nd *testNode, id job.ID, by job.OrganisationID) SubmitResult {
+	submit := func(nd *testNode, id job.ID, by job.OrganisationID) SubmitResult {
 		sp := testSpec(id)
 		sp.Organisation = by
 		result, _ := nd.Submit(ctx, sp)
 		return result
 	}
-	if result := hand(one, "m1", "mill"); result != Accepted {
+	if result := submit(one, "m1", "mill"); result != Accepted {
 		t.Fatalf("handed in: %v", result)
 	}
-	if result := hand(one, "n1", ""); result != Accepted {
+	if result := submit(one, "n1", ""); result != Accepted {
 		t.Fatalf("handed in by nobody: %v", result)
 	}
-	for at, nd := range []*testNode{one, two} {
-		if result := hand(nd, "m1", "mill"); result != Accepted {
-			t.Errorf("%d: second try of the same organisation: %v", at, result)
+	for i, nd := range []*testNode{one, two} {
+		if result := submit(nd, "m1", "mill"); result != Accepted {
+			t.Errorf("%d: second try of the same organisation: %v", i, result)
 		}
-		if result := hand(nd, "m1", "yard"); result != Foreign {
-			t.Errorf("%d: second try of another organisation: %v", at, result)
+		if result := submit(nd, "m1", "yard"); result != Foreign {
+			t.Errorf("%d: second try of another organisation: %v", i, result)
 		}
 		if _, err := nd.State(ctx, "yard", &testQueue, "m1"); !errors.Is(err, job.ErrOtherOrganisation) {
-			t.Errorf("%d: seen by another: %v", at, err)
+			t.Errorf("%d: seen by another: %v", i, err)
 		}
 		if err := nd.Cancel(ctx, "yard", "m1"); !errors.Is(err, job.ErrOtherOrganisation) {
-			t.Errorf("%d: cancelled by another: %v", at, err)
+			t.Errorf("%d: cancelled by another: %v", i, err)
 		}
 		if _, err := nd.State(ctx, "yard", &testQueue, "n1"); err != nil {
-			t.Errorf("%d: nobody's job: %v", at, err)
+			t.Errorf("%d: nobody's job: %v", i, err)
 		}
 	}
 	cl.eventually("the end as its organisation sees it", func() bool {
@@ -60,7 +60,7 @@
 }
 
 // TestOrganisationThatGoesLosesNoJob: a newer configuration without the organisation, while its job waits for a worker.
-func TestOrganisationThatGoesLosesNoJob(t *testing.T) {
+func TestRemovedOrganisationKeepsItsJobs(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	one := cl.start("one")
 	cl.waitOwner(one)
--- a/fleet/machinelease_test.go
+++ b/fleet/machinelease_test.go
@@ -28,7 +28,7 @@
 	ob.sendConstantly(t, first)
 	ob.sendConstantly(t, next)
 	cl.eventually("orders of the first holder", func() bool { return len(ob.byNode(first.opts.Name)) > 1 })
-	first.faultyStore.set(func(fs *faultyStore) { fs.silent = true })
+	first.faultyStore.set(func(fs *faultyStore) { fs.unresponsive = true })
 	// The detour through the peer would keep it in office.
 	first.peers.mu.Lock()
 	first.peers.backoffUntil[next.opts.Address] = time.Now().Add(time.Hour)
@@ -151,7 +151,7 @@
 	one := cl.start("one")
 	cl.leader(one)
 	one.controller.announce(context.Background(), []cell.MachineID{busyMachine})
-	one.faultyStore.set(func(fs *faultyStore) { fs.silent = true })
+	one.faultyStore.set(func(fs *faultyStore) { fs.unresponsive = true })
 	cl.eventually("a lease that is not renewed any more", func() bool {
 		one.controller.mu.Lock()
 		defer one.controller.mu.Unlock()
--- a/fleet/metrics.go
+++ b/fleet/metrics.go
@@ -61,11 +61,11 @@
 func (fm fleetMetrics) countOutcome(oc cell.Outcome) { fm.outcomes[oc].Inc(1) }
 
 // handed counts a job that was handed in.
-func (fm fleetMetrics) recordSubmit(result SubmitResult, took time.Duration) {
+func (fm fleetMetrics) recordSubmit(result SubmitResult, elapsed time.Duration) {
 	switch result {
 	case Accepted:
 		fm.accepted.Inc(1)
-		fm.acceptTime.Update(took.Microseconds())
+		fm.acceptTime.Update(elapsed.Microseconds())
 	case Unknown:
 		fm.unknown.Inc(1)
 	}
--- a/fleet/organisations.go
+++ b/fleet/organisations.go
@@ -124,9 +124,9 @@
 }
 
 // readJSON reads one row; one that is not there leaves the value as it is.
-func readJSON(ctx context.Context, st Store, at Place, into any) error {
-	pg, err := st.Read(ctx, Query{Table: at.Table, Part: at.Part, From: at.Key, To: at.Key + "!", Limit: 1})
-	if err != nil || len(pg.Rows) == 0 || pg.Rows[0].Key != at.Key {
+func readJSON(ctx context.Context, st Store, place Place, into any) error {
+	pg, err := st.Read(ctx, Query{Table: place.Table, Part: place.Part, From: place.Key, To: place.Key + "!", Limit: 1})
+	if err != nil || len(pg.Rows) == 0 || pg.Rows[0].Key != place.Key {
 		return err
 	}
 	return json.Unmarshal(pg.Rows[0].Value, into)
--- a/fleet/owner.go
+++ b/fleet/owner.go
@@ -43,7 +43,7 @@
 	lost           atomic.Bool
 	cancel         context.CancelFunc
 	done           chan struct{}
-	signal         chan struct{}
+	wakeup         chan struct{}
 	writeQueue     *writeQueue
 	jobs           *tableWatch
 	mu             sync.Mutex // guards what follows
@@ -65,7 +65,7 @@
 // newOwner returns an owner of a cell that knows nothing of its jobs yet.
 func newOwner(fl *Fleet, name string, row ownerRow, cancel context.CancelFunc) *owner {
 	ow := &owner{
-		fl: fl, name: name, epoch: row.epoch(), cancel: cancel, done: make(chan struct{}), signal: make(chan struct{}, 1),
+		fl: fl, name: name, epoch: row.epoch(), cancel: cancel, done: make(chan struct{}), wakeup: make(chan struct{}, 1),
 		writeQueue: newWriteQueue(), storedProgress: map[job.ID]Row{}, orderQueues: map[cell.WorkerID]*orderQueue{},
 		claimedAt: fl.opts.Now(), claimRow: row,
 	}
@@ -77,10 +77,10 @@
 }
 
 // startOwner loads a claimed cell and begins to work on it.
-func (fl *Fleet) startOwner(ctx context.Context, name string, row, before ownerRow, asked time.Time) {
+func (fl *Fleet) startOwner(ctx context.Context, name string, row, previous ownerRow, sentAt time.Time) {
 	ctx, cancel := context.WithCancel(ctx)
 	ow := newOwner(fl, name, row, cancel)
-	claimed := fl.opts.Now()
+	claimedAt := fl.opts.Now()
 	fl.mu.Lock()
 	fl.owners[name] = ow
 	fl.mu.Unlock()
@@ -92,14 +92,14 @@
 	}
 	ow.mu.Lock()
 	ow.takenOver = true
-	ow.core.TakeOver(claimed, asked, before.Workers, before.Released)
-	ow.core.Expose(before.Exposed)
+	ow.core.TakeOver(claimedAt, sentAt, previous.Workers, previous.Released)
+	ow.core.Expose(previous.Exposed)
 	if cf := fl.config.Load(); cf != nil {
 		ow.core.Configure(cf.Queues)
 		ow.core.Organise(cf)
 	}
 	for _, wk := range fl.workerCache.inPool(job.PoolID(name)) {
-		ow.core.Register(claimed, wk)
+		ow.core.Register(claimedAt, wk)
 	}
 	ow.core.Enlisted(row.Workers)
 	ow.core.Pause(fl.pausedQueues())
@@ -197,7 +197,7 @@
 // nudge has the core plan soon.
 func (ow *owner) wake() {
 	select {
-	case ow.signal <- struct{}{}:
+	case ow.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -216,7 +216,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-ow.signal:
+		case <-ow.wakeup:
 		case <-timer.C:
 		}
 		orders, wake := ow.plan()
@@ -234,7 +234,7 @@
 	events := ow.events
 	ow.events = nil
 	now := ow.fl.opts.Now()
-	ow.core.TimeOfDay(now, ow.fl.opts.Day())
+	ow.core.TimeOfDay(now, ow.fl.opts.WallClock())
 	_, registered := ow.fl.registry.healthyPeriod()
 	ow.core.Registered(registered)
 	for _, ev := range events {
@@ -285,8 +285,8 @@
 	})
 }
 
-func (ow *owner) handlePollResult(lk cell.Looked) {
-	ow.post(func(cr *cell.Core, now time.Time) { cr.Looked(now, lk) })
+func (ow *owner) handlePollResult(result cell.Looked) {
+	ow.post(func(cr *cell.Core, now time.Time) { cr.Looked(now, result) })
 }
 
 func (ow *owner) handleOrderResult(od cell.Ordered) {
@@ -323,11 +323,11 @@
 func (ow *owner) startLatency() time.Duration {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	span, answered := ow.core.StartTime()
+	latency, answered := ow.core.StartTime()
 	if answered == 0 {
 		return 0
 	}
-	return span
+	return latency
 }
 
 // overtaken ends this owner's work.
@@ -347,13 +347,13 @@
 	for ctx.Err() == nil && !ow.lost.Load() && ow.fl.opts.Now().Before(until) {
 		ow.mu.Lock()
 		ow.quiescing = true
-		saving := ow.core.Saving() || len(ow.events) > 0
+		unsaved := ow.core.Saving() || len(ow.events) > 0
 		var orders []cell.Order
-		if saving {
+		if unsaved {
 			orders = saveOrders(ow.core.Plan(ow.fl.opts.Now()))
 		}
 		ow.mu.Unlock()
-		if !saving {
+		if !unsaved {
 			return
 		}
 		for _, od := range orders {
--- a/fleet/ownership.go
+++ b/fleet/ownership.go
@@ -67,7 +67,7 @@
 )
 
 // cells lists the cells that there have to be.
-func (fl *Fleet) cells() []string {
+func (fl *Fleet) cellNames() []string {
 	names := []string{machinesCell}
 	if cf := fl.config.Load(); cf != nil {
 		for _, pool := range cf.Pools {
@@ -93,7 +93,7 @@
 		}
 		live := fl.liveNodes()
 		fl.updateLayout(live)
-		for _, name := range fl.cells() {
+		for _, name := range fl.cellNames() {
 			fl.claimIfVacant(ctx, now, name, live)
 		}
 		if now.Sub(started) > startupSettleTime && now.Sub(moved) > cellMoveInterval && fl.rebalance(ctx, live) {
@@ -209,7 +209,7 @@
 	place := Place{tableControl, name, ownerKey}
 	callCtx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	asked := fl.opts.Now()
+	sentAt := fl.opts.Now()
 	version, err := fl.store.Commit(callCtx, Tx{Expect: []Expect{{place, old.version}}, Write: []Row{{Table: place.Table, Part: place.Part, Key: place.Key, Value: raw}}})
 	var cf *Conflict
 	if errors.As(err, &cf) {
@@ -234,7 +234,7 @@
 		fl.startMachineController(ctx, next, old)
 		return
 	}
-	fl.startOwner(ctx, name, next, old, asked)
+	fl.startOwner(ctx, name, next, old, sentAt)
 }
 
 // claimedBefore returns the version of an own earlier claim whose answer was lost, 0 if the row is another's.
@@ -249,8 +249,8 @@
 }
 
 // usedWorkers are those that earlier owners used and those that are registered.
-func (fl *Fleet) mergeWorkers(name string, before []cell.Ref) []cell.Ref {
-	list := slices.Clone(before)
+func (fl *Fleet) mergeWorkers(name string, previous []cell.Ref) []cell.Ref {
+	list := slices.Clone(previous)
 	for _, wk := range fl.workerCache.inPool(job.PoolID(name)) {
 		if !slices.ContainsFunc(list, func(rf cell.Ref) bool { return rf.ID == wk.ID }) {
 			list = append(list, cell.Ref{ID: wk.ID, Address: wk.Address, Machine: wk.Machine})
--- a/fleet/partition_test.go
+++ b/fleet/partition_test.go
@@ -26,7 +26,7 @@
 func TestCutOffInstanceSendsCallersElsewhere(t *testing.T) {
 	cl, here, beside, far := partitionSite(t)
 	for _, nd := range []*testNode{here, beside} {
-		nd.faultyStore.set(func(fs *faultyStore) { fs.silent = true })
+		nd.faultyStore.set(func(fs *faultyStore) { fs.unresponsive = true })
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -51,7 +51,7 @@
 	if result := cl.submit(here, "c2"); result != Refused {
 		t.Errorf("verdict %d for a new job", result)
 	}
-	here.faultyStore.set(func(fs *faultyStore) { fs.silent = false })
+	here.faultyStore.set(func(fs *faultyStore) { fs.unresponsive = false })
 	cl.eventually("it is ready again", here.Ready)
 }
 
@@ -59,7 +59,7 @@
 func TestStoreOutageIsNotAPartition(t *testing.T) {
 	cl, here, beside, far := partitionSite(t)
 	for _, nd := range []*testNode{here, beside, far} {
-		nd.faultyStore.set(func(fs *faultyStore) { fs.silent = true })
+		nd.faultyStore.set(func(fs *faultyStore) { fs.unresponsive = true })
 	}
 	cl.eventually("the store has been silent for long", func() bool { return time.Since(here.store.lastAnswer()) > 4*partitionSilence })
 	if here.CutOff() || !here.Ready() {
@@ -96,11 +96,11 @@
 	owner := cl.waitOwner(one)
 	two := cl.start("two")
 	cl.eventually("the peer is known", func() bool { return two.Ready() && len(one.members.others("one")) > 0 })
-	owner.faultyStore.set(func(fs *faultyStore) { fs.silent = true })
+	owner.faultyStore.set(func(fs *faultyStore) { fs.unresponsive = true })
 	cl.eventually("it goes through peers", owner.store.proxying)
 	before := 0
-	for at := range 8 {
-		id := fmt.Sprintf("late%d", at)
+	for i := range 8 {
+		id := fmt.Sprintf("late%d", i)
 		cl.write(Row{Table: "registry", Key: id, Value: []byte("{}")})
 		cl.eventually("the owner knows "+id, func() bool {
 			now := owner
@@ -110,7 +110,7 @@
 			}
 			return slices.ContainsFunc(now.workerCache.inPool("pool"), func(wk cell.Worker) bool { return string(wk.ID) == id })
 		})
-		if at == 0 {
+		if i == 0 {
 			before = owner.faultyStore.feedCalls("registry")
 		}
 		time.Sleep(directProbeInterval / 2)
@@ -118,6 +118,6 @@
 	if tries := owner.faultyStore.feedCalls("registry") - before; tries > 1 {
 		t.Errorf("the direct way was tried with %d feeds", tries)
 	}
-	owner.faultyStore.set(func(fs *faultyStore) { fs.silent = false })
+	owner.faultyStore.set(func(fs *faultyStore) { fs.unresponsive = false })
 	cl.eventually("it goes the direct way again", func() bool { return !owner.store.proxying() })
 }
--- a/fleet/pause.go
+++ b/fleet/pause.go
@@ -45,8 +45,8 @@
 	if err != nil {
 		return err
 	}
-	at := pausePlace(ps.Queue)
-	_, err = st.Commit(ctx, Tx{Write: []Row{{Table: at.Table, Part: at.Part, Key: at.Key, Value: raw}}})
+	place := pausePlace(ps.Queue)
+	_, err = st.Commit(ctx, Tx{Write: []Row{{Table: place.Table, Part: place.Part, Key: place.Key, Value: raw}}})
 	return err
 }
 
--- a/fleet/payloads.go
+++ b/fleet/payloads.go
@@ -72,7 +72,7 @@
 func (pc *payloadCache) startFetch(id job.ID) (*payloadFetch, bool) {
 	pc.mu.Lock()
 	defer pc.mu.Unlock()
-	if pf, open := pc.fetches[id]; open {
+	if pf, started := pc.fetches[id]; started {
 		return pf, false
 	}
 	pf := &payloadFetch{done: make(chan struct{})}
@@ -117,8 +117,8 @@
 func (fl *Fleet) storedPayload(ctx context.Context, id job.ID) (string, bool) {
 	ctx, cancel := context.WithTimeout(ctx, intakeReadTimeout)
 	defer cancel()
-	rw, there, err := fl.readRow(ctx, Place{tablePayload, partName(homePart(id)), string(id)})
-	if err != nil || !there {
+	rw, exists, err := fl.readRow(ctx, Place{tablePayload, partName(homePart(id)), string(id)})
+	if err != nil || !exists {
 		fl.logJob(event.PayloadMissing, id, zap.Bool("storeAnswered", err == nil))
 		return "", false
 	}
--- a/fleet/payloads_test.go
+++ b/fleet/payloads_test.go
@@ -32,10 +32,10 @@
 
 // TestPayloadLiesApartFromItsJob: what owners read and are told of a job holds no payload, and its tasks are started with it all the same,
 // also when the instance that accepted it is gone.
-func TestPayloadLiesApartFromItsJob(t *testing.T) {
+func TestPayloadIsStoredSeparately(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	log := &payloadRecorder{fakeWorkers: cl.workers, seen: map[job.Task]string{}}
-	cl.workersAt = func(string) Workers { return log }
+	cl.workersFor = func(string) Workers { return log }
 	one, two := cl.start("one"), cl.start("two")
 	owner := cl.waitOwner(one, two)
 	other := one
@@ -43,9 +43,9 @@
 		other = two
 	}
 	cl.eventually("all read the new layout", func() bool { return one.separatePayloads.Load() && two.separatePayloads.Load() && other.Ready() })
-	for at, gone := range []bool{false, true} {
-		sp := testSpec(job.ID(fmt.Sprintf("%016x", at)))
-		sp.Payload = fmt.Sprintf("payload %d", at)
+	for i, gone := range []bool{false, true} {
+		sp := testSpec(job.ID(fmt.Sprintf("%016x", i)))
+		sp.Payload = fmt.Sprintf("payload %d", i)
 		if gone {
 			// Its instance remembers nothing, as one that was started anew.
 			other.payloads = newPayloadCache()
@@ -77,7 +77,7 @@
 }
 
 // TestPayloadStaysWithItsJobForOlderInstances: an instance that reads only the former layout would start its tasks without it.
-func TestPayloadStaysWithItsJobForOlderInstances(t *testing.T) {
+func TestPayloadStaysInJobRowForOlderInstances(t *testing.T) {
 	cl := newCluster(t, time.Hour)
 	fl := cl.start("one").Fleet
 	fl.updateLayout(map[string]node{"one": {Layout: layoutSeparatePayloads}, "old": {}})
@@ -93,12 +93,12 @@
 }
 
 // TestPayloadsAreBounded: the oldest ones are forgotten.
-func TestPayloadsAreBounded(t *testing.T) {
+func TestPayloadCacheIsBounded(t *testing.T) {
 	pc := newPayloadCache()
 	text := strings.Repeat("x", job.MaxPayloadBytes)
 	const many = 2 * payloadCacheBytes / job.MaxPayloadBytes
-	for at := range many {
-		pc.put(job.ID(fmt.Sprint(at)), text)
+	for i := range many {
+		pc.put(job.ID(fmt.Sprint(i)), text)
 	}
 	if pc.bytes > payloadCacheBytes || len(pc.texts) != len(pc.order) {
 		t.Errorf("%d bytes, %d of %d payloads in order", pc.bytes, len(pc.order), len(pc.texts))
@@ -109,7 +109,7 @@
 }
 
 // TestMorePeersShareStartsThatQueue: whatever makes them queue, and fewer once they do not.
-func TestMorePeersShareStartsThatQueue(t *testing.T) {
+func TestSlowStartsUseMorePeers(t *testing.T) {
 	breadth := 1.0
 	for range 3 {
 		breadth = nextScale(breadth, 2*slowStart)
@@ -129,7 +129,7 @@
 }
 
 // TestQueueThatIsFullIsRefusedEverywhere: each instance refuses its jobs at once, with the time that it was told, until the word is old.
-func TestQueueThatIsFullIsRefusedEverywhere(t *testing.T) {
+func TestFullQueueIsRefusedByAllInstances(t *testing.T) {
 	cl := newCluster(t, time.Hour)
 	nd := cl.start("one")
 	cl.waitOwner(nd)
--- a/fleet/relay_test.go
+++ b/fleet/relay_test.go
@@ -60,15 +60,15 @@
 func TestRelayAssignmentIsStable(t *testing.T) {
 	links := func(count int) []*relayLink {
 		var list []*relayLink
-		for at := range count {
-			list = append(list, &relayLink{node: node{Name: fmt.Sprintf("n%d", at), Hall: fmt.Sprintf("h%d", at%3), Power: 0.2}})
+		for i := range count {
+			list = append(list, &relayLink{node: node{Name: fmt.Sprintf("n%d", i), Hall: fmt.Sprintf("h%d", i%3), Power: 0.2}})
 		}
 		return list
 	}
 	const workers = 300
 	moved, far := 0, 0
-	for at := range workers {
-		id, hall := fmt.Sprintf("w%d", at), fmt.Sprintf("h%d", at%3)
+	for i := range workers {
+		id, hall := fmt.Sprintf("w%d", i), fmt.Sprintf("h%d", i%3)
 		before, after := bestRelay(id, hall, links(12)), bestRelay(id, hall, links(13))
 		if before.node.Name != after.node.Name {
 			moved++
@@ -99,7 +99,7 @@
 // linkTo is a link to a peer, of an owner that only takes events.
 func linkTo(call func(*peer.RelayRequest) (*peer.RelayResponse, error)) (*relayLink, *owner) {
 	fl := New(Options{Name: "one", Store: &faultyStore{mem: newMemStore()}, Workers: newWorkers(time.Second), Machines: noMachines{}, Format: testFormat{}})
-	ow := &owner{fl: fl, name: "pool", signal: make(chan struct{}, 1)}
+	ow := &owner{fl: fl, name: "pool", wakeup: make(chan struct{}, 1)}
 	ow.relays = newRelays(ow)
 	ln := &relayLink{rs: ow.relays, node: node{Name: "two", Incarnation: "i2"}, peer: relayPeer{call: call}, pending: map[uint64]pendingOrder{}}
 	return ln, ow
@@ -259,11 +259,11 @@
 // the peers are taken away one after the other.
 func TestLargeCellUsesRelays(t *testing.T) {
 	cl := newCluster(t, 50*time.Millisecond)
-	for at := range relayThreshold + 10 {
-		cl.write(Row{Table: "registry", Key: fmt.Sprintf("x%d", at), Value: []byte("{}")})
+	for i := range relayThreshold + 10 {
+		cl.write(Row{Table: "registry", Key: fmt.Sprintf("x%d", i), Value: []byte("{}")})
 	}
 	counts := &callCount{fakeWorkers: cl.workers, by: map[string]int{}}
-	cl.workersAt = func(name string) Workers { return countingWorkers{counts, name} }
+	cl.workersFor = func(name string) Workers { return countingWorkers{counts, name} }
 	var nodes []*testNode
 	for _, name := range []string{"one", "two", "three"} {
 		nodes = append(nodes, cl.start(name))
@@ -286,9 +286,9 @@
 	}
 	counts.reset()
 	submit()
-	for at := range submitted {
-		cl.waitCompleted(ow, job.ID(fmt.Sprintf("%016x", at)))
-		cl.checkRanOnce(job.ID(fmt.Sprintf("%016x", at)))
+	for i := range submitted {
+		cl.waitCompleted(ow, job.ID(fmt.Sprintf("%016x", i)))
+		cl.checkRanOnce(job.ID(fmt.Sprintf("%016x", i)))
 	}
 	if own, all := counts.of(ow.opts.Name); own*2 > all {
 		t.Errorf("the owner made %d of %d calls to workers itself", own, all)
@@ -300,8 +300,8 @@
 		}
 	}
 	submit()
-	for at := range submitted {
-		cl.waitCompleted(ow, job.ID(fmt.Sprintf("%016x", at)))
+	for i := range submitted {
+		cl.waitCompleted(ow, job.ID(fmt.Sprintf("%016x", i)))
 	}
 }
 
--- a/fleet/release.go
+++ b/fleet/release.go
@@ -39,26 +39,26 @@
 		return false
 	}
 	now := fl.opts.Now()
-	own := slices.DeleteFunc(fl.allOwners(), func(ow *owner) bool { return !ow.canMove(now, ratio > waitingMoveRatio) })
-	if len(own) == 0 {
+	candidates := slices.DeleteFunc(fl.allOwners(), func(ow *owner) bool { return !ow.canMove(now, ratio > waitingMoveRatio) })
+	if len(candidates) == 0 {
 		return false
 	}
-	slices.SortFunc(own, func(one, other *owner) int { return cmp.Compare(one.name, other.name) })
-	fl.opts.Log.Emit(event.CellReleased, zap.String("cell", own[0].name), zap.String("why", "another is less laden"))
-	fl.release(ctx, own[0])
+	slices.SortFunc(candidates, func(one, other *owner) int { return cmp.Compare(one.name, other.name) })
+	fl.opts.Log.Emit(event.CellReleased, zap.String("cell", candidates[0].name), zap.String("why", "another is less laden"))
+	fl.release(ctx, candidates[0])
 	return true
 }
 
 // lighter is by how many times less laden than this instance another one would be with one more cell, at the most.
 func (fl *Fleet) bestLoadRatio(live map[string]node) float64 {
 	held := fl.members.cellCounts()
-	mine, most := live[fl.opts.Name].load(held[fl.opts.Name]), 0.0
+	own, best := live[fl.opts.Name].load(held[fl.opts.Name]), 0.0
 	for name, nd := range live {
 		if name != fl.opts.Name && !nd.Leaving {
-			most = max(most, mine/nd.load(held[name]+1))
+			best = max(best, own/nd.load(held[name]+1))
 		}
 	}
-	return most
+	return best
 }
 
 // release ends an owner's work and leaves its cell without an owner.
--- a/fleet/release_test.go
+++ b/fleet/release_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestPressedCellIsNotGivenAway replays a handover in a burst: while a job waits, a cell goes only to an instance that would be far less laden.
-func TestPressedCellIsNotGivenAway(t *testing.T) {
+func TestCellWithWaitingJobsIsNotMoved(t *testing.T) {
 	cl := newCluster(t, 20*time.Millisecond)
 	one := cl.start("one")
 	cl.waitOwner(one)
@@ -40,20 +40,20 @@
 	}
 }
 
-func TestHowMuchLessLadenAnotherIs(t *testing.T) {
+func TestBestLoadRatio(t *testing.T) {
 	fl := New(Options{Name: "small", Store: &faultyStore{mem: newMemStore()}, Workers: newWorkers(0), Machines: noMachines{}, Format: testFormat{}})
 	live := map[string]node{"small": {Name: "small", Power: 0.2}, "large": {Name: "large", Power: 0.8}, "leaving": {Name: "leaving", Power: 8, Leaving: true}}
-	own := func(cells ...string) {
+	setHolders := func(cells ...string) {
 		fl.members.owners = map[string]ownerRow{}
-		for at, holder := range cells {
-			fl.members.owners[string(rune('a'+at))] = ownerRow{Holder: holder}
+		for i, holder := range cells {
+			fl.members.owners[string(rune('a'+i))] = ownerRow{Holder: holder}
 		}
 	}
 	for _, tc := range []struct {
 		cells []string
 		want  float64
 	}{{nil, 0}, {[]string{"small"}, 4}, {[]string{"small", "large", "large", "large"}, 1}, {[]string{"small", "small", "large"}, 4}} {
-		own(tc.cells...)
+		setHolders(tc.cells...)
 		if got := fl.bestLoadRatio(live); got != tc.want {
 			t.Errorf("%v: %v, want %v", tc.cells, got, tc.want)
 		}
@@ -61,7 +61,7 @@
 }
 
 // TestLoadsAreAskedOfOwners: instances without cells are called only to be told that a queue is full.
-func TestLoadsAreAskedOfOwners(t *testing.T) {
+func TestLoadsAreRequestedFromOwners(t *testing.T) {
 	mb := newMembers(time.Now, nil)
 	for _, name := range []string{"a", "b", "c"} {
 		mb.nodes[name] = node{Name: name}
--- a/fleet/serialstore_test.go
+++ b/fleet/serialstore_test.go
@@ -155,8 +155,8 @@
 // startIntake starts the intakes of some instances until the context ends.
 func startIntake(ctx context.Context, store *serialStore, count int) intakeFleet {
 	fl := intakeFleet{store: store}
-	for at := range count {
-		nd := New(Options{Name: fmt.Sprintf("n%d", at), Store: store, Machines: noMachines{}, Format: testFormat{}})
+	for i := range count {
+		nd := New(Options{Name: fmt.Sprintf("n%d", i), Store: store, Machines: noMachines{}, Format: testFormat{}})
 		nd.background = ctx
 		fl.nodes = append(fl.nodes, nd)
 		for _, in := range nd.intakes {
@@ -268,8 +268,8 @@
 		store := newSerialStore(60)
 		du := startLeaseHolder(ctx, t, store)
 		time.Sleep(10 * time.Second)
-		for at := range wanted {
-			du.execute(ctx, machine.Want{Drain: machine.Drain{Machine: cell.MachineID(fmt.Sprintf("m%d", at)), Pool: "pool"}})
+		for i := range wanted {
+			du.execute(ctx, machine.Want{Drain: machine.Drain{Machine: cell.MachineID(fmt.Sprintf("m%d", i)), Pool: "pool"}})
 		}
 		if lost := countLeaseGaps(du, 100); lost > 0 {
 			t.Errorf("the lease was lost at %d of 100 moments", lost)
@@ -288,8 +288,8 @@
 	store := newSerialStore(60)
 	fl := New(Options{Name: "one", Store: store, Machines: noMachines{}, Format: testFormat{}})
 	ids := map[cell.WorkerName]bool{}
-	for at := range wanted {
-		id := fmt.Sprintf("%02d", at)
+	for i := range wanted {
+		id := fmt.Sprintf("%02d", i)
 		ids[cell.WorkerName("w"+id)] = true
 		fl.members.applyDrain(Row{Key: drainPrefix + "m" + id, Version: 7, Value: fmt.Appendf(nil, `{"machine":"m%s","worker":"w%s","pool":"pool"}`, id, id)})
 	}
--- a/fleet/start_test.go
+++ b/fleet/start_test.go
@@ -9,10 +9,10 @@
 
 // TestStartReadsNoPartForEachInstance replays what an instance meets that starts with 300 others: the reads that it makes of their rows do not
 // grow with their number. With a part for each they were 300 and more.
-func TestStartReadsNoPartForEachInstance(t *testing.T) {
+func TestStartupReadsDoNotGrowWithInstances(t *testing.T) {
 	cl := newCluster(t, 20*time.Millisecond)
-	for at := range 300 {
-		name := fmt.Sprintf("edge-%d", at)
+	for i := range 300 {
+		name := fmt.Sprintf("edge-%d", i)
 		raw, err := json.Marshal(node{Name: name, Address: "127.0.0.1:1", Hall: "h", Incarnation: "i", Layout: layoutSeparatePayloads})
 		if err != nil {
 			t.Fatal(err)
@@ -49,7 +49,7 @@
 
 // TestBeatsOfManyDoNotGrowWithTheirSquare: each reads what all write, so that idle instances of a large fleet write less often; up to a hundred
 // nothing changes.
-func TestBeatsOfManyDoNotGrowWithTheirSquare(t *testing.T) {
+func TestIdleHeartbeatRateIsBounded(t *testing.T) {
 	if idleHeartbeatDelay(1) != idleHeartbeatInterval || idleHeartbeatDelay(100) != idleHeartbeatInterval {
 		t.Errorf("small fleets: %v %v", idleHeartbeatDelay(1), idleHeartbeatDelay(100))
 	}
@@ -64,7 +64,7 @@
 }
 
 // TestNewerRowOfAnInstanceCounts: one that ran another version before has a row in another part as well, which may be read after.
-func TestNewerRowOfAnInstanceCounts(t *testing.T) {
+func TestNewerNodeRowWins(t *testing.T) {
 	mb := newMembers(time.Now, nil)
 	for _, rw := range []Row{
 		{Part: "nodes/1", Key: "node/a", Value: []byte(`{"name":"a","incarnation":"new"}`), Version: 9},
--- a/fleet/txkind.go
+++ b/fleet/txkind.go
@@ -49,15 +49,15 @@
 }
 
 // tell counts a transaction, and writes down one that took long or failed.
-func (sc *storeClient) tell(tx Tx, span time.Duration, err error) {
+func (sc *storeClient) tell(tx Tx, elapsed time.Duration, err error) {
 	kind, part := txKindOf(tx)
-	sc.metrics.commits[kind].Update(span.Microseconds())
+	sc.metrics.commits[kind].Update(elapsed.Microseconds())
 	word := carryOutcome(err)
 	if word == carryNoAnswer {
 		sc.metrics.unanswered[kind].Inc(1)
 	}
-	if span < slowCommitThreshold && (word == carryDone || word == carryConflict) {
+	if elapsed < slowCommitThreshold && (word == carryDone || word == carryConflict) {
 		return
 	}
-	sc.log.Emit(event.StoreSlow, zap.String("matter", string(kind)), zap.String("part", part), zap.Int("rows", len(tx.Write)), zap.Duration("took", span), zap.String("outcome", word))
+	sc.log.Emit(event.StoreSlow, zap.String("matter", string(kind)), zap.String("part", part), zap.Int("rows", len(tx.Write)), zap.Duration("took", elapsed), zap.String("outcome", word))
 }
--- a/fleet/workertimeout.go
+++ b/fleet/workertimeout.go
@@ -38,21 +38,21 @@
 func (aw *adaptiveWorkers) timeout() time.Duration {
 	aw.mu.Lock()
 	defer aw.mu.Unlock()
-	span := max(workerMinTimeout, workerTimeoutFactor*aw.answerTime)
-	return min(workerMaxTimeout, span<<min(aw.consecutiveTimeouts/timeoutsPerDoubling, workerMaxDoublings))
+	elapsed := max(workerMinTimeout, workerTimeoutFactor*aw.answerTime)
+	return min(workerMaxTimeout, elapsed<<min(aw.consecutiveTimeouts/timeoutsPerDoubling, workerMaxDoublings))
 }
 
 // took notes how long an answer took beyond the time for which it was held back, or that none came.
-func (aw *adaptiveWorkers) recordAnswer(span time.Duration, held time.Duration, oc cell.Outcome) {
+func (aw *adaptiveWorkers) recordAnswer(elapsed time.Duration, held time.Duration, oc cell.Outcome) {
 	aw.mu.Lock()
 	defer aw.mu.Unlock()
 	switch {
 	case oc == cell.Unsent:
 	case oc == cell.Silent:
 		aw.consecutiveTimeouts++
-	case span > held:
+	case elapsed > held:
 		// An answer that came before its time was held back for an end tells nothing of the way.
-		aw.answerTime += time.Duration(latencyWeight * float64(span-held-aw.answerTime))
+		aw.answerTime += time.Duration(latencyWeight * float64(elapsed-held-aw.answerTime))
 		aw.consecutiveTimeouts = 0
 	default:
 		aw.consecutiveTimeouts = 0
--- a/fleet/workertimeout_test.go
+++ b/fleet/workertimeout_test.go
@@ -9,7 +9,7 @@
 
 // TestPatienceFollowsTheWayToWorkers: single answers that are lost, or a worker that is gone, change nothing; where none comes any more, or
 // all are slow, calls are waited for longer, up to a bound, and as before once answers are quick again.
-func TestPatienceFollowsTheWayToWorkers(t *testing.T) {
+func TestWorkerTimeoutFollowsAnswerTimes(t *testing.T) {
 	aw := &adaptiveWorkers{}
 	quick := func() { aw.recordAnswer(2*time.Millisecond, 0, cell.Done) }
 	for range 100 {
--- a/fleet/writes.go
+++ b/fleet/writes.go
@@ -77,10 +77,10 @@
 
 // waited notes how long a batch waited for the one before.
 func (ow *owner) recordWriteWait(wb writeBatch) {
-	span := ow.fl.opts.Now().Sub(wb.queuedAt)
-	ow.fl.metrics.writeWait.Update(span.Microseconds())
-	if span >= slowCommitThreshold {
-		ow.fl.opts.Log.Emit(event.WriteWaited, zap.String("cell", ow.name), zap.Bool("progress", wb.save != nil), zap.Bool("workers", wb.enlist != nil), zap.Duration("waited", span))
+	waited := ow.fl.opts.Now().Sub(wb.queuedAt)
+	ow.fl.metrics.writeWait.Update(waited.Microseconds())
+	if waited >= slowCommitThreshold {
+		ow.fl.opts.Log.Emit(event.WriteWaited, zap.String("cell", ow.name), zap.Bool("progress", wb.save != nil), zap.Bool("workers", wb.enlist != nil), zap.Duration("waited", waited))
 	}
 }
 
--- a/fleet/writes_test.go
+++ b/fleet/writes_test.go
@@ -13,7 +13,7 @@
 
 // TestProgressDoesNotWaitForEachNewWorker: workers come to a cell one after the other while the store is sixty times slower. The owner
 // goes on deciding, and an end is kept, and so can be told, after a transaction or two.
-func TestProgressDoesNotWaitForEachNewWorker(t *testing.T) {
+func TestSaveIsNotDelayedByWorkerUpdates(t *testing.T) {
 	const (
 		come   = 60
 		gap    = 50 * time.Millisecond
@@ -24,10 +24,10 @@
 		var refs []cell.Ref
 		var asked int
 		stalls := 0
-		for at := range come {
-			refs = append(refs, workerRefs(cell.WorkerID(fmt.Sprintf("w%d", at)))...)
+		for i := range come {
+			refs = append(refs, workerRefs(cell.WorkerID(fmt.Sprintf("w%d", i)))...)
 			began := time.Now()
-			if at == saveAt {
+			if i == saveAt {
 				asked = store.count()
 				ow.execute(ctx, cell.Save{Rows: []cell.SaveRow{{ID: "a1", Progress: &job.Progress{State: job.Completed}}}})
 			}
@@ -40,26 +40,26 @@
 		if stalls > 0 {
 			t.Errorf("the owner stood still at %d of %d orders", stalls, come)
 		}
-		kept := 0
-		for kept == 0 && store.count() < asked+come {
+		transactions := 0
+		for transactions == 0 && store.count() < asked+come {
 			time.Sleep(gap)
 			if len(store.mm.read(Query{Table: tableProgress, Part: "pool"}).Rows) > 0 {
-				kept = store.count() - asked
+				transactions = store.count() - asked
 			}
 		}
-		if kept > 3 {
-			t.Errorf("the end was kept after %d transactions", kept)
+		if transactions > 3 {
+			t.Errorf("the end was kept after %d transactions", transactions)
 		}
 		time.Sleep(time.Minute)
 		if got := len(cellRow(t, store).Workers); got != come {
 			t.Errorf("the cell's row names %d of %d workers", got, come)
 		}
-		t.Logf("%d transactions, the end kept after %d", store.count(), kept)
+		t.Logf("%d transactions, the end kept after %d", store.count(), transactions)
 	})
 }
 
 // TestLostAnswersHoldUpProgressBriefly: a third of the transactions are done and not answered; progress comes five times a second.
-func TestLostAnswersHoldUpProgressBriefly(t *testing.T) {
+func TestLostAnswersDelaySavesBriefly(t *testing.T) {
 	const saves = 100
 	withFakeClock(t, func(ctx context.Context, t *testing.T) {
 		ow, store := startWriter(ctx, t)
@@ -67,8 +67,8 @@
 		store.loseAnswers(5, 0.35)
 		began := time.Now()
 		late := 0
-		for at := range saves {
-			key := job.ID(fmt.Sprintf("a%d", at))
+		for i := range saves {
+			key := job.ID(fmt.Sprintf("a%d", i))
 			asked := time.Now()
 			ow.execute(ctx, cell.Save{Rows: []cell.SaveRow{{ID: key, Progress: &job.Progress{State: job.Completed}}}})
 			for len(ow.drainEvents()) == 0 {
@@ -126,7 +126,7 @@
 
 // While jobs end faster than a round every three seconds takes out of the table of open ones, it goes on at once: a new owner read more than two
 // megabytes of ended jobs over a link of 250 KB/s, and lost the cell before it had done so.
-func TestEndedJobsAreTakenOutAtTheRateAtWhichTheyEnd(t *testing.T) {
+func TestArchiveKeepsUpWithEndedJobs(t *testing.T) {
 	if got := archiveDelay(archiveBatchSize); got != archiveBacklogInterval {
 		t.Errorf("%v after a full round", got)
 	}
--- a/serve.go
+++ b/serve.go
@@ -184,7 +184,7 @@
 	sizes.Margin, sizes.Standby, sizes.StandbyLong, sizes.IdleFor, sizes.Ahead = cs.Margin, cs.Standby, cs.StandbyLong, cs.IdleFor, cs.Ahead
 	op := fleet.Options{
 		Name: st.Name, Hall: st.Hall, Address: st.PeerAddress, Seeds: st.Seeds, Power: st.Power,
-		Store: platform.NewStore(st.StoreAddress, platform.Metered(bytes)), OnePart: st.OnePart, Workers: platform.NewWorkers(platform.Metered(bytes)), Machines: platform.NewMachines(st.MachinesAddress), Format: platform.Format{},
+		Store: platform.NewStore(st.StoreAddress, platform.Metered(bytes)), SinglePartTx: st.OnePart, Workers: platform.NewWorkers(platform.Metered(bytes)), Machines: platform.NewMachines(st.MachinesAddress), Format: platform.Format{},
 		Cell: cell.Options{
 			LeaseDuration: min(cs.Lease, st.LeaseMax), RenewalWindow: cs.RenewFor, RegistrationMaxAge: st.RoomFor, PollInterval: cs.LookGap, StopTimeout: st.StopTime, EarlyStart: st.Early, RemoteFactor: st.RemoteFactor,
 			Retention: st.Retention + cell.DefaultRetention/5,
