--- a/cell/answer.go
+++ b/cell/answer.go
@@ -16,25 +16,25 @@
 	return true
 }
 
-// Ordered takes the result of a start, stop or pace.
-func (cr *Core) Ordered(now time.Time, od Ordered) {
+// HandleOrder takes the result of a start, stop or pace.
+func (cr *Core) HandleOrder(now time.Time, od OrderResult) {
 	switch order := od.Order.(type) {
 	case Start:
 		cr.started(now, order, od)
 	case Stop:
 		cr.stopped(now, order, od)
-	case Pace:
+	case Throttle:
 		cr.paced(now, order, od)
 	}
 }
 
-func (cr *Core) started(now time.Time, order Start, od Ordered) {
+func (cr *Core) started(now time.Time, order Start, od OrderResult) {
 	wk := cr.workers[order.Worker]
 	if wk == nil {
 		return
 	}
 	wk.tick(od.Clock, od.Received)
-	if od.Outcome == Dead {
+	if od.Outcome == WrongIncarnation {
 		cr.bury(now, wk, "another life answers", order.Token)
 		return
 	}
@@ -45,7 +45,7 @@
 	if pl.phase != starting && !(pl.phase == stopping && pl.acked.IsZero()) {
 		return
 	}
-	if od.Outcome != Silent && od.Outcome != Unsent {
+	if od.Outcome != NoAnswer && od.Outcome != NotSent {
 		cr.window.took(now, od.Received.Sub(pl.ordered))
 	}
 	switch od.Outcome {
@@ -55,18 +55,18 @@
 		}
 		pl.acked, pl.seenAt = now, now
 		wk.nextLook = earliest(wk.nextLook, now.Add(cr.opts.PollInterval))
-	case Silent:
+	case NoAnswer:
 		// It may still happen. A look under a higher token settles it.
 		pl.phase, wk.doubtful = uncertain, true
 		if pl.token == cr.token(wk) {
 			wk.raise()
 		}
 		wk.nextLook = now
-	case Overtaken:
+	case Superseded:
 		if !cr.overtaken(wk, order.Token) {
 			cr.release(now, pl, "an own higher token came first")
 		}
-	case Stale:
+	case AttemptEnded:
 		// The number is used up; the next attempt has a higher one.
 		cr.release(now, pl, "attempt known as ended")
 	default:
@@ -80,17 +80,17 @@
 	switch oc {
 	case NoRoom:
 		wk.nextLook, wk.unwellUntil = now, now.Add(unwellFor)
-	case Unwell:
+	case Unhealthy:
 		wk.unwellUntil = now.Add(unwellFor)
 		ts.avoid = wk.info.ID
-	case NoTicket:
+	case TicketInvalid:
 		pl.step.tickets = nil
-	case Unsent:
+	case NotSent:
 		wk.unwellUntil = now.Add(unwellFor)
 		wk.nextLook = now
 	case Invalid:
 		ts.notBefore = now.Add(foreignFor)
-	case Unprepared:
+	case PayloadMissing:
 		ts.notBefore = now.Add(unpreparedFor)
 	}
 	if pl.attempt == ts.attempt {
@@ -99,16 +99,16 @@
 	cr.release(now, pl, "start refused: "+oc.String())
 }
 
-func (cr *Core) stopped(now time.Time, order Stop, od Ordered) {
+func (cr *Core) stopped(now time.Time, order Stop, od OrderResult) {
 	wk := cr.workers[order.Worker]
 	if wk == nil {
 		return
 	}
 	wk.tick(od.Clock, od.Received)
 	switch od.Outcome {
-	case Dead:
+	case WrongIncarnation:
 		cr.bury(now, wk, "another life answers", order.Token)
-	case Overtaken:
+	case Superseded:
 		cr.overtaken(wk, order.Token)
 	case Done:
 		wk.nextLook = earliest(wk.nextLook, now.Add(cr.opts.PollInterval))
--- a/cell/bed_test.go
+++ b/cell/bed_test.go
@@ -14,7 +14,7 @@
 	core *Core
 	// ends counts each worker's ends, open holds the looks that have no answer yet.
 	ends map[WorkerID]int64
-	open map[WorkerID]Look
+	open map[WorkerID]Poll
 	// saved makes every save that is ordered kept at once.
 	saved bool
 }
@@ -26,7 +26,7 @@
 
 func newBed(t *testing.T, workers int) *bed {
 	t.Helper()
-	bd := &bed{t: t, now: time.Unix(1_700_000_000, 0), ends: map[WorkerID]int64{}, open: map[WorkerID]Look{}}
+	bd := &bed{t: t, now: time.Unix(1_700_000_000, 0), ends: map[WorkerID]int64{}, open: map[WorkerID]Poll{}}
 	bd.core = New(bedPool, bedEpoch, Options{StopTimeout: 400 * time.Millisecond, LeaseDuration: 5 * time.Second})
 	bd.core.TakeOver(bd.now, bd.now, nil, true)
 	bd.core.Configure([]job.Queue{{ID: "q", Pool: bedPool, MaxAttempts: 2, Stretch: 1.5, Slack: time.Second}})
@@ -41,7 +41,7 @@
 
 func (bd *bed) register(id WorkerID) {
 	bd.core.Register(bd.now, Worker{ID: id, Pool: bedPool, Address: string(id), Rack: "r" + string(id), Labels: []string{"a", "r" + string(id)}, Room: job.Size{CPUMillis: 4000, MemoryMB: 4000}})
-	bd.core.Enlisted([]Ref{{ID: id, Address: string(id)}})
+	bd.core.WorkersRecorded([]WorkerRef{{ID: id, Address: string(id)}})
 }
 
 // clock is every worker's.
@@ -51,8 +51,8 @@
 
 // plan returns the orders that are due.
 func (bd *bed) plan() []Order {
-	bd.core.Confirmed(bd.now)
-	bd.core.Registered(bd.now)
+	bd.core.OwnershipConfirmed(bd.now)
+	bd.core.RegistrationsRead(bd.now)
 	return bd.planAsIs()
 }
 
@@ -71,7 +71,7 @@
 // lookAll answers the looks that are due with nothing.
 func (bd *bed) lookAll() {
 	for _, od := range bd.plan() {
-		if lk, ok := od.(Look); ok {
+		if lk, ok := od.(Poll); ok {
 			bd.looked(lk, nil, nil)
 		}
 	}
@@ -85,13 +85,13 @@
 }
 
 // looked answers a look.
-func (bd *bed) looked(lk Look, running []Running, ended []End) {
+func (bd *bed) looked(lk Poll, running []Running, ended []End) {
 	delete(bd.open, lk.Worker)
-	bd.core.Looked(bd.now, Looked{Look: lk, Outcome: Done, Sent: bd.now, Received: bd.now, Clock: bd.clock(), Running: running, Ended: ended})
+	bd.core.HandlePoll(bd.now, PollResult{Poll: lk, Outcome: Done, Sent: bd.now, Received: bd.now, Clock: bd.clock(), Running: running, Ended: ended})
 }
 
 func (bd *bed) add(id job.ID, epoch job.Epoch, steps ...job.Step) {
-	bd.core.Add(bd.now, Stored{Spec: &job.Spec{ID: id, Queue: "q", Pool: bedPool, Steps: steps, Epoch: epoch, AcceptedAt: bd.now}})
+	bd.core.Add(bd.now, StoredJob{Spec: &job.Spec{ID: id, Queue: "q", Pool: bedPool, Steps: steps, Epoch: epoch, AcceptedAt: bd.now}})
 }
 
 // starts are the starts among some orders.
@@ -105,10 +105,10 @@
 	return list
 }
 
-func looksOf(orders []Order) map[WorkerID]Look {
-	list := map[WorkerID]Look{}
+func looksOf(orders []Order) map[WorkerID]Poll {
+	list := map[WorkerID]Poll{}
 	for _, od := range orders {
-		if lk, ok := od.(Look); ok {
+		if lk, ok := od.(Poll); ok {
 			list[lk.Worker] = lk
 		}
 	}
@@ -135,17 +135,17 @@
 }
 
 func (bd *bed) ordered(od Order, oc Outcome) {
-	bd.core.Ordered(bd.now, Ordered{Order: od, Outcome: oc, Sent: bd.now, Received: bd.now, Clock: bd.clock()})
+	bd.core.HandleOrder(bd.now, OrderResult{Order: od, Outcome: oc, Sent: bd.now, Received: bd.now, Clock: bd.clock()})
 }
 
 // end makes an end with the worker's next number.
-func (bd *bed) end(st Start, how How) End {
+func (bd *bed) end(st Start, how EndReason) End {
 	bd.ends[st.Worker]++
-	return End{Number: bd.ends[st.Worker], Task: st.Task, Attempt: st.Attempt, How: how}
+	return End{Number: bd.ends[st.Worker], Task: st.Task, Attempt: st.Attempt, Reason: how}
 }
 
 // nextLook waits for a look at a worker.
-func (bd *bed) nextLook(id WorkerID) Look {
+func (bd *bed) nextLook(id WorkerID) Poll {
 	bd.t.Helper()
 	for range 50 {
 		bd.plan()
@@ -155,7 +155,7 @@
 		bd.pass(50 * time.Millisecond)
 	}
 	bd.t.Fatalf("%s is not looked at", id)
-	return Look{}
+	return Poll{}
 }
 
 func tasks(count int) job.Step {
@@ -178,11 +178,11 @@
 	if !open {
 		return
 	}
-	if wk := bd.core.workers[id]; lk.Until != 0 && wk.fails > 0 {
+	if wk := bd.core.workers[id]; lk.LeaseUntil != 0 && wk.fails > 0 {
 		bd.t.Fatal("a silent worker's lease is renewed")
 	}
 	delete(bd.open, id)
-	bd.core.Looked(bd.now, Looked{Look: lk, Outcome: Silent, Sent: bd.now, Received: bd.now})
+	bd.core.HandlePoll(bd.now, PollResult{Poll: lk, Outcome: NoAnswer, Sent: bd.now, Received: bd.now})
 }
 
 // silenced lets a time pass in which one worker answers nothing and the others do. It returns how many starts were ordered.
--- a/cell/burst_test.go
+++ b/cell/burst_test.go
@@ -22,7 +22,7 @@
 	runs  map[WorkerID]map[job.Task]burstRun
 	ends  map[WorkerID][]End
 	last  map[WorkerID]int64
-	holds map[WorkerID]*Look
+	holds map[WorkerID]*Poll
 	plans int
 	// starts counts attempts, inTime and late the jobs by their objectives.
 	starts, inTime, late int
@@ -58,7 +58,7 @@
 func newBurst(workers int, seed int64) *burst {
 	bt := &burst{
 		now: time.Unix(1_700_000_000, 0), rnd: rand.New(rand.NewSource(seed)), runs: map[WorkerID]map[job.Task]burstRun{}, ends: map[WorkerID][]End{},
-		last: map[WorkerID]int64{}, holds: map[WorkerID]*Look{}, arrived: map[job.ID]time.Time{}, goal: map[job.ID]time.Duration{}, version: 1,
+		last: map[WorkerID]int64{}, holds: map[WorkerID]*Poll{}, arrived: map[job.ID]time.Time{}, goal: map[job.ID]time.Duration{}, version: 1,
 		organisations: map[job.ID]job.OrganisationID{}, punctual: map[job.ID]bool{},
 	}
 	bt.core = New("pool", 1, Options{})
@@ -99,7 +99,7 @@
 			bt.specs = append(bt.specs, sp)
 			bt.arrived[id] = bt.now
 			bt.goal[id] = time.Duration(1.6*float64(len(sp.Steps))*float64(burstTask)*1.3) + 600*time.Millisecond
-			bt.core.Add(bt.now, Stored{Spec: sp})
+			bt.core.Add(bt.now, StoredJob{Spec: sp})
 		})
 	}
 }
@@ -114,8 +114,8 @@
 
 func (bt *burst) carry(od Order) {
 	switch order := od.(type) {
-	case Enlist:
-		bt.at(burstTrip, func() { bt.core.Enlisted(order.Workers) })
+	case RecordWorkers:
+		bt.at(burstTrip, func() { bt.core.WorkersRecorded(order.Workers) })
 	case Save:
 		bt.version++
 		version := bt.version
@@ -131,10 +131,10 @@
 		bt.at(burstTrip/2, func() { bt.runs[order.Worker][order.Task] = burstRun{order.Attempt, bt.now, takes} })
 		sent := bt.now
 		bt.at(burstTrip, func() {
-			bt.core.Ordered(bt.now, Ordered{Order: order, Outcome: Done, Sent: sent, Received: bt.now, Clock: bt.clock()})
+			bt.core.HandleOrder(bt.now, OrderResult{Order: order, Outcome: Done, Sent: sent, Received: bt.now, Clock: bt.clock()})
 		})
 		bt.at(takes, func() { bt.end(order) })
-	case Look:
+	case Poll:
 		bt.at(burstTrip/2, func() { bt.look(order) })
 	}
 }
@@ -143,20 +143,20 @@
 func (bt *burst) end(st Start) {
 	delete(bt.runs[st.Worker], st.Task)
 	bt.last[st.Worker]++
-	bt.ends[st.Worker] = append(bt.ends[st.Worker], End{Number: bt.last[st.Worker], Task: st.Task, Attempt: st.Attempt, How: EndDone})
+	bt.ends[st.Worker] = append(bt.ends[st.Worker], End{Number: bt.last[st.Worker], Task: st.Task, Attempt: st.Attempt, Reason: EndDone})
 	if lk := bt.holds[st.Worker]; lk != nil {
 		bt.holds[st.Worker] = nil
 		bt.answer(*lk)
 	}
 }
 
-func (bt *burst) look(lk Look) {
+func (bt *burst) look(lk Poll) {
 	ends := bt.ends[lk.Worker]
-	for len(ends) > 0 && ends[0].Number <= lk.Observed {
+	for len(ends) > 0 && ends[0].Number <= lk.AckedEnd {
 		ends = ends[1:]
 	}
 	bt.ends[lk.Worker] = ends
-	if len(ends) > 0 && ends[len(ends)-1].Number > lk.Observed || lk.Wait == 0 {
+	if len(ends) > 0 && ends[len(ends)-1].Number > lk.AckedEnd || lk.Wait == 0 {
 		bt.answer(lk)
 		return
 	}
@@ -169,14 +169,14 @@
 	})
 }
 
-func (bt *burst) answer(lk Look) {
-	result := Looked{Look: lk, Outcome: Done, Sent: bt.now.Add(-burstTrip / 2), Clock: bt.clock(), Ended: append([]End(nil), bt.ends[lk.Worker]...)}
+func (bt *burst) answer(lk Poll) {
+	result := PollResult{Poll: lk, Outcome: Done, Sent: bt.now.Add(-burstTrip / 2), Clock: bt.clock(), Ended: append([]End(nil), bt.ends[lk.Worker]...)}
 	for tk, rn := range bt.runs[lk.Worker] {
 		result.Running = append(result.Running, Running{Task: tk, Attempt: rn.attempt, Progress: int(100 * bt.now.Sub(rn.since) / rn.takes)})
 	}
 	bt.at(burstTrip/2, func() {
 		result.Received = bt.now
-		bt.core.Looked(bt.now, result)
+		bt.core.HandlePoll(bt.now, result)
 	})
 }
 
@@ -207,8 +207,8 @@
 			ev.do()
 		}
 		bt.now = tick
-		bt.core.Confirmed(bt.now)
-		bt.core.Registered(bt.now)
+		bt.core.OwnershipConfirmed(bt.now)
+		bt.core.RegistrationsRead(bt.now)
 		bt.plan()
 	}
 }
--- a/cell/cell.go
+++ b/cell/cell.go
@@ -37,15 +37,15 @@
 	Room    job.Size
 	// Draining means that it takes no new tasks and will leave.
 	Draining bool
-	// Told is when its registration was last written, as far as that is known; zero if it is not.
-	Told time.Time
-	// Withheld means that its registration names no worker to use any more, though nothing says that it leaves: it gets nothing new, and what
+	// WrittenAt is when its registration was last written, as far as that is known; zero if it is not.
+	WrittenAt time.Time
+	// Unschedulable means that its registration names no worker to use any more, though nothing says that it leaves: it gets nothing new, and what
 	// runs there goes on.
-	Withheld bool
+	Unschedulable bool
 }
 
-// Stored is a job as the store has it.
-type Stored struct {
+// StoredJob is a job as the store has it.
+type StoredJob struct {
 	Spec      *job.Spec
 	Progress  *job.Progress
 	Cancelled bool
@@ -53,15 +53,15 @@
 	Version int64
 }
 
-// Ref is a worker on which an owner may have started tasks.
-type Ref struct {
+// WorkerRef is a worker on which an owner may have started tasks.
+type WorkerRef struct {
 	ID      WorkerID `json:"id"`
 	Address string   `json:"address"`
 	// Machine is its machine, as far as it is known.
 	Machine MachineID `json:"machine,omitempty"`
-	// Left is for how long, from when it was written, leases of earlier owners may still be running there, or its next life may still carry out
+	// Remaining is for how long, from when it was written, leases of earlier owners may still be running there, or its next life may still carry out
 	// what they ordered; only a release has it.
-	Left time.Duration `json:"left,omitempty"`
+	Remaining time.Duration `json:"left,omitempty"`
 	// Ended means that this life is known to be over.
 	Ended bool `json:"ended,omitempty"`
 }
@@ -114,7 +114,7 @@
 	// strays are the starts without an answer that the next lives of their workers may carry out.
 	strays []*stray
 	// departed are those of them whose lives have ended. What was ordered there may still be carried out by the next life.
-	departed map[WorkerID]Ref
+	departed map[WorkerID]WorkerRef
 	// vacated are workers of earlier owners on which nothing was left when they ended.
 	vacated map[WorkerID]bool
 	// graves are workers whose end is still to be kept.
@@ -157,13 +157,13 @@
 	return &Core{
 		opts: options.WithDefaults(), pool: pool, epoch: epoch,
 		queues: map[job.QueueID]job.Queue{}, jobs: map[job.ID]*jobState{}, workers: map[WorkerID]*worker{}, counters: map[WorkerName]*Token{},
-		unresolved: map[WorkerID]time.Time{}, departed: map[WorkerID]Ref{}, vacated: map[WorkerID]bool{}, dirty: map[job.ID]*jobState{}, cordons: map[WorkerName]bool{}, grabbed: map[WorkerName]time.Time{}, plagues: map[job.QueueID]time.Time{}, run: runtimes{}, ledger: NewLedger(string(pool), epoch), allotments: map[job.OrganisationID]*allotment{},
+		unresolved: map[WorkerID]time.Time{}, departed: map[WorkerID]WorkerRef{}, vacated: map[WorkerID]bool{}, dirty: map[job.ID]*jobState{}, cordons: map[WorkerName]bool{}, grabbed: map[WorkerName]time.Time{}, plagues: map[job.QueueID]time.Time{}, run: runtimes{}, ledger: NewLedger(string(pool), epoch), allotments: map[job.OrganisationID]*allotment{},
 	}
 }
 
 // TakeOver takes what an earlier owner left: the workers that it used. The ownership is confirmed as of when the store was asked for it.
 // After a release nothing but the last leases can be outstanding; an owner that was overtaken may have renewed them for a while.
-func (cr *Core) TakeOver(now, asked time.Time, used []Ref, released bool) {
+func (cr *Core) TakeOver(now, asked time.Time, used []WorkerRef, released bool) {
 	cr.confirmed, cr.resumed = asked, now
 	lease := cr.slow(cr.opts.LeaseDuration) + deliveryMargin
 	for _, rf := range used {
@@ -174,14 +174,14 @@
 			wk.unlistedAt = now
 		}
 		wk.enlisted = true
-		wait := max(lease, rf.Left)
+		wait := max(lease, rf.Remaining)
 		switch over := rf.Ended && rf.ID.returns(); {
 		case over && released:
-			wait = rf.Left
+			wait = rf.Remaining
 		case over:
 			wait = strayFor
 		case !released:
-			wait = max(lease+cr.opts.RenewalWindow, rf.Left)
+			wait = max(lease+cr.opts.RenewalWindow, rf.Remaining)
 		}
 		cr.unresolved[rf.ID] = now.Add(wait)
 		if rf.Ended {
@@ -195,8 +195,8 @@
 	return time.Duration(float64(span) / (1 - cr.opts.MaxClockDrift))
 }
 
-// Confirmed tells that the ownership held at a time.
-func (cr *Core) Confirmed(at time.Time) {
+// OwnershipConfirmed tells that the ownership held at a time.
+func (cr *Core) OwnershipConfirmed(at time.Time) {
 	if at.Sub(cr.confirmed) > awayAfter {
 		cr.resumed = at
 	}
@@ -222,8 +222,8 @@
 	return !cr.lost && now.Sub(cr.confirmed) < cr.opts.RenewalWindow
 }
 
-// Lost reports whether another owner has been met.
-func (cr *Core) Lost() bool { return cr.lost }
+// Superseded reports whether another owner has been met.
+func (cr *Core) Superseded() bool { return cr.lost }
 
 // Epoch is the epoch under which this core works.
 func (cr *Core) Epoch() job.Epoch { return cr.epoch }
@@ -236,11 +236,11 @@
 	}
 }
 
-// TimeOfDay tells how the time of day stands to the owner's clock.
-func (cr *Core) TimeOfDay(now, day time.Time) { cr.ahead = day.Sub(now) }
+// SetTimeOfDay tells how the time of day stands to the owner's clock.
+func (cr *Core) SetTimeOfDay(now, day time.Time) { cr.ahead = day.Sub(now) }
 
-// Registered tells as of when the registrations are known.
-func (cr *Core) Registered(at time.Time) { cr.registered = latest(cr.registered, at) }
+// RegistrationsRead tells as of when the registrations are known.
+func (cr *Core) RegistrationsRead(at time.Time) { cr.registered = latest(cr.registered, at) }
 
 // stalledAfter is from which pause between two plans on an owner has stood still: it plans four times a second at least. Rooms and states
 // that it knows may be older then than the users allow for.
@@ -271,14 +271,14 @@
 	}
 }
 
-// Pause tells of which queues nothing is to be started; what runs goes on. The map is not changed any more.
-func (cr *Core) Pause(queues map[job.QueueID]bool) { cr.paused = queues }
+// SetPausedQueues tells of which queues nothing is to be started; what runs goes on. The map is not changed any more.
+func (cr *Core) SetPausedQueues(queues map[job.QueueID]bool) { cr.paused = queues }
 
-// Used lists the workers on which this owner, or an unresolved earlier one, may have started tasks.
-func (cr *Core) Used() []Ref {
-	var refs []Ref
+// UsedWorkers lists the workers on which this owner, or an unresolved earlier one, may have started tasks.
+func (cr *Core) UsedWorkers() []WorkerRef {
+	var refs []WorkerRef
 	for _, wk := range cr.list {
-		refs = append(refs, Ref{ID: wk.info.ID, Address: wk.info.Address, Machine: wk.info.Machine})
+		refs = append(refs, WorkerRef{ID: wk.info.ID, Address: wk.info.Address, Machine: wk.info.Machine})
 	}
 	cr.graves = slices.DeleteFunc(cr.graves, func(gv grave) bool { return !gv.unkept() })
 	for _, gv := range cr.graves {
@@ -294,9 +294,9 @@
 }
 
 // onceEach keeps the first of several that name the same life.
-func onceEach(refs []Ref) []Ref {
+func onceEach(refs []WorkerRef) []WorkerRef {
 	seen := make(map[WorkerID]bool, len(refs))
-	return slices.DeleteFunc(refs, func(rf Ref) bool {
+	return slices.DeleteFunc(refs, func(rf WorkerRef) bool {
 		again := seen[rf.ID]
 		seen[rf.ID] = true
 		return again
@@ -304,23 +304,23 @@
 }
 
 // Release lists the workers as Used does, with how long the leases of earlier owners may still run on those that are unresolved.
-func (cr *Core) Release(now time.Time) []Ref {
-	refs := cr.Used()
+func (cr *Core) Release(now time.Time) []WorkerRef {
+	refs := cr.UsedWorkers()
 	for at := range refs {
 		until := cr.unresolved[refs[at].ID]
 		if refs[at].Ended {
 			until = latest(until, cr.strayUntil(refs[at].ID))
 		}
-		refs[at].Left = max(0, until.Sub(now))
+		refs[at].Remaining = max(0, until.Sub(now))
 	}
 	return refs
 }
 
-// Settled reports whether no task of an earlier owner can run unseen.
-func (cr *Core) Settled() bool { return len(cr.unresolved) == 0 }
+// TakeoverComplete reports whether no task of an earlier owner can run unseen.
+func (cr *Core) TakeoverComplete() bool { return len(cr.unresolved) == 0 }
 
-// Enlisted tells that the store names these workers as used, so that a later owner will look at them.
-func (cr *Core) Enlisted(refs []Ref) {
+// WorkersRecorded tells that the store names these workers as used, so that a later owner will look at them.
+func (cr *Core) WorkersRecorded(refs []WorkerRef) {
 	for _, rf := range refs {
 		if wk, ok := cr.workers[rf.ID]; ok {
 			wk.enlisted = true
@@ -398,8 +398,8 @@
 // Cordoned reports whether this core gives a worker no new tasks.
 func (cr *Core) Cordoned(name WorkerName) bool { return cr.cordons[name] }
 
-// OnlyShort reports whether no task that lasts is, or may be, on a worker in any of its lives.
-func (cr *Core) OnlyShort(name WorkerName) bool {
+// OnlyShortTasks reports whether no task that lasts is, or may be, on a worker in any of its lives.
+func (cr *Core) OnlyShortTasks(name WorkerName) bool {
 	for _, wk := range cr.lives(name) {
 		if len(wk.foreign) > 0 || wk.lasting > 0 {
 			return false
--- a/cell/cell_test.go
+++ b/cell/cell_test.go
@@ -11,13 +11,13 @@
 func TestFailedEndCountsOnce(t *testing.T) {
 	bd := newBed(t, 1)
 	pg := &job.Progress{FailedAttempts: map[string][]string{"0.0.0": {"1@w0"}}}
-	bd.core.Add(bd.now, Stored{Spec: &job.Spec{ID: "j", Queue: "q", Pool: bedPool, Steps: []job.Step{tasks(1)}, Epoch: 1}, Progress: pg, Version: 7})
+	bd.core.Add(bd.now, StoredJob{Spec: &job.Spec{ID: "j", Queue: "q", Pool: bedPool, Steps: []job.Step{tasks(1)}, Epoch: 1}, Progress: pg, Version: 7})
 	if st := bd.wantStarts(bd.plan(), 1)[0]; st.Attempt != 2 {
 		t.Fatalf("attempt %d, want 2", st.Attempt)
 	}
 	lk := bd.nextLook("w0")
 	task := job.Task{Job: "j"}
-	bd.looked(lk, []Running{{Task: task, Attempt: 2}}, []End{{Number: 1, Task: task, Attempt: 1, How: EndFailed}})
+	bd.looked(lk, []Running{{Task: task, Attempt: 2}}, []End{{Number: 1, Task: task, Attempt: 1, Reason: EndFailed}})
 	bd.saved = true
 	bd.pass(time.Second)
 	bd.plan()
@@ -62,16 +62,16 @@
 	for range 20 {
 		bd.pass(100 * time.Millisecond)
 		for id, lk := range looksOf(bd.plan()) {
-			if lk.Observed > 0 {
-				t.Fatalf("end %d of %s is acknowledged before it is kept", lk.Observed, id)
+			if lk.AckedEnd > 0 {
+				t.Fatalf("end %d of %s is acknowledged before it is kept", lk.AckedEnd, id)
 			}
 			bd.looked(lk, nil, nil)
 		}
 	}
 	bd.core.Saved(bd.now, 9)
 	for _, st := range list {
-		if lk := bd.nextLook(st.Worker); lk.Observed != 1 {
-			t.Fatalf("acknowledged up to %d, want 1", lk.Observed)
+		if lk := bd.nextLook(st.Worker); lk.AckedEnd != 1 {
+			t.Fatalf("acknowledged up to %d, want 1", lk.AckedEnd)
 		}
 	}
 	if state, _ := bd.core.State("j"); state != job.Completed {
@@ -139,9 +139,9 @@
 	bd := newBed(t, 2)
 	bd.add("j", bedEpoch, tasks(5))
 	list := bd.wantStarts(bd.plan(), 5)
-	bd.ordered(list[0], Unwell)
+	bd.ordered(list[0], Unhealthy)
 	bd.ordered(list[1], Done)
-	bd.ordered(list[2], Stale)
+	bd.ordered(list[2], AttemptEnded)
 	for _, wk := range bd.core.list {
 		var sum job.Size
 		for _, pl := range wk.placed {
@@ -204,7 +204,7 @@
 func TestDueTimesAndRepeats(t *testing.T) {
 	bd := newBed(t, 1)
 	sp := &job.Spec{ID: "j", Queue: "q", Pool: bedPool, Steps: []job.Step{tasks(1)}, Epoch: bedEpoch, Repeats: 2, FirstDue: bd.now.Add(time.Second), Interval: 3 * time.Second}
-	bd.core.Add(bd.now, Stored{Spec: sp})
+	bd.core.Add(bd.now, StoredJob{Spec: sp})
 	for run := range 2 {
 		bd.wantStarts(bd.plan(), 0)
 		bd.now = sp.DueTime(run)
--- a/cell/crash.go
+++ b/cell/crash.go
@@ -82,10 +82,10 @@
 	Tasks int
 	// SinceStart is the time from the newest start there to the first call without an answer.
 	SinceStart time.Duration
-	// Before is the highest number of workers that one of the tasks had lost before.
-	Before int
-	// Excuse says why it does not count against the tasks; empty if it does.
-	Excuse string
+	// MaxPriorLosses is the highest number of workers that one of the tasks had lost before.
+	MaxPriorLosses int
+	// ExemptReason says why it does not count against the tasks; empty if it does.
+	ExemptReason string
 }
 
 // chargeLoss charges the tasks on a worker whose life has ended, or that was not heard of again, with its loss, unless it had said that it
@@ -98,21 +98,21 @@
 	victims := wk.victims()
 	loss := Loss{Tasks: len(victims)}
 	if wk.info.Draining {
-		loss.Excuse = "it was leaving"
+		loss.ExemptReason = "it was leaving"
 	}
 	// That its registration had gone or its machine is wanted may be why it ended, but neither ends a worker by itself.
 	doubtful := !ended || wk.known && !wk.listed && wk.unlistedAt.Before(silent) || cr.cordoned(now, wk)
 	var newest time.Time
 	for _, pl := range victims {
 		newest = latest(newest, pl.ordered)
-		loss.Before = max(loss.Before, len(pl.step.tasks[pl.task.Index].lost.workers))
+		loss.MaxPriorLosses = max(loss.MaxPriorLosses, len(pl.step.tasks[pl.task.Index].lost.workers))
 	}
 	loss.SinceStart = silent.Sub(newest)
 	defer cr.remember(wk, cr.concerned(wk.info.ID, victims))
 	if len(victims) > 0 {
 		cr.opts.Log(Decision{What: "worker lost with tasks", Worker: wk.info.ID, Why: why, PollAge: now.Sub(wk.lookedAt), Loss: &loss})
 	}
-	if loss.Excuse != "" {
+	if loss.ExemptReason != "" {
 		cr.clearLeft(wk.info.ID)
 		cr.unhold(now, wk)
 		return
--- a/cell/crash_bound_test.go
+++ b/cell/crash_bound_test.go
@@ -77,18 +77,18 @@
 
 // succeed gives the cell to another owner, which knows what was kept.
 func (cs *crashes) succeed() {
-	refs, exposed, before := cs.core.Release(cs.now), cs.core.Exposed(), cs.core
+	refs, exposed, before := cs.core.Release(cs.now), cs.core.UnseenLossEpoch(), cs.core
 	cs.core = New(bedPool, before.epoch+1, before.opts)
 	cs.core.TakeOver(cs.now, cs.now, refs, true)
-	cs.core.Expose(exposed)
+	cs.core.NoteUnseenLosses(exposed)
 	cs.core.Configure([]job.Queue{{ID: "q", Pool: bedPool, MaxAttempts: 2, Stretch: 1.5, Slack: time.Second}})
-	cs.open = map[WorkerID]Look{}
+	cs.open = map[WorkerID]Poll{}
 	for _, fr := range cs.workers {
 		fr.look = nil
 	}
 	cs.list(true)
 	for id, sp := range cs.specs {
-		cs.core.Add(cs.now, Stored{Spec: sp, Progress: cs.rows[id], Version: 9})
+		cs.core.Add(cs.now, StoredJob{Spec: sp, Progress: cs.rows[id], Version: 9})
 	}
 }
 
@@ -100,7 +100,7 @@
 		}
 		if listed {
 			cs.core.Register(cs.now, fr.info)
-			cs.core.Enlisted([]Ref{{ID: id, Address: string(id)}})
+			cs.core.WorkersRecorded([]WorkerRef{{ID: id, Address: string(id)}})
 		} else {
 			cs.core.Unregister(cs.now, id)
 		}
--- a/cell/crash_test.go
+++ b/cell/crash_test.go
@@ -27,7 +27,7 @@
 	start   Start
 	since   time.Time
 	ends    time.Time
-	how     How
+	how     EndReason
 	crashes bool
 }
 
@@ -37,7 +37,7 @@
 	info Worker
 	runs map[job.Task]*fragileRun
 	// look is the one that waits for an answer, due is when it is given in any case.
-	look *Look
+	look *Poll
 	due  time.Time
 	ends []End
 	last int64
@@ -91,7 +91,7 @@
 	info := Worker{ID: id, Pool: bedPool, Address: string(id), Rack: fmt.Sprintf("r%d", cs.lives%12), Room: job.Size{CPUMillis: 1000 * crashSlots, MemoryMB: 32000}}
 	cs.workers[id] = &fragile{id: id, info: info, runs: map[job.Task]*fragileRun{}}
 	cs.core.Register(cs.now, info)
-	cs.core.Enlisted([]Ref{{ID: id, Address: string(id)}})
+	cs.core.WorkersRecorded([]WorkerRef{{ID: id, Address: string(id)}})
 }
 
 func (cs *crashes) after(span time.Duration, do func()) {
@@ -114,14 +114,14 @@
 
 // ask tells which of the workers that are missed have ended, as often as an owner may ask.
 func (cs *crashes) ask() {
-	missing, pressing := cs.core.Missing(cs.now)
+	missing, pressing := cs.core.Unresponsive(cs.now)
 	if len(missing) == 0 || cs.untold || !pressing && !cs.dark || cs.now.Sub(cs.asked) < crashAsk {
 		return
 	}
 	cs.asked = cs.now
 	for _, id := range missing {
 		if cs.workers[id] == nil {
-			cs.core.Gone(cs.now, id)
+			cs.core.WorkerEnded(cs.now, id)
 		}
 	}
 }
@@ -152,12 +152,12 @@
 		}
 		delete(fr.runs, tk)
 		fr.last++
-		fr.ends = append(fr.ends, End{Number: fr.last, Task: tk, Attempt: rn.start.Attempt, How: rn.how})
+		fr.ends = append(fr.ends, End{Number: fr.last, Task: tk, Attempt: rn.start.Attempt, Reason: rn.how})
 	}
 	if fr.look != nil && (len(fr.ends) > 0 || !cs.now.Before(fr.due)) {
 		lk := *fr.look
 		fr.look = nil
-		fr.ends = slices.DeleteFunc(fr.ends, func(en End) bool { return en.Number <= lk.Observed })
+		fr.ends = slices.DeleteFunc(fr.ends, func(en End) bool { return en.Number <= lk.AckedEnd })
 		running := fr.running(cs.now)
 		if cs.stranger && len(running) > 0 {
 			running = append(running, Running{Task: job.Task{Job: "stranger"}, Attempt: 1})
@@ -195,7 +195,7 @@
 		for _, other := range cs.workers {
 			for member, rn := range other.runs {
 				if member.Job == tk.Job && member.Step == tk.Step {
-					rn.how, rn.crashes, rn.ends = EndBroken, false, cs.now
+					rn.how, rn.crashes, rn.ends = EndGangBroken, false, cs.now
 				}
 			}
 		}
@@ -203,15 +203,15 @@
 }
 
 // unanswered ends a look at a worker that has ended.
-func (cs *crashes) unanswered(lk Look) {
+func (cs *crashes) unanswered(lk Poll) {
 	sent := cs.now
 	core := cs.core
 	if !cs.dark {
-		core.Looked(cs.now, Looked{Look: lk, Outcome: Silent, Sent: sent, Received: sent})
+		core.HandlePoll(cs.now, PollResult{Poll: lk, Outcome: NoAnswer, Sent: sent, Received: sent})
 		return
 	}
 	cs.after(lk.Wait+crashPatience, func() {
-		core.Looked(cs.now, Looked{Look: lk, Outcome: Silent, Sent: sent, Received: cs.now})
+		core.HandlePoll(cs.now, PollResult{Poll: lk, Outcome: NoAnswer, Sent: sent, Received: cs.now})
 	})
 }
 
@@ -222,7 +222,7 @@
 		for _, row := range order.Rows {
 			cs.rows[row.ID] = copyProgress(cs.t, row.Progress)
 		}
-	case Look:
+	case Poll:
 		fr := cs.workers[order.Worker]
 		if fr == nil {
 			cs.unanswered(order)
@@ -234,12 +234,12 @@
 		if fr == nil && cs.dark {
 			core := cs.core
 			cs.after(crashPatience, func() {
-				core.Ordered(cs.now, Ordered{Order: order, Outcome: Silent, Sent: cs.now, Received: cs.now})
+				core.HandleOrder(cs.now, OrderResult{Order: order, Outcome: NoAnswer, Sent: cs.now, Received: cs.now})
 			})
 			return
 		}
 		if fr == nil {
-			cs.ordered(order, Silent)
+			cs.ordered(order, NoAnswer)
 			return
 		}
 		cs.started(fr, order)
@@ -275,7 +275,7 @@
 // add hands a job in.
 func (cs *crashes) add(id job.ID, epoch job.Epoch, steps ...job.Step) {
 	cs.specs[id] = &job.Spec{ID: id, Queue: "q", Pool: bedPool, Steps: steps, Epoch: epoch, AcceptedAt: cs.now}
-	cs.core.Add(cs.now, Stored{Spec: cs.specs[id]})
+	cs.core.Add(cs.now, StoredJob{Spec: cs.specs[id]})
 }
 
 // copyProgress is what a next owner reads of a progress row.
--- a/cell/exposure_test.go
+++ b/cell/exposure_test.go
@@ -15,22 +15,22 @@
 func TestVacatedWorkersExposeNothing(t *testing.T) {
 	for _, vacated := range []bool{true, false} {
 		bd := newBed(t, 1)
-		bd.core.TakeOver(bd.now, bd.now, []Ref{{ID: "gone", Address: "gone", Machine: "m1"}}, true)
+		bd.core.TakeOver(bd.now, bd.now, []WorkerRef{{ID: "gone", Address: "gone", Machine: "m1"}}, true)
 		bd.add("old", 1, tasks(1))
 		if got := bd.core.MachineOf("gone"); got != "m1" {
 			t.Fatalf("the machine is %q", got)
 		}
 		if vacated {
-			bd.core.Vacated(bd.now, "gone")
+			bd.core.WorkerMoved(bd.now, "gone")
 		} else {
-			bd.core.Gone(bd.now, "gone")
+			bd.core.WorkerEnded(bd.now, "gone")
 		}
 		bd.core.Plan(bd.now)
 		bd.pass(time.Millisecond)
 		if got := len(starts(bd.plan())); (got == 1) != vacated {
 			t.Errorf("vacated %t: %d starts before anything was kept", vacated, got)
 		}
-		if got := bd.core.Exposed() != 0; got == vacated {
+		if got := bd.core.UnseenLossEpoch() != 0; got == vacated {
 			t.Errorf("vacated %t: exposed %t", vacated, got)
 		}
 	}
@@ -47,13 +47,13 @@
 	bd.ordered(st, Done)
 	bd.pass(time.Second)
 	bd.looked(bd.nextLook(st.Worker), nil, []End{bd.end(st, EndDone)})
-	var named []Ref
+	var named []WorkerRef
 	for _, od := range bd.plan() {
-		if en, ok := od.(Enlist); ok {
+		if en, ok := od.(RecordWorkers); ok {
 			named = en.Workers
 		}
 	}
-	if len(named) != 1 || slices.ContainsFunc(named, func(rf Ref) bool { return rf.ID == "w1" }) {
+	if len(named) != 1 || slices.ContainsFunc(named, func(rf WorkerRef) bool { return rf.ID == "w1" }) {
 		t.Errorf("along with the save the row names %v", named)
 	}
 }
@@ -74,7 +74,7 @@
 			bd.ordered(st, Done)
 		}
 		bd.core.Configure([]job.Queue{qu})
-		bd.core.Expose(bedEpoch)
+		bd.core.NoteUnseenLosses(bedEpoch)
 		bd.add("old", 1, tasks(4))
 		bd.wantStarts(bd.plan(), 0)
 		ahead := 0
@@ -104,22 +104,22 @@
 func TestHandoverNamesWorkersThatEndedUnseen(t *testing.T) {
 	bd := newBed(t, 1)
 	bd.saved = true
-	bd.core.TakeOver(bd.now, bd.now, []Ref{{ID: "gone", Address: "gone", Machine: "m1"}}, false)
-	bd.core.Gone(bd.now, "gone")
+	bd.core.TakeOver(bd.now, bd.now, []WorkerRef{{ID: "gone", Address: "gone", Machine: "m1"}}, false)
+	bd.core.WorkerEnded(bd.now, "gone")
 	bd.core.Plan(bd.now)
 	refs := bd.core.Release(bd.now)
-	if !slices.ContainsFunc(refs, func(rf Ref) bool { return rf.ID == "gone" }) {
+	if !slices.ContainsFunc(refs, func(rf WorkerRef) bool { return rf.ID == "gone" }) {
 		t.Errorf("the row names %+v", refs)
 	}
 	next := New(bedPool, bedEpoch+1, Options{})
 	next.TakeOver(bd.now, bd.now, refs, true)
-	next.Expose(bd.core.Exposed())
-	next.Add(bd.now, Stored{Spec: &job.Spec{ID: "j", Queue: "q", Pool: bedPool, Steps: []job.Step{tasks(1)}, Epoch: 1}})
-	next.Gone(bd.now, "gone")
+	next.NoteUnseenLosses(bd.core.UnseenLossEpoch())
+	next.Add(bd.now, StoredJob{Spec: &job.Spec{ID: "j", Queue: "q", Pool: bedPool, Steps: []job.Step{tasks(1)}, Epoch: 1}})
+	next.WorkerEnded(bd.now, "gone")
 	bd.pass(time.Second)
-	next.Confirmed(bd.now)
+	next.OwnershipConfirmed(bd.now)
 	next.Plan(bd.now)
-	if next.Exposed() == 0 {
+	if next.UnseenLossEpoch() == 0 {
 		t.Error("the next owner knows of nothing that may have been lost there")
 	}
 }
@@ -128,15 +128,15 @@
 func TestRowOfACellNamesNoEndedWorkerThatIsResolved(t *testing.T) {
 	bd := newBed(t, 1)
 	bd.saved = true
-	bd.core.TakeOver(bd.now, bd.now, []Ref{{ID: "gone", Address: "gone"}}, true)
-	bd.core.Gone(bd.now, "gone")
+	bd.core.TakeOver(bd.now, bd.now, []WorkerRef{{ID: "gone", Address: "gone"}}, true)
+	bd.core.WorkerEnded(bd.now, "gone")
 	named := true
 	for at := range 3 {
 		bd.add(job.ID(fmt.Sprint("j", at)), bedEpoch, tasks(1))
 		bd.core.Cancel(bd.now, job.ID(fmt.Sprint("j", at)))
 		for _, od := range bd.plan() {
-			if en, ok := od.(Enlist); ok {
-				named = slices.ContainsFunc(en.Workers, func(rf Ref) bool { return rf.ID == "gone" })
+			if en, ok := od.(RecordWorkers); ok {
+				named = slices.ContainsFunc(en.Workers, func(rf WorkerRef) bool { return rf.ID == "gone" })
 			}
 		}
 		bd.pass(2 * tidyEvery)
--- a/cell/grab_test.go
+++ b/cell/grab_test.go
@@ -13,14 +13,14 @@
 	st := bd.wantStarts(bd.plan(), 1)[0]
 	bd.ordered(st, Done)
 	bd.looked(bd.nextLook(st.Worker), nil, []End{bd.end(st, EndDone)})
-	if got := bd.core.Grab(bd.now, []WorkerName{st.Worker.Name()}); len(got) != 0 || bd.core.Clear(st.Worker.Name()) {
-		t.Fatalf("granted %v, clear %t, before the end is kept", got, bd.core.Clear(st.Worker.Name()))
+	if got := bd.core.Grab(bd.now, []WorkerName{st.Worker.Name()}); len(got) != 0 || bd.core.Drained(st.Worker.Name()) {
+		t.Fatalf("granted %v, clear %t, before the end is kept", got, bd.core.Drained(st.Worker.Name()))
 	}
 	bd.saved = true
 	bd.pass(time.Second)
 	bd.plan()
 	bd.plan()
-	if !bd.core.Clear(st.Worker.Name()) {
+	if !bd.core.Drained(st.Worker.Name()) {
 		t.Error("not clear once the end is kept")
 	}
 	if got := bd.core.Grab(bd.now, []WorkerName{st.Worker.Name()}); len(got) != 1 {
--- a/cell/intent.go
+++ b/cell/intent.go
@@ -235,11 +235,11 @@
 	return all
 }
 
-// Expose tells up to which owner, none included, tasks may have been lost with workers that no owner saw again.
-func (cr *Core) Expose(epoch job.Epoch) { cr.exposed = max(cr.exposed, epoch) }
+// NoteUnseenLosses tells up to which owner, none included, tasks may have been lost with workers that no owner saw again.
+func (cr *Core) NoteUnseenLosses(epoch job.Epoch) { cr.exposed = max(cr.exposed, epoch) }
 
-// Exposed is what is to be told a next owner of that; 0 once none of the jobs of that time is open.
-func (cr *Core) Exposed() job.Epoch {
+// UnseenLossEpoch is what is to be told a next owner of that; 0 once none of the jobs of that time is open.
+func (cr *Core) UnseenLossEpoch() job.Epoch {
 	old := func(js *jobState) bool { return js.spec.Epoch < cr.exposed }
 	// Before the first plan the jobs may not be known.
 	if !cr.planned.IsZero() && !slices.ContainsFunc(cr.open, old) {
--- a/cell/left.go
+++ b/cell/left.go
@@ -110,7 +110,7 @@
 
 // grave is a worker whose end is still to be kept of some jobs. Until then a next owner is to look for it.
 type grave struct {
-	ref Ref
+	ref WorkerRef
 	// jobs are those jobs, with the state from which on it is kept.
 	jobs map[*jobState]int
 }
--- a/cell/life.go
+++ b/cell/life.go
@@ -18,8 +18,8 @@
 	strayRuns = 10 * time.Second
 )
 
-// LifeOf names a life of a worker by when it began, in milliseconds since 1970; 0 where that is not told and each life has a name of its own.
-func LifeOf(name WorkerName, born int64) WorkerID {
+// NewWorkerID names a life of a worker by when it began, in milliseconds since 1970; 0 where that is not told and each life has a name of its own.
+func NewWorkerID(name WorkerName, born int64) WorkerID {
 	if born == 0 && !strings.Contains(string(name), lifeMark) {
 		return WorkerID(name)
 	}
@@ -32,8 +32,8 @@
 	return name
 }
 
-// Born is when the life began, in milliseconds since 1970; 0 if that is not told.
-func (id WorkerID) Born() int64 {
+// StartMillis is when the life began, in milliseconds since 1970; 0 if that is not told.
+func (id WorkerID) StartMillis() int64 {
 	_, born := id.split()
 	return born
 }
@@ -52,7 +52,7 @@
 }
 
 // returns reports whether the worker may start again under the name that this life has, so that an order meant for this life may reach another.
-func (id WorkerID) returns() bool { return id.Born() != 0 }
+func (id WorkerID) returns() bool { return id.StartMillis() != 0 }
 
 // lives are those of a worker that are known of, as a rule one.
 func (cr *Core) lives(name WorkerName) []*worker {
@@ -93,7 +93,7 @@
 type stray struct {
 	name WorkerName
 	// ref is the life that it was ordered of.
-	ref   Ref
+	ref   WorkerRef
 	token Token
 	task  *taskState
 	job   *jobState
@@ -135,8 +135,8 @@
 }
 
 // ended is a worker's life as one that is known to be over.
-func (wk *worker) ended() Ref {
-	return Ref{ID: wk.info.ID, Address: wk.info.Address, Machine: wk.info.Machine, Ended: true}
+func (wk *worker) ended() WorkerRef {
+	return WorkerRef{ID: wk.info.ID, Address: wk.info.Address, Machine: wk.info.Machine, Ended: true}
 }
 
 // strayUntil is until when a start that was ordered of a life may be carried out by the next one; zero for none.
@@ -216,7 +216,7 @@
 	if !wk.info.ID.returns() {
 		return
 	}
-	began := time.UnixMilli(wk.info.ID.Born()).Add(-cr.ahead)
+	began := time.UnixMilli(wk.info.ID.StartMillis()).Add(-cr.ahead)
 	last := earliest(began.Add(strayFor), looked)
 	wk.leaseEnd = latest(wk.leaseEnd, last.Add(cr.slow(strayRuns)+deliveryMargin))
 }
--- a/cell/life_test.go
+++ b/cell/life_test.go
@@ -8,10 +8,10 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-func ExampleLifeOf() {
-	id := LifeOf("i-1", 1_760_000_000_000)
-	fmt.Println(id, id.Name(), id.Born())
-	fmt.Println(LifeOf("i-2", 0), LifeOf("i~3", 0).Name())
+func ExampleNewWorkerID() {
+	id := NewWorkerID("i-1", 1_760_000_000_000)
+	fmt.Println(id, id.Name(), id.StartMillis())
+	fmt.Println(NewWorkerID("i-2", 0), NewWorkerID("i~3", 0).Name())
 	// Output:
 	// i-1~mgj6k3cw i-1 1760000000000
 	// i-2 i~3
@@ -23,10 +23,10 @@
 	bd = newBed(t, 1)
 	first, second = bd.core.list[0].info, bd.core.list[0].info
 	bd.core.remove(bd.core.list[0])
-	first.ID, second.ID = LifeOf("w0", 1000), LifeOf("w0", 2000)
+	first.ID, second.ID = NewWorkerID("w0", 1000), NewWorkerID("w0", 2000)
 	for _, wk := range []Worker{first, second} {
 		bd.core.Register(bd.now, wk)
-		bd.core.Enlisted([]Ref{{ID: wk.ID}})
+		bd.core.WorkersRecorded([]WorkerRef{{ID: wk.ID}})
 	}
 	bd.core.Unregister(bd.now, first.ID)
 	return bd, first, second
@@ -38,12 +38,12 @@
 	for _, lk := range looksOf(bd.plan()) {
 		bd.looked(lk, nil, nil)
 	}
-	bd.core.Looked(bd.now, Looked{Look: Look{Worker: first.ID}, Outcome: Dead, Received: bd.now})
+	bd.core.HandlePoll(bd.now, PollResult{Poll: Poll{Worker: first.ID}, Outcome: WrongIncarnation, Received: bd.now})
 	bd.add("j", bedEpoch, tasks(1))
 	if st := bd.wantStarts(bd.plan(), 1)[0]; st.Worker != second.ID {
 		t.Fatalf("started on %s", st.Worker)
 	}
-	if bd.core.Clear("w0") || len(bd.core.Grab(bd.now, []WorkerName{"w0"})) > 0 {
+	if bd.core.Drained("w0") || len(bd.core.Grab(bd.now, []WorkerName{"w0"})) > 0 {
 		t.Error("a worker with a task counts as clear")
 	}
 	bd.core.Cordon(map[WorkerName]bool{"w0": true})
@@ -61,9 +61,9 @@
 		tokens[lk.Worker] = max(tokens[lk.Worker], lk.Token)
 	}
 	third := second
-	third.ID = LifeOf("w0", 3000)
-	bd.core.Gone(bd.now, first.ID)
-	bd.core.Gone(bd.now, second.ID)
+	third.ID = NewWorkerID("w0", 3000)
+	bd.core.WorkerEnded(bd.now, first.ID)
+	bd.core.WorkerEnded(bd.now, second.ID)
 	bd.core.Register(bd.now, third)
 	bd.pass(time.Second)
 	lks := looksOf(bd.plan())
@@ -80,12 +80,12 @@
 		bd.saved = true
 		first, second := bd.core.list[0].info, bd.core.list[0].info
 		bd.core.remove(bd.core.list[0])
-		first.ID, second.ID = LifeOf("w0", 1000), LifeOf("w0", 2000)
-		bd.core.TakeOver(bd.now, bd.now, []Ref{{ID: first.ID, Address: first.Address}}, false)
+		first.ID, second.ID = NewWorkerID("w0", 1000), NewWorkerID("w0", 2000)
+		bd.core.TakeOver(bd.now, bd.now, []WorkerRef{{ID: first.ID, Address: first.Address}}, false)
 		bd.core.Register(bd.now, second)
-		bd.core.Enlisted([]Ref{{ID: second.ID}})
+		bd.core.WorkersRecorded([]WorkerRef{{ID: second.ID}})
 		bd.add("j", 1, tasks(1))
-		bd.core.Gone(bd.now, first.ID)
+		bd.core.WorkerEnded(bd.now, first.ID)
 		bd.pass(time.Second)
 		lks := looksOf(bd.plan())
 		bd.pass(10 * time.Millisecond)
@@ -117,23 +117,23 @@
 	bd := newBed(t, 1)
 	first := bd.core.list[0].info
 	bd.core.remove(bd.core.list[0])
-	first.ID = LifeOf("w0", 1000)
+	first.ID = NewWorkerID("w0", 1000)
 	bd.core.Register(bd.now, first)
-	bd.core.Enlisted([]Ref{{ID: first.ID}})
+	bd.core.WorkersRecorded([]WorkerRef{{ID: first.ID}})
 	bd.lookAll()
 	bd.add("j", bedEpoch, tasks(1))
-	bd.ordered(bd.wantStarts(bd.plan(), 1)[0], Silent)
-	bd.core.Gone(bd.now, first.ID)
+	bd.ordered(bd.wantStarts(bd.plan(), 1)[0], NoAnswer)
+	bd.core.WorkerEnded(bd.now, first.ID)
 	bd.saved = true
 	bd.pass(time.Second)
 	bd.plan()
 	refs := bd.core.Release(bd.now)
-	if len(refs) != 1 || refs[0].ID != first.ID || !refs[0].Ended || refs[0].Left != strayFor-time.Second {
+	if len(refs) != 1 || refs[0].ID != first.ID || !refs[0].Ended || refs[0].Remaining != strayFor-time.Second {
 		t.Fatalf("the row names %+v", refs)
 	}
 	next := New(bedPool, bedEpoch+1, Options{})
 	next.TakeOver(bd.now, bd.now, refs, true)
-	if got := next.Release(bd.now); len(got) != 1 || got[0].Left != strayFor-time.Second {
+	if got := next.Release(bd.now); len(got) != 1 || got[0].Remaining != strayFor-time.Second {
 		t.Errorf("the next one passes on %+v", got)
 	}
 	bd.pass(strayFor)
@@ -150,9 +150,9 @@
 		bd := newBed(t, 2)
 		in := bd.core.list[0].info
 		bd.core.remove(bd.core.list[0])
-		in.ID = LifeOf("w0", bd.now.Add(-age).UnixMilli())
+		in.ID = NewWorkerID("w0", bd.now.Add(-age).UnixMilli())
 		bd.core.Register(bd.now, in)
-		bd.core.Enlisted([]Ref{{ID: in.ID}})
+		bd.core.WorkersRecorded([]WorkerRef{{ID: in.ID}})
 		bd.lookAll()
 		bd.add("j", bedEpoch, tasks(8))
 		for _, st := range bd.wantStarts(bd.plan(), 8) {
--- a/cell/load.go
+++ b/cell/load.go
@@ -67,7 +67,7 @@
 		if !wk.listed || cr.cordoned(now, wk) {
 			continue
 		}
-		load := WorkerLoad{ID: wk.info.ID, Machine: wk.info.Machine, Usable: !wk.info.Draining && !wk.info.Withheld && wk.fails == 0}
+		load := WorkerLoad{ID: wk.info.ID, Machine: wk.info.Machine, Usable: !wk.info.Draining && !wk.info.Unschedulable && wk.fails == 0}
 		if len(wk.places) == 0 && len(wk.foreign) == 0 && wk.fenced {
 			load.Idle = now.Sub(wk.busyAt) + 1
 		}
--- a/cell/look.go
+++ b/cell/look.go
@@ -11,8 +11,8 @@
 // without one sooner was broken off.
 const patienceLeast = 300 * time.Millisecond
 
-// Looked takes the result of a look.
-func (cr *Core) Looked(now time.Time, lk Looked) {
+// HandlePoll takes the result of a look.
+func (cr *Core) HandlePoll(now time.Time, lk PollResult) {
 	wk, ok := cr.workers[lk.Worker]
 	if !ok {
 		return
@@ -21,9 +21,9 @@
 	switch lk.Outcome {
 	case Done:
 		cr.sawWorker(now, wk, lk)
-	case Dead:
+	case WrongIncarnation:
 		cr.bury(now, wk, "another life answers", lk.Token)
-	case Overtaken:
+	case Superseded:
 		if !cr.overtaken(wk, lk.Token) {
 			wk.nextLook = now
 		}
@@ -33,7 +33,7 @@
 }
 
 // unanswered takes a look that had no answer.
-func (cr *Core) unanswered(now time.Time, wk *worker, lk Looked) {
+func (cr *Core) unanswered(now time.Time, wk *worker, lk PollResult) {
 	wk.fails++
 	wk.askedAt = lk.Sent
 	wk.nextLook = now.Add(min(backoffMost, backoffFirst<<min(wk.fails-1, 4)))
@@ -48,13 +48,13 @@
 }
 
 // sawWorker takes what a worker says of itself.
-func (cr *Core) sawWorker(now time.Time, wk *worker, lk Looked) {
+func (cr *Core) sawWorker(now time.Time, wk *worker, lk PollResult) {
 	wk.tick(lk.Clock, lk.Received)
 	cr.hearing.heard(lk.Received)
 	wk.fails, wk.lookedAt, wk.livedAt = 0, lk.Received, latest(wk.livedAt, lk.Sent)
 	cr.unhold(now, wk)
 	wk.nextLook = now.Add(cr.opts.PollInterval)
-	wk.told = max(wk.told, lk.Observed)
+	wk.told = max(wk.told, lk.AckedEnd)
 	first := !wk.fenced
 	if first {
 		if wk.fencedAt.IsZero() {
@@ -96,7 +96,7 @@
 }
 
 // missing handles a placement that the worker does not list.
-func (cr *Core) missing(now time.Time, wk *worker, pl *placement, lk Looked) {
+func (cr *Core) missing(now time.Time, wk *worker, pl *placement, lk PollResult) {
 	switch {
 	case pl.phase == uncertain && pl.token < lk.Token:
 		// The worker has seen a higher token than the start's, so the start can never happen.
@@ -126,7 +126,7 @@
 	cr.proved(pl, wk.livedAt)
 	cr.paceOf(pl, wk.lookedAt, rn.Progress)
 	pl.progress = rn.Progress
-	pl.figure = rn.Figure
+	pl.figure = rn.Metric
 	if rn.Checkpoint != "" {
 		pl.step.tasks[rn.Task.Index].checkpoint = rn.Checkpoint
 	}
--- a/cell/model_crash_test.go
+++ b/cell/model_crash_test.go
@@ -166,7 +166,7 @@
 	if md.now.Sub(ow.asked) < modelCensus {
 		return
 	}
-	missing, _ := ow.core.Missing(md.now)
+	missing, _ := ow.core.Unresponsive(md.now)
 	if len(missing) == 0 {
 		return
 	}
@@ -178,7 +178,7 @@
 		md.deliver(ow, func() {
 			for _, id := range missing {
 				if !md.workers[id].alive && md.living(id.Name()) == nil {
-					ow.core.Gone(md.now, id)
+					ow.core.WorkerEnded(md.now, id)
 				}
 			}
 		})
--- a/cell/model_test.go
+++ b/cell/model_test.go
@@ -63,7 +63,7 @@
 type truthRun struct {
 	attempt job.Attempt
 	ends    time.Time
-	how     How
+	how     EndReason
 	atWork  time.Time
 	stopped bool
 	// crashes means that it ends its worker instead of itself.
@@ -127,7 +127,7 @@
 	// rowVersion, rowEpoch, used, exposed and released are the cell's row.
 	rowVersion int64
 	rowEpoch   job.Epoch
-	used       []Ref
+	used       []WorkerRef
 	exposed    job.Epoch
 	released   bool
 	progress   map[job.ID]SaveRow
@@ -206,7 +206,7 @@
 	if md.reborn {
 		began, born = md.now, md.now.UnixMilli()
 	}
-	id := LifeOf(name, born)
+	id := NewWorkerID(name, born)
 	wk := &truthWorker{
 		began: began,
 		info:  Worker{ID: id, Pool: modelPool, Address: address, Rack: fmt.Sprintf("r%d", md.rnd.Intn(2)), Room: job.Size{CPUMillis: modelRoom, MemoryMB: 4000}},
@@ -244,7 +244,7 @@
 		rn := wk.runs[tk]
 		switch {
 		case lapsed:
-			md.end(wk, tk, rn, EndLapsed)
+			md.end(wk, tk, rn, EndLeaseExpired)
 		case !md.now.Before(rn.ends) && rn.crashes:
 			md.crash(wk)
 			return
@@ -254,14 +254,14 @@
 	}
 }
 
-func (md *model) end(wk *truthWorker, tk job.Task, rn *truthRun, how How) {
+func (md *model) end(wk *truthWorker, tk job.Task, rn *truthRun, how EndReason) {
 	delete(wk.runs, tk)
 	wk.last++
 	wk.over[tk] = max(wk.over[tk], rn.attempt)
 	if how == EndDone {
 		md.done[tk] = true
 	}
-	wk.ended = append(wk.ended, End{Number: wk.last, Task: tk, Attempt: rn.attempt, How: how})
+	wk.ended = append(wk.ended, End{Number: wk.last, Task: tk, Attempt: rn.attempt, Reason: how})
 	md.strike(strikeEnd)
 	md.note("%s: %v attempt %d ended %s", wk.info.ID, tk, rn.attempt, how)
 }
@@ -289,10 +289,10 @@
 	md.version++
 	md.rowVersion, md.rowEpoch, md.released = md.version, job.Epoch(md.version), false
 	ow := &modelOwner{core: New(modelPool, md.rowEpoch, md.opts), epoch: md.rowEpoch, row: md.version, cutWorkers: map[WorkerID]time.Time{}}
-	md.used = append([]Ref(nil), before...)
+	md.used = append([]WorkerRef(nil), before...)
 	for _, wk := range md.sorted() {
 		if wk.alive {
-			md.used = appendRef(md.used, Ref{ID: wk.info.ID, Address: wk.info.Address})
+			md.used = appendRef(md.used, WorkerRef{ID: wk.info.ID, Address: wk.info.Address})
 		}
 	}
 	if !md.calm && md.rnd.Intn(2) == 0 {
@@ -300,7 +300,7 @@
 		md.cut(ow)
 	}
 	ow.core.TakeOver(md.now, md.now, before, released)
-	ow.core.Expose(md.exposed)
+	ow.core.NoteUnseenLosses(md.exposed)
 	ow.core.Configure([]job.Queue{
 		{ID: modelQueue, Pool: modelPool, Priority: 2, MaxAttempts: modelAttempts, Stretch: 1.5, Slack: time.Second},
 		{ID: modelUrgent, Pool: modelPool, MaxAttempts: modelAttempts, Stretch: 1.5, Slack: 5 * time.Second},
@@ -310,7 +310,7 @@
 			ow.core.Register(md.now, wk.info)
 		}
 	}
-	ow.core.Enlisted(md.used)
+	ow.core.WorkersRecorded(md.used)
 	for _, id := range md.order2 {
 		md.tell(ow, id)
 	}
@@ -322,7 +322,7 @@
 	md.plan(ow)
 }
 
-func appendRef(refs []Ref, ref Ref) []Ref {
+func appendRef(refs []WorkerRef, ref WorkerRef) []WorkerRef {
 	for _, rf := range refs {
 		if rf.ID == ref.ID {
 			return refs
@@ -336,7 +336,7 @@
 // tell gives a job to an owner as the store has it.
 func (md *model) tell(ow *modelOwner, id job.ID) {
 	jb := md.jobs[id]
-	sd := Stored{Spec: jb.spec, Cancelled: !jb.cancelled.IsZero()}
+	sd := StoredJob{Spec: jb.spec, Cancelled: !jb.cancelled.IsZero()}
 	if row, ok := md.progress[id]; ok {
 		sd.Progress, sd.Version = row.Progress, row.Version
 	}
@@ -398,14 +398,14 @@
 		return
 	}
 	if md.row(ow) && md.now.After(ow.cutStore) {
-		ow.core.Confirmed(md.now)
-		ow.core.Registered(md.now.Add(-modelTold * time.Millisecond))
+		ow.core.OwnershipConfirmed(md.now)
+		ow.core.RegistrationsRead(md.now.Add(-modelTold * time.Millisecond))
 	}
 	for _, od := range ow.core.Plan(md.now) {
 		md.carry(ow, od)
 	}
 	md.census(ow)
-	if ow.core.Lost() {
+	if ow.core.Superseded() {
 		ow.dead = true
 		md.note("owner %d has lost", ow.epoch)
 		return
@@ -436,33 +436,33 @@
 // carry carries an order out, now, late or never.
 func (md *model) carry(ow *modelOwner, od Order) {
 	switch order := od.(type) {
-	case Look:
+	case Poll:
 		md.call(ow, order.Worker, order.Token, func(sent time.Time, wk *truthWorker, without Outcome) func() {
-			lk := Looked{Look: order, Sent: sent, Received: md.now, Outcome: without}
+			lk := PollResult{Poll: order, Sent: sent, Received: md.now, Outcome: without}
 			if wk != nil {
 				lk = md.lookAt(wk, order, sent)
 			}
 			return func() {
 				lk.Received = md.now
-				ow.core.Looked(md.now, lk)
+				ow.core.HandlePoll(md.now, lk)
 			}
 		})
-	case Start, Stop, Pace:
+	case Start, Stop, Throttle:
 		id, token := addressee(od)
 		md.call(ow, id, token, func(sent time.Time, wk *truthWorker, without Outcome) func() {
-			res := Ordered{Order: od, Sent: sent, Outcome: without}
+			res := OrderResult{Order: od, Sent: sent, Outcome: without}
 			if wk != nil {
 				md.sent, md.deaf = sent, sent.Before(ow.cutStore) || sent.Before(ow.frozen)
 				res.Outcome, res.Clock = md.obey(wk, od), md.clock(wk)
 			}
 			return func() {
 				res.Received = md.now
-				ow.core.Ordered(md.now, res)
+				ow.core.HandleOrder(md.now, res)
 			}
 		})
 	case Save:
 		md.at(md.millis(2, 30), func() { md.save(ow, order) })
-	case Enlist:
+	case RecordWorkers:
 		md.at(md.millis(2, 30), func() { md.enlist(ow, order) })
 	}
 }
@@ -474,7 +474,7 @@
 		return order.Worker, order.Token
 	case Stop:
 		return order.Worker, order.Token
-	case Pace:
+	case Throttle:
 		return order.Worker, order.Token
 	}
 	return "", 0
@@ -493,7 +493,7 @@
 	if luck < 8 {
 		md.strike(strikeLost)
 	}
-	silent := func() { md.at(time.Second, func() { md.deliver(ow, act(sent, nil, Silent)) }) }
+	silent := func() { md.at(time.Second, func() { md.deliver(ow, act(sent, nil, NoAnswer)) }) }
 	switch {
 	case md.now.Before(ow.cutWorkers[id]) || luck < 3:
 		silent()
@@ -503,14 +503,14 @@
 		md.at(md.millis(1, 8000), func() {
 			// The next life under the name may carry it out, unless it was void for the one before already.
 			if wk := md.living(id.Name()); wk != nil && (wk == meant || reached && token >= meant.token) {
-				act(sent, wk, Silent)
+				act(sent, wk, NoAnswer)
 			}
 		})
 		silent()
 	case luck < 8:
 		md.at(md.millis(1, 10), func() {
 			if wk := md.workers[id]; wk.alive {
-				act(sent, wk, Silent)
+				act(sent, wk, NoAnswer)
 			}
 		})
 		silent()
@@ -524,30 +524,30 @@
 			}
 			if !wk.alive && md.rnd.Intn(3) > 0 {
 				// Its port is dead.
-				md.deliver(ow, act(sent, nil, Silent))
+				md.deliver(ow, act(sent, nil, NoAnswer))
 				return
 			}
 			if !wk.alive {
 				silent()
 				return
 			}
-			back := act(sent, wk, Silent)
+			back := act(sent, wk, NoAnswer)
 			md.at(md.millis(1, 10), func() { md.deliver(ow, back) })
 		})
 	}
 }
 
 // lookAt is what a worker does on a look.
-func (md *model) lookAt(wk *truthWorker, lk Look, sent time.Time) Looked {
+func (md *model) lookAt(wk *truthWorker, lk Poll, sent time.Time) PollResult {
 	md.settle(wk)
-	res := Looked{Look: lk, Sent: sent, Clock: md.clock(wk)}
+	res := PollResult{Poll: lk, Sent: sent, Clock: md.clock(wk)}
 	if lk.Token < wk.token {
-		res.Outcome = Overtaken
+		res.Outcome = Superseded
 		return res
 	}
 	wk.token = lk.Token
-	md.lease(wk, lk.Until)
-	md.acknowledge(wk, lk.Observed)
+	md.lease(wk, lk.LeaseUntil)
+	md.acknowledge(wk, lk.AckedEnd)
 	res.Outcome = Done
 	for _, tk := range taskOrder(wk.runs) {
 		rn := wk.runs[tk]
@@ -573,7 +573,7 @@
 		en := wk.ended[0]
 		wk.ended = wk.ended[1:]
 		st := md.step(en.Task)
-		switch en.How {
+		switch en.Reason {
 		case EndDone:
 			if !st.LongRunning {
 				if en.Number > wk.lapsed {
@@ -607,7 +607,7 @@
 		return md.obeyStart(wk, order)
 	case Stop:
 		if order.Token < wk.token {
-			return Overtaken
+			return Superseded
 		}
 		wk.token = order.Token
 		wk.over[order.Task] = max(wk.over[order.Task], order.Attempt)
@@ -623,17 +623,17 @@
 func (md *model) obeyStart(wk *truthWorker, order Start) Outcome {
 	switch {
 	case order.Token < wk.token:
-		return Overtaken
+		return Superseded
 	case wk.runs[order.Task] != nil && wk.runs[order.Task].attempt == order.Attempt:
 		return Done
 	}
 	wk.token = order.Token
-	md.lease(wk, order.Until)
+	md.lease(wk, order.LeaseUntil)
 	if order.Attempt <= wk.over[order.Task] {
-		return Stale
+		return AttemptEnded
 	}
-	if order.Until <= md.clock(wk) {
-		return Late
+	if order.LeaseUntil <= md.clock(wk) {
+		return LeaseExpired
 	}
 	md.checkStart(wk, order)
 	how, took := EndDone, md.millis(50, 2500)
@@ -678,15 +678,15 @@
 	md.at(md.millis(1, 400), func() { md.deliver(ow, func() { ow.core.Saved(md.now, version) }) })
 }
 
-func (md *model) enlist(ow *modelOwner, en Enlist) {
+func (md *model) enlist(ow *modelOwner, en RecordWorkers) {
 	if !md.row(ow) || md.now.Before(ow.cutStore) {
 		md.deliver(ow, ow.core.EnlistFailed)
 		return
 	}
 	md.version++
-	md.rowVersion, ow.row, md.used, md.exposed = md.version, md.version, en.Workers, en.Exposed
+	md.rowVersion, ow.row, md.used, md.exposed = md.version, md.version, en.Workers, en.UnseenLossEpoch
 	md.deliver(ow, func() {
-		ow.core.Enlisted(en.Workers)
+		ow.core.WorkersRecorded(en.Workers)
 		ow.core.EnlistFailed()
 	})
 }
--- a/cell/model_trouble_test.go
+++ b/cell/model_trouble_test.go
@@ -76,7 +76,7 @@
 		for _, ow := range md.owners {
 			ow.core.Unregister(md.now, wk.info.ID)
 			if next := md.living(wk.info.ID.Name()); next == nil && md.rnd.Intn(2) == 0 {
-				ow.core.Gone(md.now, wk.info.ID)
+				ow.core.WorkerEnded(md.now, wk.info.ID)
 			}
 		}
 	})
@@ -97,7 +97,7 @@
 // handOver is a planned stop of an owner.
 func (md *model) handOver(ow *modelOwner) {
 	md.version++
-	md.rowVersion, md.used, md.exposed, md.released = md.version, ow.core.Release(md.now), ow.core.Exposed(), true
+	md.rowVersion, md.used, md.exposed, md.released = md.version, ow.core.Release(md.now), ow.core.UnseenLossEpoch(), true
 	ow.dead = true
 	md.note("owner %d hands over, clean %t", ow.epoch, md.released)
 	md.at(md.millis(10, 800), func() {
@@ -121,10 +121,10 @@
 // greet is how a life answers whoever opens a connection to the one before it, under a token.
 func (wk *truthWorker) greet(token Token) Outcome {
 	if token < wk.token {
-		return Overtaken
+		return Superseded
 	}
 	wk.token = token
-	return Dead
+	return WrongIncarnation
 }
 
 // strikes are how often of a hundred times a dense world's owner is troubled after something has happened, and strikeWithin is how soon.
--- a/cell/order.go
+++ b/cell/order.go
@@ -11,15 +11,15 @@
 
 // The orders.
 type (
-	// Look renews leases at a worker, acknowledges ends, and reads what runs and what has ended.
-	Look struct {
+	// Poll renews leases at a worker, acknowledges ends, and reads what runs and what has ended.
+	Poll struct {
 		Worker  WorkerID
 		Address string
 		Token   Token
-		// Until is the lease's end on the worker's clock; 0 leaves it.
-		Until int64
-		// Observed is the number of the newest end that is kept.
-		Observed int64
+		// LeaseUntil is the lease's end on the worker's clock; 0 leaves it.
+		LeaseUntil int64
+		// AckedEnd is the number of the newest end that is kept.
+		AckedEnd int64
 		// Wait is how long the worker may hold the answer back for an end.
 		Wait time.Duration
 	}
@@ -33,7 +33,7 @@
 		Payload string
 		// PayloadAt is the entry instance that has the payload as well; empty if none is known to.
 		PayloadAt  string
-		Until      int64
+		LeaseUntil int64
 		Checkpoint job.Checkpoint
 		Ticket     string
 	}
@@ -45,8 +45,8 @@
 		Task    job.Task
 		Attempt job.Attempt
 	}
-	// Pace throttles an attempt to a share of its work, in percent.
-	Pace struct {
+	// Throttle throttles an attempt to a share of its work, in percent.
+	Throttle struct {
 		Worker  WorkerID
 		Address string
 		Token   Token
@@ -62,10 +62,10 @@
 		Version  int64
 		Progress *job.Progress
 	}
-	// Enlist writes the workers that are used into the cell's row, with what Exposed says.
-	Enlist struct {
-		Workers []Ref
-		Exposed job.Epoch
+	// RecordWorkers writes the workers that are used into the cell's row, with what Exposed says.
+	RecordWorkers struct {
+		Workers         []WorkerRef
+		UnseenLossEpoch job.Epoch
 	}
 	// Advise asks the advice service which workers may run a step.
 	Advise struct {
@@ -76,43 +76,43 @@
 	}
 )
 
-func (Look) order()   {}
-func (Start) order()  {}
-func (Stop) order()   {}
-func (Pace) order()   {}
-func (Save) order()   {}
-func (Enlist) order() {}
-func (Advise) order() {}
+func (Poll) order()          {}
+func (Start) order()         {}
+func (Stop) order()          {}
+func (Throttle) order()      {}
+func (Save) order()          {}
+func (RecordWorkers) order() {}
+func (Advise) order()        {}
 
 // Outcome is what became of an order at a worker.
 type Outcome int
 
 // The outcomes.
 const (
-	// Silent means that there was no answer: the order may have been carried out, or may be later.
-	Silent Outcome = iota
+	// NoAnswer means that there was no answer: the order may have been carried out, or may be later.
+	NoAnswer Outcome = iota
 	// Done means that the worker answered that it did it.
 	Done
-	// Unsent means that the worker cannot have got it.
-	Unsent
-	// Overtaken means that the worker has seen a higher token.
-	Overtaken
-	// Stale means that the worker knows this attempt, or a later one, as ended.
-	Stale
-	// Late means that the lease had run out on the worker's clock.
-	Late
+	// NotSent means that the worker cannot have got it.
+	NotSent
+	// Superseded means that the worker has seen a higher token.
+	Superseded
+	// AttemptEnded means that the worker knows this attempt, or a later one, as ended.
+	AttemptEnded
+	// LeaseExpired means that the lease had run out on the worker's clock.
+	LeaseExpired
 	// NoRoom means that the worker has no room.
 	NoRoom
-	// NoTicket means that the admission ticket does not hold.
-	NoTicket
-	// Unwell means that the worker did nothing, being unhealthy or busy.
-	Unwell
+	// TicketInvalid means that the admission ticket does not hold.
+	TicketInvalid
+	// Unhealthy means that the worker did nothing, being unhealthy or busy.
+	Unhealthy
 	// Invalid means that the worker cannot understand the order.
 	Invalid
-	// Dead means that another life answers at the address.
-	Dead
-	// Unprepared means that the order was not sent, since its payload could not be had where it was to be carried out.
-	Unprepared
+	// WrongIncarnation means that another life answers at the address.
+	WrongIncarnation
+	// PayloadMissing means that the order was not sent, since its payload could not be had where it was to be carried out.
+	PayloadMissing
 )
 
 // String names the outcome for the log.
@@ -127,23 +127,23 @@
 	Checkpoint job.Checkpoint
 	// Progress is in percent.
 	Progress int
-	// Figure is the tail latency in milliseconds for a serving task, thousandths of a core in use for others.
-	Figure int
+	// Metric is the tail latency in milliseconds for a serving task, thousandths of a core in use for others.
+	Metric int
 }
 
-// How tells how an attempt ended.
-type How string
+// EndReason tells how an attempt ended.
+type EndReason string
 
 // The ways in which attempts end.
 const (
-	EndDone    How = "done"
-	EndFailed  How = "failed"
-	EndStopped How = "stopped"
-	EndLapsed  How = "lapsed"
-	// EndBroken means that another member of the gang ended.
-	EndBroken How = "broken"
-	// EndAlone means that the other members of the gang did not come.
-	EndAlone How = "alone"
+	EndDone         EndReason = "done"
+	EndFailed       EndReason = "failed"
+	EndStopped      EndReason = "stopped"
+	EndLeaseExpired EndReason = "lapsed"
+	// EndGangBroken means that another member of the gang ended.
+	EndGangBroken EndReason = "broken"
+	// EndGangIncomplete means that the other members of the gang did not come.
+	EndGangIncomplete EndReason = "alone"
 )
 
 // End is one ended attempt that a worker lists.
@@ -151,13 +151,13 @@
 	Number     int64
 	Task       job.Task
 	Attempt    job.Attempt
-	How        How
+	Reason     EndReason
 	Checkpoint job.Checkpoint
 }
 
-// Looked is the result of a look.
-type Looked struct {
-	Look
+// PollResult is the result of a look.
+type PollResult struct {
+	Poll
 	Outcome        Outcome
 	Sent, Received time.Time
 	// Clock is the worker's, in milliseconds.
@@ -166,8 +166,8 @@
 	Ended   []End
 }
 
-// Ordered is the result of a start, stop or pace.
-type Ordered struct {
+// OrderResult is the result of a start, stop or pace.
+type OrderResult struct {
 	Order          Order
 	Outcome        Outcome
 	Sent, Received time.Time
--- a/cell/outage_test.go
+++ b/cell/outage_test.go
@@ -9,21 +9,21 @@
 // two tasks by the room that the worker had had before: "needs 1300, the worker has 7280, of which 6900 is taken", six seconds after the shrink.
 func TestNothingStartsByRoomsFromBeforeAnOutage(t *testing.T) {
 	bd := newBed(t, 1)
-	bd.core.Confirmed(bd.now)
-	bd.core.Registered(bd.now)
+	bd.core.OwnershipConfirmed(bd.now)
+	bd.core.RegistrationsRead(bd.now)
 	away := 4 * time.Second
 	for end := bd.now.Add(away); bd.now.Before(end); bd.pass(250 * time.Millisecond) {
 		bd.planAsIs()
 		bd.answerAll()
 	}
-	bd.core.Confirmed(bd.now)
+	bd.core.OwnershipConfirmed(bd.now)
 	bd.add("j", bedEpoch, tasks(1))
 	if sts := starts(bd.planAsIs()); len(sts) != 0 {
 		t.Errorf("%d tasks start before the registrations are known again", len(sts))
 	}
 	bd.pass(200 * time.Millisecond)
-	bd.core.Confirmed(bd.now)
-	bd.core.Registered(bd.now)
+	bd.core.OwnershipConfirmed(bd.now)
+	bd.core.RegistrationsRead(bd.now)
 	bd.answerAll()
 	if sts := starts(bd.planAsIs()); len(sts) != 1 {
 		t.Errorf("%d tasks start once they are, want 1", len(sts))
@@ -36,7 +36,7 @@
 	bd := newBed(t, 1)
 	in := bd.core.list[0].info
 	tell := func() {
-		in.Told = bd.now
+		in.WrittenAt = bd.now
 		bd.core.Register(bd.now, in)
 	}
 	tell()
@@ -73,11 +73,11 @@
 func TestRoomOfARegistrationThatWasOldWhenItWasReadIsCountedOnInPart(t *testing.T) {
 	bd := newBed(t, 1)
 	in := bd.core.list[0].info
-	in.Told = bd.now.Add(-DefaultRegistrationMaxAge - time.Second)
+	in.WrittenAt = bd.now.Add(-DefaultRegistrationMaxAge - time.Second)
 	bd.core.Register(bd.now, in)
 	bd.add("j", bedEpoch, tasks(4))
 	bd.wantStarts(bd.plan(), 1)
-	in.Told = bd.now
+	in.WrittenAt = bd.now
 	bd.core.Register(bd.now, in)
 	bd.wantStarts(bd.plan(), 3)
 }
@@ -87,7 +87,7 @@
 	bd := newBed(t, 2)
 	tell := func(at int) {
 		in := bd.core.list[at].info
-		in.Told = bd.now
+		in.WrittenAt = bd.now
 		bd.core.Register(bd.now, in)
 	}
 	tell(0)
--- a/cell/place.go
+++ b/cell/place.go
@@ -181,7 +181,7 @@
 // takes reports whether a worker may get new tasks.
 func (cr *Core) takes(now time.Time, wk *worker) bool {
 	switch {
-	case cr.leaves(now, wk) || cr.cordoned(now, wk) || wk.info.Withheld:
+	case cr.leaves(now, wk) || cr.cordoned(now, wk) || wk.info.Unschedulable:
 		return false
 	case !wk.fenced || !wk.enlisted || wk.clockAt.IsZero() || wk.fails > 0 || wk.doubtful:
 		return false
@@ -445,6 +445,6 @@
 	cr.opts.Log(Decision{What: "start", Task: tk, Attempt: attempt, Worker: wk.info.ID, Token: pl.token, Why: why, PollAge: now.Sub(wk.lookedAt), LossCount: ts.lost.total()})
 	cr.order(Start{
 		Worker: wk.info.ID, Address: wk.info.Address, Token: pl.token, Task: tk, Attempt: attempt,
-		Payload: st.job.spec.Payload, PayloadAt: st.job.spec.Acceptor, Until: until, Checkpoint: ts.checkpoint, Ticket: st.tickets[wk.info.ID],
+		Payload: st.job.spec.Payload, PayloadAt: st.job.spec.Acceptor, LeaseUntil: until, Checkpoint: ts.checkpoint, Ticket: st.tickets[wk.info.ID],
 	})
 }
--- a/cell/plan.go
+++ b/cell/plan.go
@@ -89,7 +89,7 @@
 		wk.enlisting = true
 	}
 	cr.outdated = false
-	cr.order(Enlist{Workers: cr.Used(), Exposed: cr.Exposed()})
+	cr.order(RecordWorkers{Workers: cr.UsedWorkers(), UnseenLossEpoch: cr.UnseenLossEpoch()})
 }
 
 // tidyEvery is the least time between two writes that only take workers from the cell's row.
@@ -251,11 +251,11 @@
 }
 
 func (cr *Core) look(now time.Time, wk *worker, wait time.Duration) {
-	lk := Look{Worker: wk.info.ID, Address: wk.info.Address, Token: cr.token(wk), Observed: wk.observed, Wait: wait}
+	lk := Poll{Worker: wk.info.ID, Address: wk.info.Address, Token: cr.token(wk), AckedEnd: wk.observed, Wait: wait}
 	// A silent worker's leases are left to run out, so that it is known when what runs there has ended.
 	if wk.fails == 0 && cr.mayRenew(now) && (len(wk.places) > 0 || len(wk.foreign) > 0) {
-		lk.Until = cr.until(wk, now)
-		cr.gave(wk, lk.Until)
+		lk.LeaseUntil = cr.until(wk, now)
+		cr.gave(wk, lk.LeaseUntil)
 	}
 	wk.looking, wk.lookToken = true, lk.Token
 	cr.order(lk)
--- a/cell/preempt_test.go
+++ b/cell/preempt_test.go
@@ -26,7 +26,7 @@
 // urge hands in a job of the queue that goes first and returns the tasks that are stopped for it within a time.
 func (bd *bed) urge(count int, within time.Duration) []job.Task {
 	step := tasks(count)
-	bd.core.Add(bd.now, Stored{Spec: &job.Spec{ID: "urgent", Queue: "first", Pool: bedPool, Steps: []job.Step{step}, Epoch: bedEpoch}})
+	bd.core.Add(bd.now, StoredJob{Spec: &job.Spec{ID: "urgent", Queue: "first", Pool: bedPool, Steps: []job.Step{step}, Epoch: bedEpoch}})
 	var stopped []job.Task
 	for until := bd.now.Add(within); bd.now.Before(until); bd.pass(50 * time.Millisecond) {
 		for _, od := range bd.plan() {
@@ -95,7 +95,7 @@
 	// The look is answered, so that only what waits could wake the cell.
 	bd.pass(bd.core.opts.PollInterval)
 	bd.plan()
-	bd.core.Add(bd.now, Stored{Spec: &job.Spec{ID: "wait", Queue: "first", Pool: bedPool, Steps: []job.Step{tasks(1)}, Epoch: bedEpoch}})
+	bd.core.Add(bd.now, StoredJob{Spec: &job.Spec{ID: "wait", Queue: "first", Pool: bedPool, Steps: []job.Step{tasks(1)}, Epoch: bedEpoch}})
 	bd.plan()
 	bd.pass(preemptAfter - 100*time.Millisecond)
 	bd.plan()
@@ -107,12 +107,12 @@
 // Of a paused queue nothing is started and no machine asked for; it goes on where it was.
 func TestPausedQueueStartsNothing(t *testing.T) {
 	bd := newBed(t, 2)
-	bd.core.Pause(map[job.QueueID]bool{"q": true})
+	bd.core.SetPausedQueues(map[job.QueueID]bool{"q": true})
 	bd.add("a", bedEpoch, tasks(3))
 	bd.wantStarts(bd.plan(), 0)
 	if needed := bd.core.Load(bd.now).Needed; needed != 0 {
 		t.Errorf("%v machines are asked for", needed)
 	}
-	bd.core.Pause(map[job.QueueID]bool{})
+	bd.core.SetPausedQueues(map[job.QueueID]bool{})
 	bd.wantStarts(bd.plan(), 3)
 }
--- a/cell/registry.go
+++ b/cell/registry.go
@@ -12,9 +12,9 @@
 	if in.Draining && !wk.info.Draining {
 		cr.opts.Log(Decision{What: "worker drains", Worker: in.ID})
 	}
-	cr.renewals = cr.renewals || wk.known && in.Told.After(wk.info.Told)
-	if !wk.known && !in.Told.IsZero() && now.Sub(in.Told) > cr.opts.RegistrationMaxAge {
-		wk.untoldUntil = now.Add(RenewedWithin)
+	cr.renewals = cr.renewals || wk.known && in.WrittenAt.After(wk.info.WrittenAt)
+	if !wk.known && !in.WrittenAt.IsZero() && now.Sub(in.WrittenAt) > cr.opts.RegistrationMaxAge {
+		wk.untoldUntil = now.Add(RegistrationRenewal)
 	}
 	wk.info, wk.listed, wk.known, wk.unlistedAt = in, true, true, time.Time{}
 }
@@ -23,13 +23,13 @@
 // room has shrunk, and what is overfull ends for all tasks there.
 const roomUntold = 3
 
-// RenewedWithin is how long a registration that was old when it was first read may take to be written anew.
-const RenewedWithin = 2500 * time.Millisecond
+// RegistrationRenewal is how long a registration that was old when it was first read may take to be written anew.
+const RegistrationRenewal = 2500 * time.Millisecond
 
 // roomOf is the room of a worker that is counted on. Some platforms do not tell that a registration was written anew and says the same; then its age
 // means nothing, but where it is old from the first.
 func (cr *Core) roomOf(now time.Time, wk *worker) job.Size {
-	old := now.Sub(wk.info.Told) > cr.opts.RegistrationMaxAge
+	old := now.Sub(wk.info.WrittenAt) > cr.opts.RegistrationMaxAge
 	if old && (cr.renewals || now.Before(wk.untoldUntil)) {
 		return wk.info.Room.Div(roomUntold)
 	}
@@ -43,8 +43,8 @@
 	}
 }
 
-// Gone tells that a life of a worker has ended for certain: its machine runs another or none.
-func (cr *Core) Gone(now time.Time, id WorkerID) {
+// WorkerEnded tells that a life of a worker has ended for certain: its machine runs another or none.
+func (cr *Core) WorkerEnded(now time.Time, id WorkerID) {
 	if wk, ok := cr.workers[id]; ok {
 		cr.bury(now, wk, "its machine says so", 0)
 	}
@@ -58,12 +58,12 @@
 	return ""
 }
 
-// Vacated tells that a worker has ended since its machine was moved to another pool, which is done only once nothing is left there.
-func (cr *Core) Vacated(now time.Time, id WorkerID) {
+// WorkerMoved tells that a worker has ended since its machine was moved to another pool, which is done only once nothing is left there.
+func (cr *Core) WorkerMoved(now time.Time, id WorkerID) {
 	if _, open := cr.unresolved[id]; open {
 		cr.vacated[id] = true
 	}
-	cr.Gone(now, id)
+	cr.WorkerEnded(now, id)
 }
 
 const (
@@ -76,9 +76,9 @@
 	brokenFor = 2 * time.Second
 )
 
-// Missing lists the workers that do not answer while something runs, or may run, on them; pressing tells that the connections of one of them
+// Unresponsive lists the workers that do not answer while something runs, or may run, on them; pressing tells that the connections of one of them
 // broke just now.
-func (cr *Core) Missing(now time.Time) (ids []WorkerID, pressing bool) {
+func (cr *Core) Unresponsive(now time.Time) (ids []WorkerID, pressing bool) {
 	for _, wk := range cr.list {
 		_, open := cr.unresolved[wk.info.ID]
 		if wk.fails == 0 || !open && len(wk.places) == 0 && len(wk.lapsed) == 0 {
@@ -97,8 +97,8 @@
 // Cordon tells which workers get no new tasks since their machines are wanted, whatever their lives.
 func (cr *Core) Cordon(names map[WorkerName]bool) { cr.cordons = names }
 
-// Clear reports whether nothing runs or may run on a worker in any of its lives, and all that has ended there is kept.
-func (cr *Core) Clear(name WorkerName) bool {
+// Drained reports whether nothing runs or may run on a worker in any of its lives, and all that has ended there is kept.
+func (cr *Core) Drained(name WorkerName) bool {
 	for _, wk := range cr.lives(name) {
 		if len(wk.places)+len(wk.foreign)+len(wk.held) > 0 || !wk.fenced && wk.enlisted {
 			return false
--- a/cell/stall_test.go
+++ b/cell/stall_test.go
@@ -15,9 +15,9 @@
 	bd.add("after", bedEpoch, tasks(1))
 	bd.pass(3 * time.Second)
 	bd.wantStarts(bd.planAsIs(), 0)
-	bd.core.Confirmed(bd.now)
+	bd.core.OwnershipConfirmed(bd.now)
 	bd.wantStarts(bd.planAsIs(), 0)
-	bd.core.Registered(bd.now)
+	bd.core.RegistrationsRead(bd.now)
 	bd.wantStarts(bd.planAsIs(), 1)
 }
 
@@ -57,7 +57,7 @@
 	}
 	for _, id := range []WorkerID{"w0", "w1"} {
 		info := bd.core.workers[id].info
-		info.Withheld = true
+		info.Unschedulable = true
 		bd.core.Register(bd.now, info)
 	}
 	bd.add("a", bedEpoch, tasks(1))
--- a/cell/takeover_test.go
+++ b/cell/takeover_test.go
@@ -13,7 +13,7 @@
 	bd.add("j", bedEpoch, tasks(1))
 	first := bd.wantStarts(bd.plan(), 1)[0]
 	bd.pass(time.Second)
-	bd.ordered(first, Silent)
+	bd.ordered(first, NoAnswer)
 	orders := bd.plan()
 	bd.wantStarts(orders, 0)
 	lk := looksOf(orders)["w0"]
@@ -82,7 +82,7 @@
 	st := bd.wantStarts(bd.plan(), 1)[0]
 	bd.ordered(st, Done)
 	bd.pass(time.Second)
-	bd.core.Gone(bd.now, st.Worker)
+	bd.core.WorkerEnded(bd.now, st.Worker)
 	orders := bd.core.Plan(bd.now)
 	bd.wantStarts(orders, 0)
 	bd.keep(orders)
@@ -93,13 +93,13 @@
 // TestCarriedJobsWaitForUnresolvedWorkers: jobs that name this owner do not.
 func TestCarriedJobsWaitForUnresolvedWorkers(t *testing.T) {
 	bd := newBed(t, 1)
-	bd.core.TakeOver(bd.now, bd.now, []Ref{{ID: "gone", Address: "gone"}}, false)
+	bd.core.TakeOver(bd.now, bd.now, []WorkerRef{{ID: "gone", Address: "gone"}}, false)
 	bd.add("old", 1, tasks(1))
 	bd.add("new", bedEpoch, tasks(1))
 	if st := bd.wantStarts(bd.plan(), 1)[0]; st.Task.Job != "new" {
 		t.Fatalf("%s was started", st.Task.Job)
 	}
-	bd.core.Gone(bd.now, "gone")
+	bd.core.WorkerEnded(bd.now, "gone")
 	bd.wantStarts(bd.core.Plan(bd.now), 0)
 	bd.pass(time.Millisecond)
 	if st := bd.wantKept(1)[0]; st.Task.Job != "old" {
@@ -110,7 +110,7 @@
 // TestEarlierLeasesAreOverOnlyForAConfirmedOwner: a later owner that this one has not heard of may have renewed them.
 func TestEarlierLeasesAreOverOnlyForAConfirmedOwner(t *testing.T) {
 	bd := newBed(t, 1)
-	bd.core.TakeOver(bd.now, bd.now, []Ref{{ID: "far", Address: "far"}}, true)
+	bd.core.TakeOver(bd.now, bd.now, []WorkerRef{{ID: "far", Address: "far"}}, true)
 	bd.add("old", 1, tasks(1))
 	bd.pass(bd.core.slow(bd.core.opts.LeaseDuration) + deliveryMargin + time.Millisecond)
 	bd.silence("far")
@@ -124,7 +124,7 @@
 	bd := newBed(t, 1)
 	bd.add("j", bedEpoch, tasks(1))
 	st := bd.wantStarts(bd.plan(), 1)[0]
-	bd.ordered(st, Silent)
+	bd.ordered(st, NoAnswer)
 	bd.add("k", bedEpoch, tasks(1))
 	bd.wantStarts(bd.plan(), 0)
 	bd.looked(bd.nextLook("w0"), nil, nil)
@@ -137,7 +137,7 @@
 	bd.add("known", bedEpoch, tasks(1))
 	st := bd.wantStarts(bd.plan(), 1)[0]
 	bd.ordered(st, Done)
-	before := End{Number: 2, Task: job.Task{Job: "late"}, Attempt: 1, How: EndDone}
+	before := End{Number: 2, Task: job.Task{Job: "late"}, Attempt: 1, Reason: EndDone}
 	bd.looked(bd.nextLook("w0"), nil, []End{bd.end(st, EndDone), before})
 	bd.add("late", 1, tasks(2))
 	for _, st := range starts(bd.plan()) {
@@ -192,7 +192,7 @@
 	lasting := tasks(2)
 	lasting.LongRunning, lasting.DisruptionBudget, lasting.HasDisruptionBudget = true, 1, true
 	bd.core = New(bedPool, bedEpoch+1, Options{StopTimeout: 400 * time.Millisecond})
-	bd.core.TakeOver(bd.now, bd.now, []Ref{{ID: "w0", Address: "w0"}, {ID: "w1", Address: "w1"}}, false)
+	bd.core.TakeOver(bd.now, bd.now, []WorkerRef{{ID: "w0", Address: "w0"}, {ID: "w1", Address: "w1"}}, false)
 	bd.core.Configure([]job.Queue{{ID: "q", Pool: bedPool, MaxAttempts: 2}})
 	bd.add("j", 1, lasting)
 	bd.register("w0")
@@ -219,7 +219,7 @@
 func (bd *bed) stopsNow() (stops int) {
 	for _, od := range bd.plan() {
 		switch order := od.(type) {
-		case Look:
+		case Poll:
 			at := 0
 			if order.Worker == "w1" {
 				at = 1
--- a/cell/task.go
+++ b/cell/task.go
@@ -142,7 +142,7 @@
 }
 
 // load takes a job from the store.
-func (cr *Core) load(now time.Time, sd Stored) {
+func (cr *Core) load(now time.Time, sd StoredJob) {
 	if _, known := cr.jobs[sd.Spec.ID]; known {
 		return
 	}
@@ -215,7 +215,7 @@
 }
 
 // Add takes a job that was accepted.
-func (cr *Core) Add(now time.Time, sd Stored) { cr.load(now, sd) }
+func (cr *Core) Add(now time.Time, sd StoredJob) { cr.load(now, sd) }
 
 // Cancel gives up a job. An end that came before stands.
 func (cr *Core) Cancel(now time.Time, id job.ID) {
@@ -305,10 +305,10 @@
 	ts.lost.close(wk.info.ID)
 	pl := wk.places[en.Task]
 	if pl != nil && pl.attempt == en.Attempt {
-		if en.How == EndDone {
+		if en.Reason == EndDone {
 			cr.paceOf(pl, wk.lookedAt, 100)
 		}
-		cr.release(now, pl, "ended "+string(en.How))
+		cr.release(now, pl, "ended "+string(en.Reason))
 	} else {
 		pl = nil
 	}
@@ -319,7 +319,7 @@
 		return
 	}
 	st.job.begun = true
-	switch en.How {
+	switch en.Reason {
 	case EndDone:
 		cr.run.learn(st, pl, now)
 		wk.judge.well()
--- a/cell/vacate.go
+++ b/cell/vacate.go
@@ -88,7 +88,7 @@
 			if next := nextPace(pl.pace, worst); next != pl.pace {
 				pl.pace, pl.paceSent = next, now
 				cr.opts.Log(Decision{What: "throttle", Task: pl.task, Attempt: pl.attempt, Worker: wk.info.ID, Why: "tail latency beside it", PollAge: now.Sub(wk.lookedAt)})
-				cr.order(Pace{Worker: wk.info.ID, Address: wk.info.Address, Token: cr.token(wk), Task: pl.task, Attempt: pl.attempt, Percent: next})
+				cr.order(Throttle{Worker: wk.info.ID, Address: wk.info.Address, Token: cr.token(wk), Task: pl.task, Attempt: pl.attempt, Percent: next})
 			}
 		}
 	}
@@ -124,16 +124,16 @@
 }
 
 // paced takes the result of a throttle.
-func (cr *Core) paced(now time.Time, order Pace, od Ordered) {
+func (cr *Core) paced(now time.Time, order Throttle, od OrderResult) {
 	wk := cr.workers[order.Worker]
 	if wk == nil {
 		return
 	}
 	wk.tick(od.Clock, od.Received)
 	switch od.Outcome {
-	case Dead:
+	case WrongIncarnation:
 		cr.bury(now, wk, "another life answers", order.Token)
-	case Overtaken:
+	case Superseded:
 		cr.overtaken(wk, order.Token)
 	case Done:
 	default:
--- a/cell/window.go
+++ b/cell/window.go
@@ -89,9 +89,9 @@
 	wi.least = min(wi.least, span)
 }
 
-// StartTime is how long starts take from their decision to the worker's answer, smoothed, and how many were answered since it was last
+// StartLatency is how long starts take from their decision to the worker's answer, smoothed, and how many were answered since it was last
 // asked for.
-func (cr *Core) StartTime() (span time.Duration, answered int) {
+func (cr *Core) StartLatency() (span time.Duration, answered int) {
 	answered = cr.window.answered
 	cr.window.answered = 0
 	return cr.window.smoothed, answered
--- a/cell/window_test.go
+++ b/cell/window_test.go
@@ -84,7 +84,7 @@
 	bd := newBed(t, 1)
 	bd.add("a", bedEpoch, tasks(1))
 	st := bd.wantStarts(bd.plan(), 1)[0]
-	bd.ordered(st, Unprepared)
+	bd.ordered(st, PayloadMissing)
 	bd.wantStarts(bd.plan(), 0)
 	bd.pass(unpreparedFor)
 	if again := bd.wantStarts(bd.plan(), 1)[0]; again.Attempt != st.Attempt || again.Worker != st.Worker {
--- a/cell/worker.go
+++ b/cell/worker.go
@@ -309,7 +309,7 @@
 func (cr *Core) resolveUnseen(now time.Time, id WorkerID, why string) {
 	cr.resolve(now, id, why)
 	if !cr.vacated[id] {
-		cr.Expose(cr.epoch)
+		cr.NoteUnseenLosses(cr.epoch)
 	}
 	delete(cr.vacated, id)
 }
--- a/fleet/archive.go
+++ b/fleet/archive.go
@@ -21,7 +21,7 @@
 		version, err := ow.fl.store.Commit(callCtx, tx)
 		cancel()
 		if err == nil {
-			ow.post(func(cr *cell.Core, _ time.Time) { cr.Confirmed(sentAt) })
+			ow.post(func(cr *cell.Core, _ time.Time) { cr.OwnershipConfirmed(sentAt) })
 			return version, true
 		}
 		var cf *Conflict
--- a/fleet/fakes_test.go
+++ b/fleet/fakes_test.go
@@ -291,12 +291,12 @@
 		if time.Now().After(rn.ends) {
 			delete(fw.runs[id], tk)
 			fw.lastEnd[id]++
-			fw.ends[id] = append(fw.ends[id], cell.End{Number: fw.lastEnd[id], Task: tk, Attempt: rn.attempt, How: cell.EndDone})
+			fw.ends[id] = append(fw.ends[id], cell.End{Number: fw.lastEnd[id], Task: tk, Attempt: rn.attempt, Reason: cell.EndDone})
 		}
 	}
 }
 
-func (fw *fakeWorkers) Look(ctx context.Context, lk cell.Look) cell.Looked {
+func (fw *fakeWorkers) Look(ctx context.Context, lk cell.Poll) cell.PollResult {
 	sent := time.Now()
 	until := sent.Add(lk.Wait)
 	for {
@@ -309,13 +309,13 @@
 		time.Sleep(testPollInterval)
 	}
 	defer fw.mu.Unlock()
-	res := cell.Looked{Look: lk, Sent: sent, Received: time.Now(), Clock: fw.clock(), Outcome: cell.Done}
+	res := cell.PollResult{Poll: lk, Sent: sent, Received: time.Now(), Clock: fw.clock(), Outcome: cell.Done}
 	if lk.Token < fw.tokens[lk.Worker] {
-		res.Outcome = cell.Overtaken
+		res.Outcome = cell.Superseded
 		return res
 	}
 	fw.tokens[lk.Worker] = lk.Token
-	fw.ends[lk.Worker] = slices.DeleteFunc(fw.ends[lk.Worker], func(en cell.End) bool { return en.Number <= lk.Observed })
+	fw.ends[lk.Worker] = slices.DeleteFunc(fw.ends[lk.Worker], func(en cell.End) bool { return en.Number <= lk.AckedEnd })
 	res.Ended = slices.Clone(fw.ends[lk.Worker])
 	for tk, rn := range fw.runs[lk.Worker] {
 		res.Running = append(res.Running, cell.Running{Task: tk, Attempt: rn.attempt})
@@ -323,15 +323,15 @@
 	return res
 }
 
-func (fw *fakeWorkers) Order(_ context.Context, od cell.Order) cell.Ordered {
+func (fw *fakeWorkers) Order(_ context.Context, od cell.Order) cell.OrderResult {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
 	now := time.Now()
-	res := cell.Ordered{Order: od, Sent: now, Received: now, Clock: fw.clock(), Outcome: cell.Done}
+	res := cell.OrderResult{Order: od, Sent: now, Received: now, Clock: fw.clock(), Outcome: cell.Done}
 	switch order := od.(type) {
 	case cell.Start:
 		if order.Token < fw.tokens[order.Worker] {
-			res.Outcome = cell.Overtaken
+			res.Outcome = cell.Superseded
 			return res
 		}
 		fw.tokens[order.Worker] = order.Token
@@ -545,10 +545,10 @@
 }
 
 // usedBy names workers as a cell's row does.
-func workerRefs(ids ...cell.WorkerID) []cell.Ref {
-	var refs []cell.Ref
+func workerRefs(ids ...cell.WorkerID) []cell.WorkerRef {
+	var refs []cell.WorkerRef
 	for _, id := range ids {
-		refs = append(refs, cell.Ref{ID: id, Address: string(id)})
+		refs = append(refs, cell.WorkerRef{ID: id, Address: string(id)})
 	}
 	return refs
 }
--- a/fleet/machinecheck.go
+++ b/fleet/machinecheck.go
@@ -27,7 +27,7 @@
 		sleep(ctx, machineCheckInterval)
 		now := ow.fl.opts.Now()
 		ow.mu.Lock()
-		missing, pressing := ow.core.Missing(now)
+		missing, pressing := ow.core.Unresponsive(now)
 		ow.mu.Unlock()
 		gap := minMachineListInterval
 		if pressing {
@@ -56,9 +56,9 @@
 				case running[id.Name()]:
 					// It may be another life under the same name; whoever answers there tells.
 				case known && pool != ow.pool():
-					cr.Vacated(at, id)
+					cr.WorkerMoved(at, id)
 				default:
-					cr.Gone(at, id)
+					cr.WorkerEnded(at, id)
 				}
 			}
 		})
--- a/fleet/members.go
+++ b/fleet/members.go
@@ -46,10 +46,10 @@
 
 // ownerRow is the row of a cell's owner. If its Epoch is 0, the row version is the epoch.
 type ownerRow struct {
-	Holder      string     `json:"holder,omitempty"`
-	Incarnation string     `json:"incarnation,omitempty"`
-	Epoch       job.Epoch  `json:"epoch,omitempty"`
-	Workers     []cell.Ref `json:"workers,omitempty"`
+	Holder      string           `json:"holder,omitempty"`
+	Incarnation string           `json:"incarnation,omitempty"`
+	Epoch       job.Epoch        `json:"epoch,omitempty"`
+	Workers     []cell.WorkerRef `json:"workers,omitempty"`
 	// Exposed is the epoch of the owner before which tasks may have been lost with workers that no later owner has seen.
 	Exposed job.Epoch `json:"exposed,omitempty"`
 	// Ordered lists the machines with recent or planned orders of the machine controller, and for how long, from the time the row
@@ -113,7 +113,7 @@
 		}
 	}
 	for _, ow := range fl.allOwners() {
-		ow.post(func(cr *cell.Core, _ time.Time) { cr.Confirmed(sentAt) })
+		ow.post(func(cr *cell.Core, _ time.Time) { cr.OwnershipConfirmed(sentAt) })
 	}
 	if drained {
 		fl.cordonWorkers()
--- a/fleet/metrics.go
+++ b/fleet/metrics.go
@@ -52,7 +52,7 @@
 		fm.commits[kind] = histogram("store.commitMicros." + string(kind))
 		fm.unanswered[kind] = counter("store.unanswered." + string(kind))
 	}
-	for oc := cell.Silent; oc <= cell.Unprepared; oc++ {
+	for oc := cell.NoAnswer; oc <= cell.PayloadMissing; oc++ {
 		fm.outcomes[oc] = counter("workers.orders." + oc.String())
 	}
 	return fm
@@ -95,7 +95,7 @@
 	if dc.Loss != nil {
 		fl.metrics.workersLost.Inc(1)
 		fl.metrics.tasksLost.Inc(int64(dc.Loss.Tasks))
-		fl.opts.Log.Emit(event.WorkerLost, append(fields, zap.Int("tasks", dc.Loss.Tasks), zap.Duration("sinceStart", dc.Loss.SinceStart), zap.Int("before", dc.Loss.Before), zap.String("excuse", dc.Loss.Excuse))...)
+		fl.opts.Log.Emit(event.WorkerLost, append(fields, zap.Int("tasks", dc.Loss.Tasks), zap.Duration("sinceStart", dc.Loss.SinceStart), zap.Int("before", dc.Loss.MaxPriorLosses), zap.String("excuse", dc.Loss.ExemptReason))...)
 		return
 	}
 	if len(dc.LostWorkers) > 0 {
--- a/fleet/orderqueue.go
+++ b/fleet/orderqueue.go
@@ -37,7 +37,7 @@
 type queuedOrder struct {
 	order    cell.Order
 	queuedAt time.Time
-	report   func(cell.Ordered)
+	report   func(cell.OrderResult)
 }
 
 func newOrderQueue(workers Workers, now func() time.Time) *orderQueue {
@@ -45,7 +45,7 @@
 }
 
 // enqueue appends an order to the queue.
-func (oq *orderQueue) enqueue(ctx context.Context, od cell.Order, done func(cell.Ordered)) {
+func (oq *orderQueue) enqueue(ctx context.Context, od cell.Order, done func(cell.OrderResult)) {
 	oq.mu.Lock()
 	defer oq.mu.Unlock()
 	oq.queue = append(oq.queue, queuedOrder{od, oq.now(), done})
@@ -98,7 +98,7 @@
 		}
 		if !send {
 			now := oq.now()
-			qo.report(cell.Ordered{Order: qo.order, Outcome: cell.Unsent, Sent: now, Received: now})
+			qo.report(cell.OrderResult{Order: qo.order, Outcome: cell.NotSent, Sent: now, Received: now})
 			continue
 		}
 		slow := time.AfterFunc(slowOrderDelay, func() { oq.sendNext(ctx) })
@@ -113,7 +113,7 @@
 func (oq *orderQueue) recordOutcome(oc cell.Outcome) {
 	oq.mu.Lock()
 	defer oq.mu.Unlock()
-	if oc != cell.Silent {
+	if oc != cell.NoAnswer {
 		oq.unanswered = 0
 		return
 	}
--- a/fleet/orderqueue_test.go
+++ b/fleet/orderqueue_test.go
@@ -22,19 +22,19 @@
 	answerTime = 2 * time.Millisecond
 )
 
-func (sw *slowWorkers) Look(context.Context, cell.Look) cell.Looked { return cell.Looked{} }
+func (sw *slowWorkers) Look(context.Context, cell.Poll) cell.PollResult { return cell.PollResult{} }
 
-func (sw *slowWorkers) Order(_ context.Context, od cell.Order) cell.Ordered {
+func (sw *slowWorkers) Order(_ context.Context, od cell.Order) cell.OrderResult {
 	sw.mu.Lock()
 	sw.received++
 	lost := sw.lost(sw.received)
 	sw.mu.Unlock()
 	if lost {
 		time.Sleep(orderTime)
-		return cell.Ordered{Order: od, Outcome: cell.Silent}
+		return cell.OrderResult{Order: od, Outcome: cell.NoAnswer}
 	}
 	time.Sleep(answerTime)
-	return cell.Ordered{Order: od, Outcome: cell.Done}
+	return cell.OrderResult{Order: od, Outcome: cell.Done}
 }
 
 // laneRun gives a lane so many starts at once and returns when each had its outcome, and how many had which.
@@ -46,7 +46,7 @@
 	var wg sync.WaitGroup
 	for range starts {
 		wg.Add(1)
-		oq.enqueue(context.Background(), cell.Start{}, func(od cell.Ordered) {
+		oq.enqueue(context.Background(), cell.Start{}, func(od cell.OrderResult) {
 			defer wg.Done()
 			mu.Lock()
 			defer mu.Unlock()
@@ -62,7 +62,7 @@
 func TestQueueContinuesWhileAnOrderHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ends, outcomes := runQueue(20, func(number int) bool { return number == 3 })
-		if outcomes[cell.Done] != 19 || outcomes[cell.Silent] != 1 {
+		if outcomes[cell.Done] != 19 || outcomes[cell.NoAnswer] != 1 {
 			t.Fatalf("outcomes %v", outcomes)
 		}
 		if before := ends[18]; before > slowOrderDelay+20*answerTime {
@@ -85,7 +85,7 @@
 func TestQueueOfUnresponsiveWorkerStopsSending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ends, outcomes := runQueue(20, func(int) bool { return true })
-		if outcomes[cell.Silent] > maxOrdersInFlight+unansweredLimit || outcomes[cell.Silent]+outcomes[cell.Unsent] != 20 {
+		if outcomes[cell.NoAnswer] > maxOrdersInFlight+unansweredLimit || outcomes[cell.NoAnswer]+outcomes[cell.NotSent] != 20 {
 			t.Errorf("outcomes %v", outcomes)
 		}
 		if last := ends[19]; last > 2*orderTime+slowOrderDelay*maxOrdersInFlight {
@@ -102,13 +102,13 @@
 		ln.maxWait = orderTime / 2
 		outcomes := make(chan cell.Outcome, 10)
 		for range 5 {
-			ln.enqueue(context.Background(), cell.Stop{}, func(od cell.Ordered) { outcomes <- od.Outcome })
+			ln.enqueue(context.Background(), cell.Stop{}, func(od cell.OrderResult) { outcomes <- od.Outcome })
 		}
 		count := map[cell.Outcome]int{}
 		for range 5 {
 			count[<-outcomes]++
 		}
-		if count[cell.Silent] != maxOrdersInFlight || count[cell.Unsent] != 5-maxOrdersInFlight {
+		if count[cell.NoAnswer] != maxOrdersInFlight || count[cell.NotSent] != 5-maxOrdersInFlight {
 			t.Errorf("outcomes %v", count)
 		}
 	})
--- a/fleet/owner.go
+++ b/fleet/owner.go
@@ -93,7 +93,7 @@
 	ow.mu.Lock()
 	ow.takenOver = true
 	ow.core.TakeOver(claimedAt, sentAt, previous.Workers, previous.Released)
-	ow.core.Expose(previous.Exposed)
+	ow.core.NoteUnseenLosses(previous.Exposed)
 	if cf := fl.config.Load(); cf != nil {
 		ow.core.Configure(cf.Queues)
 		ow.core.Organise(cf)
@@ -101,8 +101,8 @@
 	for _, wk := range fl.workerCache.inPool(job.PoolID(name)) {
 		ow.core.Register(claimedAt, wk)
 	}
-	ow.core.Enlisted(row.Workers)
-	ow.core.Pause(fl.pausedQueues())
+	ow.core.WorkersRecorded(row.Workers)
+	ow.core.SetPausedQueues(fl.pausedQueues())
 	for _, ar := range fl.knownAccounts() {
 		ow.core.TakeAccount(ar)
 	}
@@ -170,8 +170,8 @@
 }
 
 // stored joins a job with what is kept of its course; the caller holds the lock.
-func (ow *owner) withStoredProgress(sp *job.Spec) cell.Stored {
-	sd := cell.Stored{Spec: sp}
+func (ow *owner) withStoredProgress(sp *job.Spec) cell.StoredJob {
+	sd := cell.StoredJob{Spec: sp}
 	rw, ok := ow.storedProgress[sp.ID]
 	if !ok {
 		return sd
@@ -234,9 +234,9 @@
 	events := ow.events
 	ow.events = nil
 	now := ow.fl.opts.Now()
-	ow.core.TimeOfDay(now, ow.fl.opts.WallClock())
+	ow.core.SetTimeOfDay(now, ow.fl.opts.WallClock())
 	_, registered := ow.fl.registry.healthyPeriod()
-	ow.core.Registered(registered)
+	ow.core.RegistrationsRead(registered)
 	for _, ev := range events {
 		ev(ow.core, now)
 	}
@@ -245,7 +245,7 @@
 	}
 	orders := ow.core.Plan(now)
 	ow.planned = true
-	if ow.core.Lost() {
+	if ow.core.Superseded() {
 		ow.lost.Store(true)
 		return nil, now.Add(time.Second)
 	}
@@ -255,7 +255,7 @@
 // carryOut begins to carry out an order; its result comes back as an event.
 func (ow *owner) execute(ctx context.Context, od cell.Order) {
 	switch order := od.(type) {
-	case cell.Look:
+	case cell.Poll:
 		ow.fl.metrics.looks.Inc(1)
 		if !ow.relays.send(ctx, order.Worker, order) {
 			go func() { ow.handlePollResult(ow.fl.opts.Workers.Look(ctx, order)) }()
@@ -265,9 +265,9 @@
 		ow.sendOrder(ctx, order.Worker, order)
 	case cell.Stop:
 		ow.sendOrder(ctx, order.Worker, order)
-	case cell.Pace:
+	case cell.Throttle:
 		ow.sendOrder(ctx, order.Worker, order)
-	case cell.Save, cell.Enlist:
+	case cell.Save, cell.RecordWorkers:
 		ow.writeQueue.add(ow.fl.opts.Now(), od)
 	case cell.Advise:
 		go ow.requestAdvice(ctx, order)
@@ -281,17 +281,17 @@
 	}
 	ow.fl.attachPayload(ctx, od, func(od cell.Order) { ow.orderQueue(id).enqueue(ctx, od, ow.handleOrderResult) }, func() {
 		now := ow.fl.opts.Now()
-		ow.handleOrderResult(cell.Ordered{Order: od, Outcome: cell.Unprepared, Sent: now, Received: now})
+		ow.handleOrderResult(cell.OrderResult{Order: od, Outcome: cell.PayloadMissing, Sent: now, Received: now})
 	})
 }
 
-func (ow *owner) handlePollResult(result cell.Looked) {
-	ow.post(func(cr *cell.Core, now time.Time) { cr.Looked(now, result) })
+func (ow *owner) handlePollResult(result cell.PollResult) {
+	ow.post(func(cr *cell.Core, now time.Time) { cr.HandlePoll(now, result) })
 }
 
-func (ow *owner) handleOrderResult(od cell.Ordered) {
+func (ow *owner) handleOrderResult(od cell.OrderResult) {
 	ow.fl.metrics.countOutcome(od.Outcome)
-	ow.post(func(cr *cell.Core, now time.Time) { cr.Ordered(now, od) })
+	ow.post(func(cr *cell.Core, now time.Time) { cr.HandleOrder(now, od) })
 }
 
 // lane returns the lane of a worker whose orders are carried out here.
@@ -323,7 +323,7 @@
 func (ow *owner) startLatency() time.Duration {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	latency, answered := ow.core.StartTime()
+	latency, answered := ow.core.StartLatency()
 	if answered == 0 {
 		return 0
 	}
@@ -382,7 +382,7 @@
 	if !ow.takenOver {
 		return ownerRow{Workers: ow.claimRow.Workers, Exposed: ow.claimRow.Exposed}
 	}
-	return ownerRow{Workers: ow.core.Release(ow.fl.opts.Now()), Exposed: ow.core.Exposed(), Released: true}
+	return ownerRow{Workers: ow.core.Release(ow.fl.opts.Now()), Exposed: ow.core.UnseenLossEpoch(), Released: true}
 }
 
 // mayMove reports whether the cell may be given to another instance: it has been here for a while, nothing of earlier owners is open, and no job
@@ -390,7 +390,7 @@
 func (ow *owner) canMove(now time.Time, evenIfWaiting bool) bool {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	return ow.planned && ow.core.Settled() && now.Sub(ow.claimedAt) > cellMoveInterval && (evenIfWaiting || !ow.core.Pressed(now))
+	return ow.planned && ow.core.TakeoverComplete() && now.Sub(ow.claimedAt) > cellMoveInterval && (evenIfWaiting || !ow.core.Pressed(now))
 }
 
 // state returns a job's state if this owner has it in memory.
--- a/fleet/ownership.go
+++ b/fleet/ownership.go
@@ -249,11 +249,11 @@
 }
 
 // usedWorkers are those that earlier owners used and those that are registered.
-func (fl *Fleet) mergeWorkers(name string, previous []cell.Ref) []cell.Ref {
+func (fl *Fleet) mergeWorkers(name string, previous []cell.WorkerRef) []cell.WorkerRef {
 	list := slices.Clone(previous)
 	for _, wk := range fl.workerCache.inPool(job.PoolID(name)) {
-		if !slices.ContainsFunc(list, func(rf cell.Ref) bool { return rf.ID == wk.ID }) {
-			list = append(list, cell.Ref{ID: wk.ID, Address: wk.Address, Machine: wk.Machine})
+		if !slices.ContainsFunc(list, func(rf cell.WorkerRef) bool { return rf.ID == wk.ID }) {
+			list = append(list, cell.WorkerRef{ID: wk.ID, Address: wk.Address, Machine: wk.Machine})
 		}
 	}
 	return list
--- a/fleet/pause.go
+++ b/fleet/pause.go
@@ -97,7 +97,7 @@
 	}
 	fl.paused.Store(&paused)
 	for _, ow := range fl.allOwners() {
-		ow.post(func(cr *cell.Core, _ time.Time) { cr.Pause(paused) })
+		ow.post(func(cr *cell.Core, _ time.Time) { cr.SetPausedQueues(paused) })
 	}
 }
 
--- a/fleet/payloads_test.go
+++ b/fleet/payloads_test.go
@@ -21,7 +21,7 @@
 	seen map[job.Task]string
 }
 
-func (pl *payloadRecorder) Order(ctx context.Context, od cell.Order) cell.Ordered {
+func (pl *payloadRecorder) Order(ctx context.Context, od cell.Order) cell.OrderResult {
 	if st, ok := od.(cell.Start); ok {
 		pl.mu.Lock()
 		pl.seen[st.Task] = st.Payload
--- a/fleet/relay.go
+++ b/fleet/relay.go
@@ -106,21 +106,21 @@
 	switch order := fromRelayOrder(ro).(type) {
 	case nil:
 		sd.addResult(&peer.RelayResult{Id: ro.Id, Outcome: int32(cell.Invalid)}, now())
-	case cell.Look:
+	case cell.Poll:
 		go func() {
 			lk := rl.fl.opts.Workers.Look(ctx, order)
 			sd.addResult(toRelayPollResult(ro.Id, lk), lk.Received)
 		}()
 	default:
 		rl.fl.attachPayload(ctx, order, func(od cell.Order) { rl.enqueueOrder(sd, ro, od) }, func() {
-			sd.addResult(&peer.RelayResult{Id: ro.Id, Outcome: int32(cell.Unprepared)}, now())
+			sd.addResult(&peer.RelayResult{Id: ro.Id, Outcome: int32(cell.PayloadMissing)}, now())
 		})
 	}
 }
 
 // enqueueOrder queues an order for its worker and returns the result to the sender.
 func (rl *relay) enqueueOrder(sd *sender, ro *peer.RelayOrder, od cell.Order) {
-	rl.orderQueue(cell.WorkerID(ro.Worker), rl.fl.opts.Now()).enqueue(rl.fl.background, od, func(od cell.Ordered) {
+	rl.orderQueue(cell.WorkerID(ro.Worker), rl.fl.opts.Now()).enqueue(rl.fl.background, od, func(od cell.OrderResult) {
 		sd.addResult(&peer.RelayResult{Id: ro.Id, Outcome: int32(od.Outcome), Clock: od.Clock}, od.Received)
 	})
 }
--- a/fleet/relay_test.go
+++ b/fleet/relay_test.go
@@ -21,10 +21,10 @@
 // TestOrdersReachAPeerWhole: an order is the same at the peer, whatever fields it has.
 func TestRelayOrderRoundTrip(t *testing.T) {
 	for _, od := range []cell.Order{
-		cell.Look{Worker: "w", Address: "a:1", Token: 1 << 40, Until: 77, Observed: 5, Wait: 900 * time.Millisecond},
-		cell.Start{Worker: "w", Address: "a:1", Token: 9, Task: relayedTask, Attempt: 4, Payload: "text", Until: 88, Checkpoint: "point", Ticket: "ticket"},
+		cell.Poll{Worker: "w", Address: "a:1", Token: 1 << 40, LeaseUntil: 77, AckedEnd: 5, Wait: 900 * time.Millisecond},
+		cell.Start{Worker: "w", Address: "a:1", Token: 9, Task: relayedTask, Attempt: 4, Payload: "text", LeaseUntil: 88, Checkpoint: "point", Ticket: "ticket"},
 		cell.Stop{Worker: "w", Address: "a:1", Token: 9, Task: relayedTask, Attempt: 4},
-		cell.Pace{Worker: "w", Address: "a:1", Token: 9, Task: relayedTask, Attempt: 4, Percent: 30},
+		cell.Throttle{Worker: "w", Address: "a:1", Token: 9, Task: relayedTask, Attempt: 4, Percent: 30},
 	} {
 		if got := fromRelayOrder(toRelayOrder(6, od)); !reflect.DeepEqual(got, od) {
 			t.Errorf("%+v came as %+v", od, got)
@@ -37,13 +37,13 @@
 
 // TestResultOfALookComesBackWhole: what the worker listed is the same, and it counts as received when it reached the peer.
 func TestRelayPollResultRoundTrip(t *testing.T) {
-	lk := cell.Look{Worker: "w", Address: "a:1", Token: 9}
+	lk := cell.Poll{Worker: "w", Address: "a:1", Token: 9}
 	sent := time.Unix(1_700_000_000, 0)
 	came := sent.Add(time.Second)
-	want := cell.Looked{
-		Look: lk, Outcome: cell.Done, Sent: sent, Received: came.Add(-30 * time.Millisecond), Clock: 4711,
-		Running: []cell.Running{{Task: relayedTask, Attempt: 2, Checkpoint: "point", Progress: 41, Figure: 700}},
-		Ended:   []cell.End{{Number: 12, Task: relayedTask, Attempt: 1, How: cell.EndFailed, Checkpoint: "old"}},
+	want := cell.PollResult{
+		Poll: lk, Outcome: cell.Done, Sent: sent, Received: came.Add(-30 * time.Millisecond), Clock: 4711,
+		Running: []cell.Running{{Task: relayedTask, Attempt: 2, Checkpoint: "point", Progress: 41, Metric: 700}},
+		Ended:   []cell.End{{Number: 12, Task: relayedTask, Attempt: 1, Reason: cell.EndFailed, Checkpoint: "old"}},
 	}
 	rr := toRelayPollResult(3, want)
 	rr.HeldMicros = 30_000
@@ -51,7 +51,7 @@
 		t.Errorf("%+v came as %+v", want, got)
 	}
 	rr.Outcome = 99
-	if got := fromRelayPollResult(rr, lk, sent, came); got.Outcome != cell.Silent {
+	if got := fromRelayPollResult(rr, lk, sent, came); got.Outcome != cell.NoAnswer {
 		t.Errorf("an outcome that is not known here counts as %s", got.Outcome)
 	}
 }
@@ -148,8 +148,8 @@
 // TestOrdersThatCouldNotBeHandedOverAreNotSent: where no connection to the peer was to be had; otherwise they may have been carried out.
 func TestOrdersToUnreachablePeerCountAsNotSent(t *testing.T) {
 	for want, err := range map[cell.Outcome]error{
-		cell.Unsent: &net.OpError{Op: "dial", Err: errors.New("refused")},
-		cell.Silent: errors.New("no answer"),
+		cell.NotSent:  &net.OpError{Op: "dial", Err: errors.New("refused")},
+		cell.NoAnswer: errors.New("no answer"),
 	} {
 		ln, ow := linkTo(func(rq *peer.RelayRequest) (*peer.RelayResponse, error) {
 			if len(rq.Orders) > 0 {
@@ -190,7 +190,7 @@
 	}
 	earlier, ow := linkTo(call)
 	for range 3 {
-		earlier.send(t.Context(), cell.Look{Worker: "one"})
+		earlier.send(t.Context(), cell.Poll{Worker: "one"})
 	}
 	waitEvents(t, ow, int(ow.fl.relayIDs.Load()))
 	before := int(ow.fl.relayIDs.Load())
@@ -204,7 +204,7 @@
 		return rp, err
 	}}, pending: map[uint64]pendingOrder{}}
 	later.setCallPause(time.Millisecond)
-	later.send(t.Context(), cell.Look{Worker: "other"})
+	later.send(t.Context(), cell.Poll{Worker: "other"})
 	time.Sleep(50 * time.Millisecond)
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -243,7 +243,7 @@
 	began := time.Now()
 	ow.fl.opts.Now = func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) }
 	ln.setCallPause(time.Millisecond)
-	if !ln.send(t.Context(), cell.Look{Worker: "w", Wait: time.Second}) {
+	if !ln.send(t.Context(), cell.Poll{Worker: "w", Wait: time.Second}) {
 		t.Fatal("not taken")
 	}
 	ln.expireOverdue()
@@ -334,7 +334,7 @@
 	name string
 }
 
-func (cw countingWorkers) Order(ctx context.Context, od cell.Order) cell.Ordered {
+func (cw countingWorkers) Order(ctx context.Context, od cell.Order) cell.OrderResult {
 	cw.callCount.mu.Lock()
 	cw.by[cw.name]++
 	cw.callCount.mu.Unlock()
--- a/fleet/relays.go
+++ b/fleet/relays.go
@@ -332,7 +332,7 @@
 
 // deliver passes the result of an order to the core.
 func (ln *relayLink) deliver(po pendingOrder, rr *peer.RelayResult, receivedAt time.Time) {
-	if look, ok := po.order.(cell.Look); ok {
+	if look, ok := po.order.(cell.Poll); ok {
 		ln.rs.ow.handlePollResult(fromRelayPollResult(rr, look, po.sentAt, receivedAt))
 		return
 	}
@@ -350,10 +350,10 @@
 // failBatch settles a batch that could not be submitted: as not sent if no connection to the peer could be made, otherwise as
 // unanswered, since the orders may have been carried out.
 func (ln *relayLink) failBatch(batch []*peer.RelayOrder, err error) {
-	oc := cell.Silent
+	oc := cell.NoAnswer
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		oc = cell.Unsent
+		oc = cell.NotSent
 	}
 	ln.backOff("hand over", err)
 	var list []pendingOrder
@@ -378,7 +378,7 @@
 		list = append(list, po)
 	}
 	ln.mu.Unlock()
-	ln.deliverAll(list, cell.Silent)
+	ln.deliverAll(list, cell.NoAnswer)
 }
 
 // expireOverdue settles orders whose results are overdue as unanswered.
@@ -388,7 +388,7 @@
 	ln.mu.Lock()
 	for id, po := range ln.pending {
 		timeout := relayResultTimeout
-		if look, ok := po.order.(cell.Look); ok {
+		if look, ok := po.order.(cell.Poll); ok {
 			timeout += look.Wait
 		}
 		if now.Sub(po.sentAt) > timeout {
@@ -397,7 +397,7 @@
 		}
 	}
 	ln.mu.Unlock()
-	ln.deliverAll(list, cell.Silent)
+	ln.deliverAll(list, cell.NoAnswer)
 }
 
 // backOff stops using the peer for a while.
--- a/fleet/store.go
+++ b/fleet/store.go
@@ -90,8 +90,8 @@
 
 // Workers carries out a cell's orders.
 type Workers interface {
-	Look(ctx context.Context, lk cell.Look) cell.Looked
-	Order(ctx context.Context, od cell.Order) cell.Ordered
+	Look(ctx context.Context, lk cell.Poll) cell.PollResult
+	Order(ctx context.Context, od cell.Order) cell.OrderResult
 }
 
 // Adviser asks the advice service.
--- a/fleet/workercache.go
+++ b/fleet/workercache.go
@@ -22,7 +22,7 @@
 
 // with adds the fields of a worker's registration.
 func (of optionalFields) with(wk cell.Worker) optionalFields {
-	return optionalFields{of.machine || wk.Machine != "", of.startTime || wk.ID.Born() != 0}
+	return optionalFields{of.machine || wk.Machine != "", of.startTime || wk.ID.StartMillis() != 0}
 }
 
 // missing returns an error if a worker's registration lacks one of the fields; nil if it has all.
@@ -30,7 +30,7 @@
 	switch {
 	case of.machine && wk.Machine == "":
 		return errNoMachine
-	case of.startTime && wk.ID.Born() == 0:
+	case of.startTime && wk.ID.StartMillis() == 0:
 		return errNoStartTime
 	}
 	return nil
@@ -112,7 +112,7 @@
 		_, previous := fl.registry.healthyPeriod()
 		return previous
 	}
-	if since, _ := fl.control.healthyPeriod(); sentAt.Sub(since) < cell.RenewedWithin {
+	if since, _ := fl.control.healthyPeriod(); sentAt.Sub(since) < cell.RegistrationRenewal {
 		return sentAt.Add(-staleAge)
 	}
 	return sentAt
@@ -128,7 +128,7 @@
 		if !rw.Deleted {
 			rd.worker, rd.err = fl.opts.Format.Worker(rw)
 			if rd.err == nil {
-				rd.worker.Told = writtenSince
+				rd.worker.WrittenAt = writtenSince
 				usedFields = usedFields.with(rd.worker)
 			}
 		}
@@ -161,7 +161,7 @@
 // worker.
 func (fl *Fleet) withhold(name cell.WorkerName) {
 	if wk, known := fl.workerCache.get(name); known {
-		wk.Withheld = true
+		wk.Unschedulable = true
 		fl.register(wk)
 	}
 }
@@ -178,7 +178,7 @@
 	}
 	fl.workerCache.put(wk)
 	if known && previous.Pool != wk.Pool {
-		previous.Withheld = true
+		previous.Unschedulable = true
 		if ow := fl.ownerOf(cellName(previous.Pool)); ow != nil {
 			ow.post(func(cr *cell.Core, now time.Time) { cr.Register(now, previous) })
 		}
--- a/fleet/workercache_test.go
+++ b/fleet/workercache_test.go
@@ -78,7 +78,7 @@
 
 func (startTimeFormat) Worker(rw Row) (cell.Worker, error) {
 	born, err := strconv.ParseInt(string(rw.Value), 10, 64)
-	return cell.Worker{ID: cell.LifeOf(cell.WorkerName(rw.Key), born), Pool: "pool", Address: rw.Key, Room: job.Size{CPUMillis: 4000, MemoryMB: 4000}}, err
+	return cell.Worker{ID: cell.NewWorkerID(cell.WorkerName(rw.Key), born), Pool: "pool", Address: rw.Key, Room: job.Size{CPUMillis: 4000, MemoryMB: 4000}}, err
 }
 
 // The entry of a worker that started again under its name counts as one of another worker, and one that does not tell its life as nobody's: the
@@ -87,7 +87,7 @@
 	fl, ow := newRegistry(t)
 	fl.opts.Format = startTimeFormat{}
 	row := func(value string) Row { return Row{Table: "registry", Key: "w0", Value: []byte(value)} }
-	first, second := cell.LifeOf("w0", 1000), cell.LifeOf("w0", 2000)
+	first, second := cell.NewWorkerID("w0", 1000), cell.NewWorkerID("w0", 2000)
 	for _, tc := range []struct {
 		what string
 		row  Row
@@ -114,13 +114,13 @@
 	read := func(asked time.Time) time.Time {
 		fl.applyRegistrations([]Row{{Table: "registry", Key: "w0", Value: []byte("{}")}}, asked)
 		wk, _ := fl.workerCache.get("w0")
-		return wk.Told
+		return wk.WrittenAt
 	}
 	fl.control.recordSuccess(start)
 	if got := read(start.Add(time.Second)); start.Sub(got) < cell.DefaultRegistrationMaxAge {
 		t.Errorf("read whole a second after the store was back: told %v before that", start.Sub(got))
 	}
-	late := start.Add(2 * cell.RenewedWithin)
+	late := start.Add(2 * cell.RegistrationRenewal)
 	if got := read(late); !got.Equal(late) {
 		t.Errorf("read whole long after: told %v before it was asked for", late.Sub(got))
 	}
--- a/fleet/workertimeout.go
+++ b/fleet/workertimeout.go
@@ -47,8 +47,8 @@
 	aw.mu.Lock()
 	defer aw.mu.Unlock()
 	switch {
-	case oc == cell.Unsent:
-	case oc == cell.Silent:
+	case oc == cell.NotSent:
+	case oc == cell.NoAnswer:
 		aw.consecutiveTimeouts++
 	case elapsed > held:
 		// An answer that came before its time was held back for an end tells nothing of the way.
@@ -60,7 +60,7 @@
 }
 
 // Look implements Workers.
-func (aw *adaptiveWorkers) Look(ctx context.Context, lk cell.Look) cell.Looked {
+func (aw *adaptiveWorkers) Look(ctx context.Context, lk cell.Poll) cell.PollResult {
 	ctx, cancel := context.WithTimeout(ctx, lk.Wait+aw.timeout())
 	defer cancel()
 	res := aw.Workers.Look(ctx, lk)
@@ -69,7 +69,7 @@
 }
 
 // Order implements Workers.
-func (aw *adaptiveWorkers) Order(ctx context.Context, od cell.Order) cell.Ordered {
+func (aw *adaptiveWorkers) Order(ctx context.Context, od cell.Order) cell.OrderResult {
 	ctx, cancel := context.WithTimeout(ctx, aw.timeout())
 	defer cancel()
 	res := aw.Workers.Order(ctx, od)
--- a/fleet/writes.go
+++ b/fleet/writes.go
@@ -25,7 +25,7 @@
 type writeBatch struct {
 	save *cell.Save
 	// enlist is the newest wish to name the workers in use. It names those of the ones before as well.
-	enlist *cell.Enlist
+	enlist *cell.RecordWorkers
 	// since is when the first of them came.
 	queuedAt time.Time
 }
@@ -41,7 +41,7 @@
 	switch order := od.(type) {
 	case cell.Save:
 		wq.pending.save = &order
-	case cell.Enlist:
+	case cell.RecordWorkers:
 		wq.pending.enlist = &order
 	}
 	wq.mu.Unlock()
@@ -112,7 +112,7 @@
 // done tells the core that a batch is written.
 func (wb writeBatch) notifyCore(cr *cell.Core, now time.Time, version int64) {
 	if wb.enlist != nil {
-		cr.Enlisted(wb.enlist.Workers)
+		cr.WorkersRecorded(wb.enlist.Workers)
 		cr.EnlistFailed()
 	}
 	if wb.save != nil {
@@ -138,11 +138,11 @@
 }
 
 // addWorkers adds the cell's row with the workers that are used.
-func (ow *owner) addWorkers(tx *Tx, en *cell.Enlist) error {
+func (ow *owner) addWorkers(tx *Tx, en *cell.RecordWorkers) error {
 	if en == nil {
 		return nil
 	}
-	raw, err := json.Marshal(ownerRow{Holder: ow.fl.opts.Name, Incarnation: ow.fl.opts.Incarnation, Epoch: ow.epoch, Workers: en.Workers, Exposed: en.Exposed})
+	raw, err := json.Marshal(ownerRow{Holder: ow.fl.opts.Name, Incarnation: ow.fl.opts.Incarnation, Epoch: ow.epoch, Workers: en.Workers, Exposed: en.UnseenLossEpoch})
 	if err != nil {
 		return err
 	}
--- a/fleet/writes_test.go
+++ b/fleet/writes_test.go
@@ -21,7 +21,7 @@
 	)
 	withFakeClock(t, func(ctx context.Context, t *testing.T) {
 		ow, store := startWriter(ctx, t)
-		var refs []cell.Ref
+		var refs []cell.WorkerRef
 		var asked int
 		stalls := 0
 		for i := range come {
@@ -31,7 +31,7 @@
 				asked = store.count()
 				ow.execute(ctx, cell.Save{Rows: []cell.SaveRow{{ID: "a1", Progress: &job.Progress{State: job.Completed}}}})
 			}
-			ow.execute(ctx, cell.Enlist{Workers: refs})
+			ow.execute(ctx, cell.RecordWorkers{Workers: refs})
 			if time.Since(began) > 0 {
 				stalls++
 			}
