--- a/fleet/workertimeout_test.go
+++ b/fleet/workertimeout_test.go
@@ -14,21 +14,21 @@
 	quick := func() { aw.recordAnswer(2*time.Millisecond, 0, cell.Done) }
 	for range 100 {
 		quick()
-		aw.recordAnswer(workerMinTimeout, 0, cell.Silent)
-		aw.recordAnswer(workerMinTimeout, 0, cell.Silent)
+		aw.recordAnswer(workerMinTimeout, 0, cell.NoAnswer)
+		aw.recordAnswer(workerMinTimeout, 0, cell.NoAnswer)
 		aw.recordAnswer(300*time.Millisecond, time.Second, cell.Done)
 	}
 	if got := aw.timeout(); got != workerMinTimeout {
 		t.Errorf("%v while a third of the answers comes", got)
 	}
 	for range timeoutsPerDoubling {
-		aw.recordAnswer(workerMinTimeout, 0, cell.Silent)
+		aw.recordAnswer(workerMinTimeout, 0, cell.NoAnswer)
 	}
 	if got := aw.timeout(); got != 2*workerMinTimeout {
 		t.Errorf("%v after %d calls in vain", got, timeoutsPerDoubling)
 	}
 	for range 100 {
-		aw.recordAnswer(workerMinTimeout, 0, cell.Silent)
+		aw.recordAnswer(workerMinTimeout, 0, cell.NoAnswer)
 	}
 	if got := aw.timeout(); got != workerMaxTimeout {
 		t.Errorf("%v when nothing comes", got)
