--- a/cell/cell.go
+++ b/cell/cell.go
@@ -138,8 +138,8 @@
 	ledger *Ledger
 	// weights are the organisations' shares.
 	weights map[job.OrganisationID]float64
-	// allotments say how many more of their jobs are within them.
-	allotments map[job.OrganisationID]*allotment
+	// shareBuckets say how many more of their jobs are within them.
+	shareBuckets map[job.OrganisationID]*tokenBucket
 	// neededSum is what the open jobs wanted at neededAt.
 	neededSum float64
 	neededAt  time.Time
@@ -157,7 +157,7 @@
 	return &Core{
 		opts: options.WithDefaults(), pool: pool, epoch: epoch,
 		queues: map[job.QueueID]job.Queue{}, jobs: map[job.ID]*jobState{}, workers: map[WorkerID]*worker{}, counters: map[WorkerName]*Token{},
-		unresolved: map[WorkerID]time.Time{}, departed: map[WorkerID]WorkerRef{}, vacated: map[WorkerID]bool{}, dirty: map[job.ID]*jobState{}, cordons: map[WorkerName]bool{}, grabbed: map[WorkerName]time.Time{}, plagues: map[job.QueueID]time.Time{}, run: runtimes{}, ledger: NewLedger(string(pool), epoch), allotments: map[job.OrganisationID]*allotment{},
+		unresolved: map[WorkerID]time.Time{}, departed: map[WorkerID]WorkerRef{}, vacated: map[WorkerID]bool{}, dirty: map[job.ID]*jobState{}, cordons: map[WorkerName]bool{}, grabbed: map[WorkerName]time.Time{}, plagues: map[job.QueueID]time.Time{}, run: runtimes{}, ledger: NewLedger(string(pool), epoch), shareBuckets: map[job.OrganisationID]*tokenBucket{},
 	}
 }
 
--- a/cell/ledger.go
+++ b/cell/ledger.go
@@ -10,18 +10,18 @@
 
 // Figures of how allowances are asked for and given back.
 const (
-	// allowanceSpare is the part of what a cell needs that it asks for beyond it, so that not each further job costs a write.
-	allowanceSpare = 4
-	// allowanceBase divides a cell's even part of a maximum: so much it holds without need, so that the first tasks of a turn start at once. The
+	// allowanceHeadroomDivisor is the part of what a cell needs that it asks for beyond it, so that not each further job costs a write.
+	allowanceHeadroomDivisor = 4
+	// allowanceBaseDivisor divides a cell's even part of a maximum: so much it holds without need, so that the first tasks of a turn start at once. The
 	// rest is there for whoever needs it.
-	allowanceBase = 2
-	// allowanceIdle is how long an allowance may be more than twice what is wanted before it is given back unasked: a queue's demand comes in
+	allowanceBaseDivisor = 2
+	// allowanceIdleTimeout is how long an allowance may be more than twice what is wanted before it is given back unasked: a queue's demand comes in
 	// turns of some seconds, and each write has its price.
-	allowanceIdle = time.Second
-	// allowanceGrain divides a maximum into the least parts that are given back one by one where several cells want more.
-	allowanceGrain = 32
-	// AllowancesMost is how many organisations one change names: each has a condition and a row, and a transaction takes 100 entries.
-	AllowancesMost = 45
+	allowanceIdleTimeout = time.Second
+	// allowanceReturnDivisor divides a maximum into the least parts that are given back one by one where several cells want more.
+	allowanceReturnDivisor = 32
+	// MaxAccountChanges is how many organisations one change names: each has a condition and a row, and a transaction takes 100 entries.
+	MaxAccountChanges = 45
 )
 
 // Allowance is what the owner of a cell may have running of an organisation: a part of its maximum that no other cell uses meanwhile.
@@ -29,8 +29,8 @@
 	// Epoch is that of the owner who holds it. An owner counts only on what it has written under its own.
 	Epoch job.Epoch `json:"epoch"`
 	Held  job.Size  `json:"held"`
-	// Wanted means that the cell could use more than there was left; the others give back what they do not need, and keep an even part.
-	Wanted bool `json:"wanted,omitempty"`
+	// NeedsMore means that the cell could use more than there was left; the others give back what they do not need, and keep an even part.
+	NeedsMore bool `json:"wanted,omitempty"`
 }
 
 // Account is what the cells hold of one organisation's maximum, by cell. All cells' parts stand in one row, so that whoever changes its own
@@ -61,34 +61,34 @@
 type Ledger struct {
 	cell  string
 	epoch job.Epoch
-	// cells is how many cells have queues.
-	cells  int
-	maxima map[job.OrganisationID]job.Size
-	rows   map[job.OrganisationID]*entry
+	// cellCount is how many cellCount have queues.
+	cellCount int
+	maxima    map[job.OrganisationID]job.Size
+	accounts  map[job.OrganisationID]*accountState
 	// running is what runs, or may run, by organisation.
 	running map[job.OrganisationID]job.Size
-	// settled means that nothing of earlier owners runs that is not counted in running.
-	settled bool
-	// overtaken means that a row names a later owner of the cell.
-	overtaken bool
+	// reconciled means that nothing of earlier owners runs that is not counted in running.
+	reconciled bool
+	// superseded means that a row names a later owner of the cell.
+	superseded bool
 }
 
-// entry is one organisation's row, and what this owner does with it.
-type entry struct {
+// accountState is one organisation's row, and what this owner does with it.
+type accountState struct {
 	AccountRow
-	// doubt is what this owner has asked for without knowing yet whether it is written, the least of several; nil if nothing.
-	doubt *job.Size
+	// unconfirmed is what this owner has asked for without knowing yet whether it is written, the least of several; nil if nothing.
+	unconfirmed *job.Size
 	// inherited is what earlier owners held when this one took their part over.
 	inherited job.Size
-	// surplus is since when the part has been more than twice what is wanted.
-	surplus time.Time
+	// surplusSince is since when the part has been more than twice what is wanted.
+	surplusSince time.Time
 }
 
 // NewLedger returns a ledger for the owner of a cell.
 func NewLedger(cell string, epoch job.Epoch) *Ledger {
 	return &Ledger{
-		cell: cell, epoch: epoch, cells: 1,
-		maxima: map[job.OrganisationID]job.Size{}, rows: map[job.OrganisationID]*entry{}, running: map[job.OrganisationID]job.Size{},
+		cell: cell, epoch: epoch, cellCount: 1,
+		maxima: map[job.OrganisationID]job.Size{}, accounts: map[job.OrganisationID]*accountState{}, running: map[job.OrganisationID]job.Size{},
 	}
 }
 
@@ -98,7 +98,7 @@
 	for _, qu := range cf.Queues {
 		pools[qu.Pool] = true
 	}
-	lg.cells = max(1, len(pools))
+	lg.cellCount = max(1, len(pools))
 	for _, og := range cf.Organisations.List() {
 		if og.HasMaximum() {
 			lg.maxima[og.ID] = og.Maximum
@@ -108,17 +108,17 @@
 	}
 }
 
-// Bounded reports whether any organisation has a maximum.
-func (lg *Ledger) Bounded() bool { return len(lg.maxima) > 0 }
+// HasMaxima reports whether any organisation has a maximum.
+func (lg *Ledger) HasMaxima() bool { return len(lg.maxima) > 0 }
 
-// Overtaken reports whether a row names a later owner of the cell.
-func (lg *Ledger) Overtaken() bool { return lg.overtaken }
+// Superseded reports whether a row names a later owner of the cell.
+func (lg *Ledger) Superseded() bool { return lg.superseded }
 
-// Settle notes that all that earlier owners of the cell have started, and that still runs, is counted.
-func (lg *Ledger) Settle() { lg.settled = true }
+// MarkReconciled notes that all that earlier owners of the cell have started, and that still runs, is counted.
+func (lg *Ledger) MarkReconciled() { lg.reconciled = true }
 
-// count notes that a task came or went.
-func (lg *Ledger) count(id job.OrganisationID, sz job.Size, by int) {
+// addRunning notes that a task came or went.
+func (lg *Ledger) addRunning(id job.OrganisationID, sz job.Size, by int) {
 	if id == "" {
 		return
 	}
@@ -130,9 +130,9 @@
 	lg.running[id] = left
 }
 
-// Take takes a row as the store has it, unless a newer one is known.
-func (lg *Ledger) Take(rw AccountRow) {
-	en := lg.entry(rw.Organisation)
+// Update takes a row as the store has it, unless a newer one is known.
+func (lg *Ledger) Update(rw AccountRow) {
+	en := lg.account(rw.Organisation)
 	if rw.Version <= en.Version {
 		return
 	}
@@ -141,9 +141,9 @@
 		en.inherited = former.Held
 	}
 	// What was sent was for an earlier version: it is in this row, or it can never be done.
-	en.AccountRow, en.doubt = rw, nil
+	en.AccountRow, en.unconfirmed = rw, nil
 	if own.Epoch > lg.epoch {
-		lg.overtaken = true
+		lg.superseded = true
 	}
 }
 
@@ -151,29 +151,29 @@
 func (lg *Ledger) Written(rows []AccountRow, version int64) {
 	for _, rw := range rows {
 		rw.Version = version
-		lg.Take(rw)
+		lg.Update(rw)
 	}
 }
 
-func (lg *Ledger) entry(id job.OrganisationID) *entry {
-	en, ok := lg.rows[id]
+func (lg *Ledger) account(id job.OrganisationID) *accountState {
+	en, ok := lg.accounts[id]
 	if !ok {
-		en = &entry{AccountRow: AccountRow{Organisation: id}}
-		lg.rows[id] = en
+		en = &accountState{AccountRow: AccountRow{Organisation: id}}
+		lg.accounts[id] = en
 	}
 	return en
 }
 
-// MayOne reports whether one more task of an organisation may be started. One that is larger than the maximum may run alone.
-func (lg *Ledger) MayOne(id job.OrganisationID, task job.Size) bool {
+// AllowsTask reports whether one more task of an organisation may be started. One that is larger than the maximum may run alone.
+func (lg *Ledger) AllowsTask(id job.OrganisationID, task job.Size) bool {
 	if most, bounded := lg.maxima[id]; bounded {
-		task = boundedBy(task, most)
+		task = clampToMaximum(task, most)
 	}
-	return lg.May(id, task)
+	return lg.Allows(id, task)
 }
 
-// boundedBy is a size cut to a maximum in the figures that it bounds.
-func boundedBy(sz, most job.Size) job.Size {
+// clampToMaximum is a size cut to a maximum in the figures that it bounds.
+func clampToMaximum(sz, most job.Size) job.Size {
 	cut := sz.Min(most)
 	if most.CPUMillis == 0 {
 		cut.CPUMillis = sz.CPUMillis
@@ -187,8 +187,8 @@
 	return cut
 }
 
-// May reports whether so much more of an organisation may be started.
-func (lg *Ledger) May(id job.OrganisationID, more job.Size) bool {
+// Allows reports whether so much more of an organisation may be started.
+func (lg *Ledger) Allows(id job.OrganisationID, more job.Size) bool {
 	most, bounded := lg.maxima[id]
 	if id == "" || !bounded {
 		return true
@@ -199,38 +199,38 @@
 		return false
 	}
 	// What ends above an even part goes to the others, who wait for it.
-	rivals := lg.entry(id).wanting(lg.cell)
+	rivals := lg.account(id).competingCells(lg.cell)
 	return rivals == 0 || used == (job.Size{}) || within(used.Add(more), most.Div(rivals+1), most)
 }
 
 // limit is what this cell may have running of an organisation; ok is false until this owner has written its part.
 func (lg *Ledger) limit(id job.OrganisationID, most job.Size) (limit job.Size, ok bool) {
-	en := lg.entry(id)
+	en := lg.account(id)
 	own := en.Account[lg.cell]
 	if own.Epoch != lg.epoch {
 		return job.Size{}, false
 	}
 	limit = own.Held
-	if en.doubt != nil {
+	if en.unconfirmed != nil {
 		// Others may see it already.
-		limit = limit.Min(*en.doubt)
+		limit = limit.Min(*en.unconfirmed)
 	}
-	return limit.Min(most.Sub(en.others(lg.cell))), true
+	return limit.Min(most.Sub(en.heldByOthers(lg.cell))), true
 }
 
 // used is what counts against this cell's part of an organisation.
 func (lg *Ledger) used(id job.OrganisationID) job.Size {
-	if lg.settled {
+	if lg.reconciled {
 		return lg.running[id]
 	}
-	return lg.running[id].Add(lg.entry(id).inherited)
+	return lg.running[id].Add(lg.account(id).inherited)
 }
 
 // Held is what all cells together hold.
-func (ac Account) Held() job.Size { return ac.others("") }
+func (ac Account) Held() job.Size { return ac.heldByOthers("") }
 
-// others is what the other cells hold.
-func (ac Account) others(cell string) job.Size {
+// heldByOthers is what the other cells hold.
+func (ac Account) heldByOthers(cell string) job.Size {
 	var sum job.Size
 	for name, al := range ac {
 		if name != cell {
@@ -240,13 +240,13 @@
 	return sum
 }
 
-func (en *entry) others(cell string) job.Size { return en.Account.others(cell) }
+func (en *accountState) heldByOthers(cell string) job.Size { return en.Account.heldByOthers(cell) }
 
-// wanting counts the other cells that could use more.
-func (en *entry) wanting(cell string) int {
+// competingCells counts the other cells that could use more.
+func (en *accountState) competingCells(cell string) int {
 	count := 0
 	for name, al := range en.Account {
-		if name != cell && al.Wanted {
+		if name != cell && al.NeedsMore {
 			count++
 		}
 	}
@@ -259,20 +259,20 @@
 		(most.Accelerators == 0 || sz.Accelerators <= limit.Accelerators)
 }
 
-// Change returns the rows that this owner is to write now, each on the condition of its version; none if all may stay as it is. Until it is
+// PendingWrites returns the rows that this owner is to write now, each on the condition of its version; none if all may stay as it is. Until it is
 // told how the write ended it counts on the lower of the old and the new.
-func (lg *Ledger) Change(now time.Time, waiting map[job.OrganisationID]Demand) []AccountRow {
+func (lg *Ledger) PendingWrites(now time.Time, waiting map[job.OrganisationID]Demand) []AccountRow {
 	var rows []AccountRow
 	for _, id := range slices.Sorted(maps.Keys(lg.maxima)) {
-		if len(rows) == AllowancesMost {
+		if len(rows) == MaxAccountChanges {
 			break
 		}
-		en := lg.entry(id)
-		next, due := lg.next(now, en, waiting[id])
+		en := lg.account(id)
+		next, due := lg.nextAllowance(now, en, waiting[id])
 		if !due {
 			continue
 		}
-		en.ask(next.Held)
+		en.addUnconfirmed(next.Held)
 		ac := maps.Clone(en.Account)
 		if ac == nil {
 			ac = Account{}
@@ -283,57 +283,57 @@
 	return rows
 }
 
-// ask notes what is asked for.
-func (en *entry) ask(held job.Size) {
-	if en.doubt != nil {
-		held = held.Min(*en.doubt)
+// addUnconfirmed notes what is asked for.
+func (en *accountState) addUnconfirmed(held job.Size) {
+	if en.unconfirmed != nil {
+		held = held.Min(*en.unconfirmed)
 	}
-	en.doubt = &held
+	en.unconfirmed = &held
 }
 
-// next is the part that this cell should have of an organisation, and whether it is to be written.
-func (lg *Ledger) next(now time.Time, en *entry, dm Demand) (next Allowance, due bool) {
+// nextAllowance is the part that this cell should have of an organisation, and whether it is to be written.
+func (lg *Ledger) nextAllowance(now time.Time, en *accountState, dm Demand) (next Allowance, due bool) {
 	most := lg.maxima[en.Organisation]
 	own, used := en.Account[lg.cell], lg.used(en.Organisation)
-	need := used.Add(boundedBy(dm.Waiting, most))
-	wanted := need.Add(need.Div(allowanceSpare)).Max(most.Div(allowanceBase * lg.cells)).Min(most)
-	free := most.Sub(en.others(lg.cell)).NonNegative()
+	need := used.Add(clampToMaximum(dm.Waiting, most))
+	wanted := need.Add(need.Div(allowanceHeadroomDivisor)).Max(most.Div(allowanceBaseDivisor * lg.cellCount)).Min(most)
+	free := most.Sub(en.heldByOthers(lg.cell)).NonNegative()
 	next = Allowance{Epoch: lg.epoch, Held: own.Held}
-	rivals := en.wanting(lg.cell)
+	rivals := en.competingCells(lg.cell)
 	switch {
 	case own.Epoch != lg.epoch:
 		next.Held = own.Held.Max(used).Max(wanted.Min(free))
 	case rivals > 0 || !within(own.Held, free, most):
 		// What is not needed goes to those who need it, and none keeps more than an even part of what several need; what runs is not stopped.
 		fair := used.Max(wanted.Min(free).Min(need.Min(most.Div(rivals + 1))))
-		if unit := used.Add(boundedBy(dm.Unit, most)); !within(unit, fair, most) {
+		if unit := used.Add(clampToMaximum(dm.Unit, most)); !within(unit, fair, most) {
 			// An even part in which nothing more can run would be of use to nobody, and a cell with nothing running may have one task.
 			fair = used
 			if used == (job.Size{}) && within(unit, free, most) {
 				fair = unit
 			}
 		}
-		if !within(own.Held, fair.Add(most.Div(allowanceGrain)), most) || !within(need, own.Held, most) {
+		if !within(own.Held, fair.Add(most.Div(allowanceReturnDivisor)), most) || !within(need, own.Held, most) {
 			next.Held = fair
 		}
 	case !within(need, own.Held, most):
 		next.Held = own.Held.Max(wanted.Min(free))
-	case lg.idle(now, en, wanted):
+	case lg.hasIdleSurplus(now, en, wanted):
 		next.Held = used.Max(wanted)
 	}
-	next.Wanted = !within(need, next.Held, most)
-	return next, next != own || en.doubt != nil
+	next.NeedsMore = !within(need, next.Held, most)
+	return next, next != own || en.unconfirmed != nil
 }
 
-// idle reports whether a part has been far more than what is wanted for a while.
-func (lg *Ledger) idle(now time.Time, en *entry, wanted job.Size) bool {
+// hasIdleSurplus reports whether a part has been far more than what is wanted for a while.
+func (lg *Ledger) hasIdleSurplus(now time.Time, en *accountState, wanted job.Size) bool {
 	held := en.Account[lg.cell].Held
 	if within(held, wanted.Mul(2), lg.maxima[en.Organisation]) {
-		en.surplus = time.Time{}
+		en.surplusSince = time.Time{}
 		return false
 	}
-	if en.surplus.IsZero() {
-		en.surplus = now
+	if en.surplusSince.IsZero() {
+		en.surplusSince = now
 	}
-	return now.Sub(en.surplus) > allowanceIdle
+	return now.Sub(en.surplusSince) > allowanceIdleTimeout
 }
--- a/cell/ledger_model_test.go
+++ b/cell/ledger_model_test.go
@@ -147,7 +147,7 @@
 	lw.owners = append(lw.owners, ow)
 	lw.learn(ow)
 	if lw.fault == settledAtOnce {
-		ow.lg.Settle()
+		ow.lg.MarkReconciled()
 	}
 	if lw.fault == epochIgnored {
 		for id, rw := range lw.rows {
@@ -156,9 +156,9 @@
 			al := copied.Account[ow.lg.cell]
 			al.Epoch = ow.epoch
 			copied.Account[ow.lg.cell] = al
-			ow.lg.entry(id).AccountRow = copied
+			ow.lg.account(id).AccountRow = copied
 		}
-		ow.lg.Settle()
+		ow.lg.MarkReconciled()
 	}
 }
 
@@ -183,11 +183,11 @@
 	for _, lt := range lw.running {
 		if lt.cell == ow.cell && lt.worker == worker && lw.fault != unadoptedOccupant {
 			lt.owner = ow
-			ow.lg.count(lt.org, lt.size, 1)
+			ow.lg.addRunning(lt.org, lt.size, 1)
 		}
 	}
 	if len(ow.fenced) == ledgerWorkers {
-		ow.lg.Settle()
+		ow.lg.MarkReconciled()
 	}
 }
 
@@ -198,12 +198,12 @@
 		for len(ow.waiting[id]) > 0 {
 			size := ow.waiting[id][0]
 			worker := lw.rnd.Intn(ledgerWorkers)
-			if !ow.fenced[worker] || !ow.lg.MayOne(id, size) {
+			if !ow.fenced[worker] || !ow.lg.AllowsTask(id, size) {
 				break
 			}
 			ow.waiting[id] = ow.waiting[id][1:]
 			ow.started[id] = lw.now
-			ow.lg.count(id, size, 1)
+			ow.lg.addRunning(id, size, 1)
 			lt := &ledgerTask{org: id, size: size, cell: ow.cell, worker: worker, owner: ow, ends: lw.now.Add(time.Duration(200+lw.rnd.Intn(1500)) * time.Millisecond), most: lw.mayBeInForce(ow, id)}
 			if lw.faulty() && lw.rnd.Intn(5) == 0 {
 				lw.later(func() { lw.begin(lt, ow) })
@@ -217,7 +217,7 @@
 // begin carries an order out unless its worker has seen a later owner, and checks the maximum.
 func (lw *ledgerWorld) begin(lt *ledgerTask, ow *ledgerOwner) {
 	if lw.fence[lt.cell][lt.worker] > ow.epoch {
-		ow.lg.count(lt.org, lt.size, -1)
+		ow.lg.addRunning(lt.org, lt.size, -1)
 		return
 	}
 	if ow.dead {
@@ -246,7 +246,7 @@
 			since = earliest(since, lw.put[other.knows])
 		}
 	}
-	known := ow.lg.entry(id).Version
+	known := ow.lg.account(id).Version
 	for _, rw := range lw.past[id] {
 		if rw.Version > known {
 			since = earliest(since, lw.written[rw.Version])
@@ -285,10 +285,10 @@
 			waiting[id] = dm
 		}
 	}
-	rows := ow.lg.Change(lw.now, waiting)
+	rows := ow.lg.PendingWrites(lw.now, waiting)
 	if lw.fault == nothingGivenBack {
 		rows = slices.DeleteFunc(rows, func(rw AccountRow) bool {
-			was, known := ow.lg.entry(rw.Organisation).Account[ow.lg.cell]
+			was, known := ow.lg.account(rw.Organisation).Account[ow.lg.cell]
 			return known && was.Epoch == ow.epoch && within(rw.Account[ow.lg.cell].Held, was.Held, was.Held)
 		})
 	}
@@ -312,7 +312,7 @@
 		return
 	}
 	for _, rw := range conflicts {
-		ow.lg.Take(rw)
+		ow.lg.Update(rw)
 	}
 	if version != 0 {
 		ow.lg.Written(rows, version)
@@ -350,7 +350,7 @@
 		if !ok || lw.faulty() && lw.rnd.Intn(3) == 0 {
 			continue
 		}
-		ow.lg.Take(rw)
+		ow.lg.Update(rw)
 	}
 }
 
@@ -361,7 +361,7 @@
 			return false
 		}
 		if ow := lt.owner; ow != nil && lw.fault != endsNeverCounted {
-			count := func() { ow.lg.count(lt.org, lt.size, -1) }
+			count := func() { ow.lg.addRunning(lt.org, lt.size, -1) }
 			if lw.faulty() && lw.rnd.Intn(4) == 0 {
 				lw.later(count)
 			} else {
@@ -377,7 +377,7 @@
 	if lw.fault != othersIgnored {
 		return
 	}
-	for _, en := range ow.lg.rows {
+	for _, en := range ow.lg.accounts {
 		for name := range en.Account {
 			if name != ow.lg.cell {
 				ac := maps.Clone(en.Account)
--- a/cell/ledger_test.go
+++ b/cell/ledger_test.go
@@ -26,7 +26,7 @@
 	lb := &ledgerBed{t: t, now: time.Unix(1_700_000_000, 0), rows: map[job.OrganisationID]AccountRow{}}
 	for at := range cells {
 		lg := NewLedger(fmt.Sprint(at), job.Epoch(100+at))
-		lg.Settle()
+		lg.MarkReconciled()
 		lb.cells = append(lb.cells, lg)
 	}
 	lb.bound(most)
@@ -50,12 +50,12 @@
 	for range count {
 		lb.now = lb.now.Add(50 * time.Millisecond)
 		for at, lg := range lb.cells {
-			rows := lg.Change(lb.now, map[job.OrganisationID]Demand{"mill": waiting[at]})
+			rows := lg.PendingWrites(lb.now, map[job.OrganisationID]Demand{"mill": waiting[at]})
 			if len(rows) == 0 {
 				continue
 			}
 			if lb.rows["mill"].Version != rows[0].Version {
-				lg.Take(lb.rows["mill"])
+				lg.Update(lb.rows["mill"])
 				continue
 			}
 			lb.version++
@@ -65,7 +65,7 @@
 			lg.Written(rows, lb.version)
 		}
 		for _, lg := range lb.cells {
-			lg.Take(lb.rows["mill"])
+			lg.Update(lb.rows["mill"])
 		}
 	}
 }
@@ -73,8 +73,8 @@
 // fill starts tasks of one core at a cell until it may start no more, and returns how many it started.
 func (lb *ledgerBed) fill(at int) int {
 	count := 0
-	for ; lb.cells[at].MayOne("mill", cores(1)); count++ {
-		lb.cells[at].count("mill", cores(1), 1)
+	for ; lb.cells[at].AllowsTask("mill", cores(1)); count++ {
+		lb.cells[at].addRunning("mill", cores(1), 1)
 	}
 	return count
 }
@@ -93,7 +93,7 @@
 		if got != 100 {
 			t.Errorf("turn %d: %d of 100 tasks were started in 0.5 s", turn, got)
 		}
-		lb.cells[at].count("mill", cores(got), -1)
+		lb.cells[at].addRunning("mill", cores(got), -1)
 	}
 	// An even split would have started 25; the price is in writes.
 	if lb.writes > 8*12 {
@@ -113,7 +113,7 @@
 	for range 60 {
 		lb.rounds(1, map[int]Demand{0: all, 1: all})
 		if lb.cells[0].running["mill"].CPUMillis > 0 {
-			lb.cells[0].count("mill", cores(1), -1)
+			lb.cells[0].addRunning("mill", cores(1), -1)
 		}
 		lb.fill(0)
 		second += lb.fill(1)
@@ -128,21 +128,21 @@
 	lb := newLedgerBed(t, 2, cores(100))
 	lb.rounds(4, map[int]Demand{0: {Waiting: cores(100), Unit: cores(1)}})
 	lg := lb.cells[0]
-	if !lg.May("mill", cores(100)) {
+	if !lg.Allows("mill", cores(100)) {
 		t.Fatal("the first has all")
 	}
-	lb.now = lb.now.Add(2 * allowanceIdle)
-	lg.Change(lb.now, nil)
-	lb.now = lb.now.Add(2 * allowanceIdle)
-	less := lg.Change(lb.now, nil)
+	lb.now = lb.now.Add(2 * allowanceIdleTimeout)
+	lg.PendingWrites(lb.now, nil)
+	lb.now = lb.now.Add(2 * allowanceIdleTimeout)
+	less := lg.PendingWrites(lb.now, nil)
 	if len(less) != 1 || less[0].Account["0"].Held.CPUMillis >= 100_000 {
 		t.Fatalf("given back: %+v", less)
 	}
-	if lg.May("mill", cores(100)) {
+	if lg.Allows("mill", cores(100)) {
 		t.Error("what may have been given back is used")
 	}
-	lg.Change(lb.now, map[job.OrganisationID]Demand{"mill": {Waiting: cores(100), Unit: cores(1)}})
-	if lg.May("mill", cores(100)) {
+	lg.PendingWrites(lb.now, map[job.OrganisationID]Demand{"mill": {Waiting: cores(100), Unit: cores(1)}})
+	if lg.Allows("mill", cores(100)) {
 		t.Error("what was asked for again is used before the store has said so")
 	}
 }
@@ -157,7 +157,7 @@
 	if got := lb.fill(0) + lb.fill(1) + lb.fill(2); got != 0 {
 		t.Fatalf("%d were started above the maximum", got)
 	}
-	lb.cells[0].count("mill", cores(60), -1)
+	lb.cells[0].addRunning("mill", cores(60), -1)
 	lb.rounds(6, map[int]Demand{1: {Waiting: cores(10), Unit: cores(1)}})
 	running := lb.cells[0].running["mill"].CPUMillis / 1000
 	if got := lb.fill(1); got == 0 || got+running > 30 {
@@ -171,11 +171,11 @@
 	lb := newLedgerBed(t, 3, cores(4))
 	lb.rounds(4, map[int]Demand{2: {Waiting: cores(6), Unit: cores(6)}})
 	lg := lb.cells[2]
-	if lg.May("mill", cores(6)) || !lg.MayOne("mill", cores(6)) {
-		t.Fatalf("a gang: %v, a task: %v; %+v", lg.May("mill", cores(6)), lg.MayOne("mill", cores(6)), lb.rows["mill"].Account)
+	if lg.Allows("mill", cores(6)) || !lg.AllowsTask("mill", cores(6)) {
+		t.Fatalf("a gang: %v, a task: %v; %+v", lg.Allows("mill", cores(6)), lg.AllowsTask("mill", cores(6)), lb.rows["mill"].Account)
 	}
-	lg.count("mill", cores(6), 1)
-	if lg.MayOne("mill", cores(1)) || lb.cells[0].MayOne("mill", cores(1)) {
+	lg.addRunning("mill", cores(6), 1)
+	if lg.AllowsTask("mill", cores(1)) || lb.cells[0].AllowsTask("mill", cores(1)) {
 		t.Error("something beside it")
 	}
 }
@@ -187,8 +187,8 @@
 	lb.rounds(8, map[int]Demand{0: dm, 1: dm, 2: dm})
 	count := 0
 	for _, lg := range lb.cells {
-		if lg.MayOne("mill", cores(4)) {
-			lg.count("mill", cores(4), 1)
+		if lg.AllowsTask("mill", cores(4)) {
+			lg.addRunning("mill", cores(4), 1)
 			count++
 		}
 	}
@@ -207,15 +207,15 @@
 	next := NewLedger("0", 500)
 	lb.cells[0] = next
 	lb.bound(cores(100))
-	if next.MayOne("mill", cores(1)) {
+	if next.AllowsTask("mill", cores(1)) {
 		t.Error("before it has taken the part over")
 	}
 	lb.rounds(4, map[int]Demand{0: {Waiting: cores(100), Unit: cores(1)}})
 	if got := lb.fill(0); got+held > 100 || got == 0 {
 		t.Errorf("%d beside the %d that may run", got, held)
 	}
-	before.Take(lb.rows["mill"])
-	if !before.Overtaken() {
+	before.Update(lb.rows["mill"])
+	if !before.Superseded() {
 		t.Error("the one before does not learn of its successor")
 	}
 }
@@ -223,12 +223,12 @@
 // TestOrganisationsWithoutMaximum: nothing is written for them, and figures of 0 bound nothing.
 func TestOrganisationsWithoutMaximum(t *testing.T) {
 	lb := newLedgerBed(t, 2, job.Size{})
-	if lb.writes != 0 || !lb.cells[0].MayOne("mill", cores(1000)) || !lb.cells[0].MayOne("", cores(1)) {
+	if lb.writes != 0 || !lb.cells[0].AllowsTask("mill", cores(1000)) || !lb.cells[0].AllowsTask("", cores(1)) {
 		t.Error("bounded without a maximum")
 	}
 	lb.bound(job.Size{MemoryMB: 100})
 	lb.rounds(3, nil)
-	if !lb.cells[0].MayOne("mill", cores(1000)) || lb.cells[0].May("mill", job.Size{MemoryMB: 101}) {
+	if !lb.cells[0].AllowsTask("mill", cores(1000)) || lb.cells[0].Allows("mill", job.Size{MemoryMB: 101}) {
 		t.Error("a maximum of memory alone")
 	}
 }
--- a/cell/organisation.go
+++ b/cell/organisation.go
@@ -8,8 +8,8 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// Organise puts the organisations of a configuration in force.
-func (cr *Core) Organise(cf *job.Configuration) {
+// SetOrganisations puts the organisations of a configuration in force.
+func (cr *Core) SetOrganisations(cf *job.Configuration) {
 	cr.ledger.Configure(cf)
 	cr.weights = map[job.OrganisationID]float64{}
 	for _, og := range cf.Organisations.List() {
@@ -20,15 +20,15 @@
 // mayStart reports whether the organisation of a step's job may have so many more of its tasks running.
 func (cr *Core) mayStart(st *step, tasks int) bool {
 	if tasks == 1 {
-		return cr.ledger.MayOne(st.job.spec.Organisation, st.spec.Size)
+		return cr.ledger.AllowsTask(st.job.spec.Organisation, st.spec.Size)
 	}
-	return cr.ledger.May(st.job.spec.Organisation, st.spec.Size.Mul(tasks))
+	return cr.ledger.Allows(st.job.spec.Organisation, st.spec.Size.Mul(tasks))
 }
 
-// TakeAccount takes the row of what cells hold of an organisation's maximum.
-func (cr *Core) TakeAccount(rw AccountRow) {
-	cr.ledger.Take(rw)
-	if cr.ledger.Overtaken() {
+// UpdateAccount takes the row of what cells hold of an organisation's maximum.
+func (cr *Core) UpdateAccount(rw AccountRow) {
+	cr.ledger.Update(rw)
+	if cr.ledger.Superseded() {
 		cr.lose("", "an account of an organisation names a later owner")
 	}
 }
@@ -36,19 +36,19 @@
 // AccountsWritten tells that rows which Accounts returned are written, under a version.
 func (cr *Core) AccountsWritten(rows []AccountRow, version int64) { cr.ledger.Written(rows, version) }
 
-// Accounts returns the rows of organisations that this owner is to write now; none if no organisation has a maximum.
-func (cr *Core) Accounts(now time.Time) []AccountRow {
-	if cr.lost || !cr.ledger.Bounded() {
+// AccountWrites returns the rows of organisations that this owner is to write now; none if no organisation has a maximum.
+func (cr *Core) AccountWrites(now time.Time) []AccountRow {
+	if cr.lost || !cr.ledger.HasMaxima() {
 		return nil
 	}
-	if cr.allCounted() {
-		cr.ledger.Settle()
+	if cr.inheritedTasksCounted() {
+		cr.ledger.MarkReconciled()
 	}
-	return cr.ledger.Change(now, cr.waitingByOrganisation())
+	return cr.ledger.PendingWrites(now, cr.demandByOrganisation())
 }
 
-// allCounted reports whether all that earlier owners have started, and that still runs, is placed here.
-func (cr *Core) allCounted() bool {
+// inheritedTasksCounted reports whether all that earlier owners have started, and that still runs, is placed here.
+func (cr *Core) inheritedTasksCounted() bool {
 	if len(cr.unresolved) > 0 || cr.planned.IsZero() {
 		return false
 	}
@@ -60,34 +60,34 @@
 	return true
 }
 
-// waitingByOrganisation is what of each organisation could be started at once if there were room for it.
-func (cr *Core) waitingByOrganisation() map[job.OrganisationID]Demand {
+// demandByOrganisation is what of each organisation could be started at once if there were room for it.
+func (cr *Core) demandByOrganisation() map[job.OrganisationID]Demand {
 	waiting := map[job.OrganisationID]Demand{}
 	for _, js := range cr.open {
 		if id := js.spec.Organisation; id != "" && !js.ended() && !js.settled && !cr.paused[js.spec.Queue] {
-			waiting[id] = js.demand(waiting[id])
+			waiting[id] = js.addDemand(waiting[id])
 		}
 	}
 	return waiting
 }
 
-// demand adds a job's tasks whose turn has come and that are not placed.
-func (js *jobState) demand(dm Demand) Demand {
+// addDemand adds a job's tasks whose turn has come and that are not placed.
+func (js *jobState) addDemand(dm Demand) Demand {
 	if len(js.runs) == 0 && !js.spec.HasSchedule() {
 		js.begin(0)
 	}
 	for _, rn := range js.runs {
 		for _, st := range rn.steps {
 			if st.done < len(st.tasks) && rn.ready(st) {
-				dm = dm.plus(st)
+				dm = dm.addStep(st)
 			}
 		}
 	}
 	return dm
 }
 
-// plus adds a step's tasks that are neither done nor placed.
-func (dm Demand) plus(st *step) Demand {
+// addStep adds a step's tasks that are neither done nor placed.
+func (dm Demand) addStep(st *step) Demand {
 	count := 0
 	for at := range st.tasks {
 		if ts := &st.tasks[at]; !ts.done && ts.place == nil {
@@ -138,8 +138,8 @@
 	for id := range cr.ledger.running {
 		load(id)
 	}
-	for id, dm := range cr.waitingByOrganisation() {
-		load(id).AtLimit = dm.Unit != job.Size{} && !cr.ledger.MayOne(id, dm.Unit)
+	for id, dm := range cr.demandByOrganisation() {
+		load(id).AtLimit = dm.Unit != job.Size{} && !cr.ledger.AllowsTask(id, dm.Unit)
 	}
 	for _, js := range cr.waiting(now) {
 		if id := js.spec.Organisation; id != "" {
--- a/cell/share_test.go
+++ b/cell/share_test.go
@@ -24,7 +24,7 @@
 		for at := range floodOrgs {
 			list = append(list, job.Organisation{ID: floodOrg(at), Weight: floodRate / floodOrgs})
 		}
-		bt.core.Organise(&job.Configuration{Organisations: job.NewDirectory(list)})
+		bt.core.SetOrganisations(&job.Configuration{Organisations: job.NewDirectory(list)})
 	}
 	for at := range floodOrgs {
 		rate := floodRate / floodOrgs
--- a/cell/task.go
+++ b/cell/task.go
@@ -163,7 +163,7 @@
 		js.endedAt = sd.Progress.EndedAt
 		return
 	}
-	js.beyond = cr.beyondShare(now, js)
+	js.beyond = cr.exceedsShare(now, js)
 	cr.open = append(cr.open, js)
 	cr.judgeLeft(js)
 	cr.claimRuns(now, sd.Spec.ID)
--- a/cell/worker.go
+++ b/cell/worker.go
@@ -177,7 +177,7 @@
 	wk.places[pl.task] = pl
 	wk.placed = append(wk.placed[:len(wk.placed):len(wk.placed)], pl)
 	wk.used = wk.used.Add(pl.room)
-	wk.ledger.count(pl.step.job.spec.Organisation, pl.step.spec.Size, 1)
+	wk.ledger.addRunning(pl.step.job.spec.Organisation, pl.step.spec.Size, 1)
 	wk.count(pl.step.spec, 1)
 	if pl.trial {
 		wk.trials++
@@ -192,7 +192,7 @@
 	delete(wk.places, pl.task)
 	wk.placed = slices.DeleteFunc(slices.Clone(wk.placed), func(other *placement) bool { return other == pl })
 	wk.used = wk.used.Sub(pl.room)
-	wk.ledger.count(pl.step.job.spec.Organisation, pl.step.spec.Size, -1)
+	wk.ledger.addRunning(pl.step.job.spec.Organisation, pl.step.spec.Size, -1)
 	wk.count(pl.step.spec, -1)
 	if pl.trial {
 		wk.trials--
--- a/fleet/accounts.go
+++ b/fleet/accounts.go
@@ -46,7 +46,7 @@
 	for _, rw := range rows {
 		if ar, ok := fl.parseAccount(rw); ok {
 			for _, ow := range fl.allOwners() {
-				ow.post(func(cr *cell.Core, _ time.Time) { cr.TakeAccount(ar) })
+				ow.post(func(cr *cell.Core, _ time.Time) { cr.UpdateAccount(ar) })
 			}
 		}
 	}
@@ -100,7 +100,7 @@
 	if !ow.planned || ow.quiescing {
 		return nil
 	}
-	return ow.core.Accounts(ow.fl.opts.Now())
+	return ow.core.AccountWrites(ow.fl.opts.Now())
 }
 
 // writeAccounts writes rows on the condition of their versions, and reports whether the store said how that ended.
--- a/fleet/owner.go
+++ b/fleet/owner.go
@@ -96,7 +96,7 @@
 	ow.core.NoteUnseenLosses(previous.Exposed)
 	if cf := fl.config.Load(); cf != nil {
 		ow.core.Configure(cf.Queues)
-		ow.core.Organise(cf)
+		ow.core.SetOrganisations(cf)
 	}
 	for _, wk := range fl.workerCache.inPool(job.PoolID(name)) {
 		ow.core.Register(claimedAt, wk)
@@ -104,7 +104,7 @@
 	ow.core.WorkersRecorded(row.Workers)
 	ow.core.SetPausedQueues(fl.pausedQueues())
 	for _, ar := range fl.knownAccounts() {
-		ow.core.TakeAccount(ar)
+		ow.core.UpdateAccount(ar)
 	}
 	ow.mu.Unlock()
 	go ow.jobs.run(ctx)
