--- a/fleet/drain.go
+++ b/fleet/drain.go
@@ -96,6 +96,6 @@
 
 // isDrained reports whether a cordoned worker is empty, or has only short tasks left after shortTaskGrace. The caller holds the
 // owner's lock.
-func (ow *owner) isDrained(id cell.WorkerName, since time.Duration) bool {
-	return ow.core.Cordoned(id) && (ow.core.Drained(id) || since > shortTaskGrace && ow.core.OnlyShortTasks(id))
+func (ow *owner) isDrained(id cell.WorkerName, drainingFor time.Duration) bool {
+	return ow.core.Cordoned(id) && (ow.core.Drained(id) || drainingFor > shortTaskGrace && ow.core.OnlyShortTasks(id))
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -218,8 +218,8 @@
 
 // TestReleaseBeforeTakingOverPassesWorkersOn: a cell that is given up at once keeps the workers that its row named.
 func TestReleaseBeforeTakeoverKeepsWorkers(t *testing.T) {
-	ow := &owner{claimRow: ownerRow{Workers: workerRefs("w7"), Exposed: 6}}
-	if row := ow.handoverRow(); len(row.Workers) != 1 || row.Exposed != 6 || row.Released {
+	ow := &owner{claimRow: ownerRow{Workers: workerRefs("w7"), UnseenLossEpoch: 6}}
+	if row := ow.handoverRow(); len(row.Workers) != 1 || row.UnseenLossEpoch != 6 || row.Released {
 		t.Fatalf("row %+v", row)
 	}
 }
--- a/fleet/machinecontroller.go
+++ b/fleet/machinecontroller.go
@@ -128,7 +128,7 @@
 
 // run plans and executes maintenance orders until the context ends.
 func (ct *machineController) run(ctx context.Context) {
-	var listed time.Time
+	var listedAt time.Time
 	for ctx.Err() == nil {
 		sleep(ctx, machinePlanInterval)
 		now := ct.fl.opts.Now()
@@ -139,8 +139,8 @@
 		if !busy || !ct.leaseValid(now) {
 			continue
 		}
-		if now.Sub(listed) >= machineListInterval {
-			listed = now
+		if now.Sub(listedAt) >= machineListInterval {
+			listedAt = now
 			ct.listMachines(ctx, now)
 		}
 		ct.mu.Lock()
@@ -164,7 +164,7 @@
 	return ids
 }
 
-// updateKeeper passes the known waves and drains to the wave runner.
+// updateWaves passes the known waves and drains to the wave runner.
 func (ct *machineController) updateWaves(now time.Time) {
 	ct.fl.members.mu.RLock()
 	drains := maps.Clone(ct.fl.members.drains)
--- a/fleet/machinelease.go
+++ b/fleet/machinelease.go
@@ -65,9 +65,9 @@
 // orders in flight have ended by the end of the term at the latest.
 func (ml *machineLease) cooldowns(now time.Time, term time.Duration) map[cell.MachineID]time.Duration {
 	list := map[cell.MachineID]time.Duration{}
-	for id, om := range ml.ordered {
-		left := machineCooldown - now.Sub(om.lastDone)
-		if om.announced || om.inFlight > 0 {
+	for id, mo := range ml.ordered {
+		left := machineCooldown - now.Sub(mo.lastDone)
+		if mo.announced || mo.inFlight > 0 {
 			left = machineCooldown + term
 		}
 		if left <= 0 {
@@ -81,29 +81,29 @@
 
 // ordersFor returns the state of the orders for a machine.
 func (ml *machineLease) ordersFor(id cell.MachineID) *machineOrders {
-	om, ok := ml.ordered[id]
+	mo, ok := ml.ordered[id]
 	if !ok {
-		om = &machineOrders{}
-		ml.ordered[id] = om
+		mo = &machineOrders{}
+		ml.ordered[id] = mo
 	}
-	return om
+	return mo
 }
 
 // renewLoop renews the lease until the context ends.
 func (ct *machineController) renewLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		sent := ct.fl.opts.Now()
-		every := machineLeaseRetryDelay
+		sentAt := ct.fl.opts.Now()
+		delay := machineLeaseRetryDelay
 		if ct.renewOnce(ctx, nil) {
-			every = machineLeaseRenewInterval
+			delay = machineLeaseRenewInterval
 		}
 		// The duration of the attempt counts toward the interval.
-		ct.waitForRenewal(ctx, every-ct.fl.opts.Now().Sub(sent))
+		ct.waitForRenewal(ctx, delay-ct.fl.opts.Now().Sub(sentAt))
 	}
 }
 
-// renewOnce makes one attempt and reports whether the lease was renewed. The row lists the machines with recent orders, and those
-// in next, which orders are planned for.
+// renewOnce makes one attempt and reports whether the lease was renewed. The row lists the machines with recent orders and the
+// machines in next, for which orders are planned.
 func (ct *machineController) renewOnce(ctx context.Context, next []cell.MachineID) bool {
 	ct.renewing.Lock()
 	defer ct.renewing.Unlock()
@@ -221,20 +221,20 @@
 		ct.mu.Unlock()
 		return machine.Refused
 	}
-	expires, tasks, om := ct.lease.expires, ct.tasks, ct.lease.ordersFor(id)
-	om.announced = false
+	expires, tasks, mo := ct.lease.expires, ct.tasks, ct.lease.ordersFor(id)
+	mo.announced = false
 	if _, published := ct.lease.published[id]; !published || !now.Before(expires) {
 		ct.mu.Unlock()
 		return machine.Refused
 	}
-	om.inFlight++
+	mo.inFlight++
 	// A handover waits for the order to end.
 	tasks.Add(1)
 	ct.mu.Unlock()
 	defer func() {
 		ct.mu.Lock()
-		om.inFlight--
-		om.lastDone = ct.fl.opts.Now()
+		mo.inFlight--
+		mo.lastDone = ct.fl.opts.Now()
 		ct.mu.Unlock()
 		tasks.Done()
 	}()
--- a/fleet/members.go
+++ b/fleet/members.go
@@ -21,7 +21,7 @@
 	Address     string `json:"address"`
 	Hall        string `json:"hall"`
 	Incarnation string `json:"incarnation"`
-	Beat        int64  `json:"beat"`
+	Heartbeats  int64  `json:"beat"`
 	// Power is the instance's share of a core. Cells are distributed in proportion to it.
 	Power   float64 `json:"power,omitempty"`
 	Leaving bool    `json:"leaving,omitempty"`
@@ -50,8 +50,8 @@
 	Incarnation string           `json:"incarnation,omitempty"`
 	Epoch       job.Epoch        `json:"epoch,omitempty"`
 	Workers     []cell.WorkerRef `json:"workers,omitempty"`
-	// Exposed is the epoch of the owner before which tasks may have been lost with workers that no later owner has seen.
-	Exposed job.Epoch `json:"exposed,omitempty"`
+	// UnseenLossEpoch is the epoch of the owner before which tasks may have been lost with workers that no later owner has seen.
+	UnseenLossEpoch job.Epoch `json:"exposed,omitempty"`
 	// Ordered lists the machines with recent or planned orders of the machine controller, and for how long, from the time the row
 	// was written, the next leader must not send orders for them.
 	Ordered map[cell.MachineID]time.Duration `json:"ordered,omitempty"`
@@ -120,7 +120,8 @@
 	}
 }
 
-// applyNode applies the row of an entry instance. Another version of the instance may have left an older row in another part.
+// applyNode applies the row of an entry instance. An instance that ran another software version may have left an older row in
+// another part.
 func (mb *members) applyNode(rw Row) {
 	name := strings.TrimPrefix(rw.Key, nodePrefix)
 	mb.mu.Lock()
@@ -271,7 +272,7 @@
 	at := nodePlace(fl.opts.Name)
 	nd := node{Name: fl.opts.Name, Address: fl.opts.Address, Hall: fl.opts.Hall, Incarnation: fl.opts.Incarnation, Power: fl.opts.Power, Layout: layoutSeparatePayloads}
 	for ctx.Err() == nil {
-		nd.Beat++
+		nd.Heartbeats++
 		nd.Leaving = fl.stopping.Load()
 		raw, err := json.Marshal(nd)
 		if err == nil {
@@ -288,7 +289,7 @@
 	}
 }
 
-// heartbeatDelay is how long this instance's row may stay unchanged.
+// heartbeatDelay returns how long this instance's row may stay unchanged.
 func (fl *Fleet) heartbeatDelay() time.Duration {
 	if fl.ownsNoCells() && !fl.controller.isLeader() && !fl.stopping.Load() {
 		return idleHeartbeatDelay(fl.members.count())
--- a/fleet/orderqueue.go
+++ b/fleet/orderqueue.go
@@ -45,18 +45,18 @@
 }
 
 // enqueue appends an order to the queue.
-func (oq *orderQueue) enqueue(ctx context.Context, od cell.Order, done func(cell.OrderResult)) {
+func (oq *orderQueue) enqueue(ctx context.Context, od cell.Order, report func(cell.OrderResult)) {
 	oq.mu.Lock()
 	defer oq.mu.Unlock()
-	oq.queue = append(oq.queue, queuedOrder{od, oq.now(), done})
+	oq.queue = append(oq.queue, queuedOrder{od, oq.now(), report})
 	if oq.inFlight == 0 {
 		oq.inFlight++
 		go oq.run(ctx)
 	}
 }
 
-// sendNext sends the next order without waiting for the slow ones in flight.
-func (oq *orderQueue) sendNext(ctx context.Context) {
+// startSender starts another sender if orders are waiting, so that a slow order does not block the queue.
+func (oq *orderQueue) startSender(ctx context.Context) {
 	oq.mu.Lock()
 	defer oq.mu.Unlock()
 	if len(oq.queue) > 0 && oq.inFlight < maxOrdersInFlight {
@@ -101,9 +101,9 @@
 			qo.report(cell.OrderResult{Order: qo.order, Outcome: cell.NotSent, Sent: now, Received: now})
 			continue
 		}
-		slow := time.AfterFunc(slowOrderDelay, func() { oq.sendNext(ctx) })
+		timer := time.AfterFunc(slowOrderDelay, func() { oq.startSender(ctx) })
 		result := oq.workers.Order(ctx, qo.order)
-		slow.Stop()
+		timer.Stop()
 		oq.recordOutcome(result.Outcome)
 		qo.report(result)
 	}
--- a/fleet/owner.go
+++ b/fleet/owner.go
@@ -93,7 +93,7 @@
 	ow.mu.Lock()
 	ow.takenOver = true
 	ow.core.TakeOver(claimedAt, sentAt, previous.Workers, previous.Released)
-	ow.core.NoteUnseenLosses(previous.Exposed)
+	ow.core.NoteUnseenLosses(previous.UnseenLossEpoch)
 	if cf := fl.config.Load(); cf != nil {
 		ow.core.Configure(cf.Queues)
 		ow.core.SetOrganisations(cf)
@@ -380,9 +380,9 @@
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	if !ow.takenOver {
-		return ownerRow{Workers: ow.claimRow.Workers, Exposed: ow.claimRow.Exposed}
+		return ownerRow{Workers: ow.claimRow.Workers, UnseenLossEpoch: ow.claimRow.UnseenLossEpoch}
 	}
-	return ownerRow{Workers: ow.core.Release(ow.fl.opts.Now()), Exposed: ow.core.UnseenLossEpoch(), Released: true}
+	return ownerRow{Workers: ow.core.Release(ow.fl.opts.Now()), UnseenLossEpoch: ow.core.UnseenLossEpoch(), Released: true}
 }
 
 // mayMove reports whether the cell may be given to another instance: it has been here for a while, nothing of earlier owners is open, and no job
--- a/fleet/ownership.go
+++ b/fleet/ownership.go
@@ -200,7 +200,7 @@
 }
 
 func (fl *Fleet) commitClaim(ctx context.Context, name string, old ownerRow) {
-	next := ownerRow{Holder: fl.opts.Name, Incarnation: fl.opts.Incarnation, Workers: fl.mergeWorkers(name, old.Workers), Exposed: old.Exposed, Ordered: old.Ordered}
+	next := ownerRow{Holder: fl.opts.Name, Incarnation: fl.opts.Incarnation, Workers: fl.mergeWorkers(name, old.Workers), UnseenLossEpoch: old.UnseenLossEpoch, Ordered: old.Ordered}
 	raw, err := json.Marshal(next)
 	if err != nil {
 		fl.opts.Log.Emit(event.ClaimFailed, zap.String("cell", name), zap.Error(err))
--- a/fleet/partition.go
+++ b/fleet/partition.go
@@ -103,5 +103,5 @@
 	return answered.Load()
 }
 
-// CutOff reports whether this instance can reach neither the store nor another hall.
+// CutOff reports whether this instance can reach neither the store nor another data hall.
 func (fl *Fleet) CutOff() bool { return fl.partition.cutOff.Load() }
--- a/fleet/poolsizes.go
+++ b/fleet/poolsizes.go
@@ -90,8 +90,8 @@
 	sv.fl.fullQueues.update(sv.fl.opts.Now(), rq.Full)
 	rp := &peer.LoadsResponse{}
 	limits := map[job.PoolID]int{}
-	for _, lm := range rq.Limits {
-		limits[job.PoolID(lm.Pool)] = int(lm.Machines)
+	for _, limit := range rq.Limits {
+		limits[job.PoolID(limit.Pool)] = int(limit.Machines)
 	}
 	for _, ow := range sv.fl.allOwners() {
 		ld, ok := ow.load(limits, rq.Firm)
@@ -160,7 +160,7 @@
 
 // sizePools moves machines between pools according to their loads.
 func (ct *machineController) sizePools(ctx context.Context) {
-	listed := time.Time{}
+	listedAt := time.Time{}
 	var full []*peer.FullQueue
 	notified := false
 	for ctx.Err() == nil {
@@ -170,8 +170,8 @@
 		if cf == nil || !ct.leaseValid(now) {
 			continue
 		}
-		if now.Sub(listed) >= machineListMaxAge {
-			listed = now
+		if now.Sub(listedAt) >= machineListMaxAge {
+			listedAt = now
 			ct.listMachines(ctx, now)
 		}
 		ct.mu.Lock()
@@ -187,18 +187,18 @@
 		}
 		ct.mu.Lock()
 		machines := maps.Clone(ct.waveRunner.Machines())
-		shifts := ct.sizer.Plan(now, cf.Pools, machines, loads, ct.waveRunner.Holds)
+		moves := ct.sizer.Plan(now, cf.Pools, machines, loads, ct.waveRunner.Holds)
 		ct.mu.Unlock()
-		ct.moveMachines(ctx, machines, shifts)
+		ct.moveMachines(ctx, machines, moves)
 	}
 }
 
 // moveMachines reserves the workers of the planned moves, and moves the machines whose workers were granted.
-func (ct *machineController) moveMachines(ctx context.Context, machines map[cell.MachineID]machine.Machine, shifts []machine.Shift) {
+func (ct *machineController) moveMachines(ctx context.Context, machines map[cell.MachineID]machine.Machine, moves []machine.Shift) {
 	wanted := map[job.PoolID][]cell.WorkerName{}
-	for _, sh := range shifts {
-		if sh.Worker != "" {
-			wanted[sh.From] = append(wanted[sh.From], sh.Worker)
+	for _, mv := range moves {
+		if mv.Worker != "" {
+			wanted[mv.From] = append(wanted[mv.From], mv.Worker)
 		}
 	}
 	granted := map[cell.WorkerName]bool{"": true}
@@ -208,31 +208,31 @@
 		}
 	}
 	var moved []cell.MachineID
-	for _, sh := range shifts {
-		if granted[sh.Worker] {
-			moved = append(moved, sh.Machine)
+	for _, mv := range moves {
+		if granted[mv.Worker] {
+			moved = append(moved, mv.Machine)
 		}
 	}
 	ct.announce(ctx, moved)
-	for _, sh := range shifts {
-		if !granted[sh.Worker] {
+	for _, mv := range moves {
+		if !granted[mv.Worker] {
 			ct.mu.Lock()
-			ct.sizer.Forget(sh.Machine)
+			ct.sizer.Forget(mv.Machine)
 			ct.mu.Unlock()
 			continue
 		}
-		ct.spawn(func() { ct.moveMachine(ctx, machines[sh.Machine], sh) })
+		ct.spawn(func() { ct.moveMachine(ctx, machines[mv.Machine], mv) })
 	}
 }
 
-func (ct *machineController) moveMachine(ctx context.Context, mc machine.Machine, sh machine.Shift) {
-	oc := ct.sendOrder(ctx, sh.Machine, func(ctx context.Context) machine.Outcome {
-		return ct.fl.opts.Machines.Move(ctx, sh.Machine, sh.To, ct.fl.opts.Name, ct.token)
+func (ct *machineController) moveMachine(ctx context.Context, mc machine.Machine, mv machine.Shift) {
+	oc := ct.sendOrder(ctx, mv.Machine, func(ctx context.Context) machine.Outcome {
+		return ct.fl.opts.Machines.Move(ctx, mv.Machine, mv.To, ct.fl.opts.Name, ct.token)
 	})
-	ct.fl.opts.Log.Emit(event.MachineMoved, zap.String("machine", string(sh.Machine)), zap.String("worker", string(sh.Worker)), zap.String("from", string(sh.From)), zap.String("to", string(sh.To)), zap.Int("outcome", int(oc)), zap.Int64("token", int64(ct.token)))
+	ct.fl.opts.Log.Emit(event.MachineMoved, zap.String("machine", string(mv.Machine)), zap.String("worker", string(mv.Worker)), zap.String("from", string(mv.From)), zap.String("to", string(mv.To)), zap.Int("outcome", int(oc)), zap.Int64("token", int64(ct.token)))
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
-	ct.sizer.Moved(mc, sh, oc)
+	ct.sizer.Moved(mc, mv, oc)
 	if oc == machine.Overtaken {
 		ct.waveRunner.Overtaken()
 	}
--- a/fleet/relay.go
+++ b/fleet/relay.go
@@ -11,7 +11,7 @@
 
 // Timeouts and bounds of carrying out orders for other entry instances.
 const (
-	// senderRetention is how long the results of a sender that does not poll are kept.
+	// senderRetention is how long the results of a sender that no longer calls are kept.
 	senderRetention = 10 * time.Second
 	// maxPendingResults bounds the results that wait for one sender. Further results are dropped, which the sender treats like
 	// lost answers.
@@ -37,7 +37,7 @@
 	mu       sync.Mutex // guards the fields below
 	results  []pendingResult
 	signal   chan struct{}
-	lastPoll time.Time
+	lastSeen time.Time
 }
 
 // pendingResult is a result that its sender has not fetched yet.
@@ -64,7 +64,7 @@
 	return rp, nil
 }
 
-// sender returns the state of a sender, and removes senders that no longer poll.
+// sender returns the state of a sender, and removes senders that no longer call.
 func (rl *relay) sender(name string) *sender {
 	rl.mu.Lock()
 	defer rl.mu.Unlock()
@@ -78,17 +78,17 @@
 		rl.senders[name] = sd
 	}
 	sd.mu.Lock()
-	sd.lastPoll = now
+	sd.lastSeen = now
 	sd.mu.Unlock()
 	return sd
 }
 
-// removeIdle removes senders that no longer poll and queues that are idle. The caller holds the lock.
+// removeIdle removes senders that no longer call and queues that are idle. The caller holds the lock.
 func (rl *relay) removeIdle(now time.Time) {
 	rl.lastSweep = now
 	for name, sd := range rl.senders {
 		sd.mu.Lock()
-		if now.Sub(sd.lastPoll) > senderRetention {
+		if now.Sub(sd.lastSeen) > senderRetention {
 			delete(rl.senders, name)
 		}
 		sd.mu.Unlock()
--- a/fleet/relays.go
+++ b/fleet/relays.go
@@ -209,7 +209,7 @@
 	callPause time.Duration
 }
 
-// pendingOrder is an order that a peer has accepted and not yet returned a result for.
+// pendingOrder is an order that was given to a peer and has no result yet.
 type pendingOrder struct {
 	order  cell.Order
 	sentAt time.Time
--- a/fleet/storeclient.go
+++ b/fleet/storeclient.go
@@ -97,7 +97,7 @@
 	return min(commitTimeoutMax, sc.baseTimeout())
 }
 
-// baseTimeout is the time within which most answered transactions complete. The caller holds the lock.
+// baseTimeout returns the time within which most answered transactions complete. The caller holds the lock.
 func (sc *storeClient) baseTimeout() time.Duration {
 	return max(commitTimeoutMin, commitTimeoutFactor*sc.latency)
 }
--- a/fleet/tablewatch.go
+++ b/fleet/tablewatch.go
@@ -49,7 +49,7 @@
 	interval func() time.Duration
 	wait     time.Duration
 	// onChange receives the rows that are new to this watch, and when the store was asked for them.
-	onChange func(rows []Row, asked time.Time)
+	onChange func(rows []Row, sentAt time.Time)
 	mu       sync.Mutex // guards rows
 	rows     map[Place]Row
 	version  int64
@@ -120,7 +120,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		wt.logHealth(err)
+		wt.updateHealth(err)
 		wt.pause(ctx, pause)
 		if err == nil && wt.waitWhileIdle(ctx) {
 			reload = true
@@ -166,7 +166,7 @@
 	}
 }
 
-func (wt *tableWatch) logHealth(err error) {
+func (wt *tableWatch) updateHealth(err error) {
 	if err == nil || errors.Is(err, ErrHistoryTruncated) {
 		if wt.failing {
 			wt.fl.opts.Log.Emit(event.StoreReached, zap.String("table", wt.table))
--- a/fleet/traffic.go
+++ b/fleet/traffic.go
@@ -22,7 +22,7 @@
 // Traffic counts the bytes that an instance's connections transfer, by the kind of call. It implements tcp.Meter.
 type Traffic struct {
 	registry metrics.Registry
-	kinds    sync.Map // of string to *moved
+	kinds    sync.Map // of string to *trafficCount
 }
 
 // trafficCount is the traffic of one kind of call.
--- a/fleet/writes.go
+++ b/fleet/writes.go
@@ -142,7 +142,7 @@
 	if en == nil {
 		return nil
 	}
-	raw, err := json.Marshal(ownerRow{Holder: ow.fl.opts.Name, Incarnation: ow.fl.opts.Incarnation, Epoch: ow.epoch, Workers: en.Workers, Exposed: en.UnseenLossEpoch})
+	raw, err := json.Marshal(ownerRow{Holder: ow.fl.opts.Name, Incarnation: ow.fl.opts.Incarnation, Epoch: ow.epoch, Workers: en.Workers, UnseenLossEpoch: en.UnseenLossEpoch})
 	if err != nil {
 		return err
 	}
