--- a/fleet/accounts.go
+++ b/fleet/accounts.go
@@ -12,22 +12,22 @@
 	"go.uber.org/zap"
 )
 
-// Times of the accounts of organisations, and where they lie.
+// Intervals and the part of the accounts of organisations.
 const (
-	// accountGap is the pause between two feed calls. What one cell gives back another waits for.
+	// accountFeedInterval is the delay between two feed calls. It is short because one cell waits for what another gives back.
 	accountFeedInterval = 30 * time.Millisecond
-	// accountEvery is how often an owner looks whether it needs more of a maximum, or less.
+	// accountInterval is how often an owner checks whether it needs a larger or smaller part of a maximum.
 	accountInterval = 50 * time.Millisecond
-	// accountIdle is how often an owner looks whether any organisation has a maximum.
+	// accountIdleInterval is how often an owner checks whether any organisation has a maximum.
 	accountIdleInterval = 500 * time.Millisecond
-	// accountPart is the part of all accounts, so that one transaction can change several.
+	// accountPart holds all accounts, so that one transaction can change several.
 	accountPart = "accounts"
 )
 
-// needsNoAccounts reports whether this instance has no use for the accounts: it owns no cell, or no organisation has a maximum.
+// accountsUnused reports whether this instance needs no accounts because it owns no cell or no organisation has a maximum.
 func (fl *Fleet) accountsUnused() bool { return fl.ownsNoCells() || !fl.anyMaximum() }
 
-// boundsAny reports whether an organisation has a maximum.
+// anyMaximum reports whether any organisation has a maximum.
 func (fl *Fleet) anyMaximum() bool {
 	cf := fl.config.Load()
 	if cf == nil {
@@ -41,7 +41,7 @@
 	return false
 }
 
-// accountsChanged hands changed accounts to the cells owned here.
+// accountsChanged passes changed accounts to the cells that this instance owns.
 func (fl *Fleet) accountsChanged(rows []Row, _ time.Time) {
 	for _, rw := range rows {
 		if ar, ok := fl.parseAccount(rw); ok {
@@ -52,7 +52,8 @@
 	}
 }
 
-// knownAccounts are the accounts as they are known here, for a new owner; what it lacks it meets when it writes its own part.
+// knownAccounts returns the accounts known to this instance, for a new owner. A conflict returns the newer ones when the owner
+// writes its own part.
 func (fl *Fleet) knownAccounts() []cell.AccountRow {
 	fl.accounts.mu.Lock()
 	defer fl.accounts.mu.Unlock()
@@ -65,7 +66,7 @@
 	return list
 }
 
-// accountOf reads a row. One that cannot be read changes nothing: the parts that are known hold.
+// parseAccount decodes an account. A row that cannot be decoded is ignored, so that the known parts stay in effect.
 func (fl *Fleet) parseAccount(rw Row) (cell.AccountRow, bool) {
 	ar := cell.AccountRow{Organisation: job.OrganisationID(rw.Key), Version: rw.Version}
 	if rw.Deleted || rw.Version == 0 {
@@ -78,7 +79,7 @@
 	return ar, true
 }
 
-// account writes what this owner needs of organisations' maxima, or gives back, until the context ends.
+// runAccounts writes the parts of organisations' maxima that this owner needs or gives back, until the context ends.
 func (ow *owner) runAccounts(ctx context.Context) {
 	for ctx.Err() == nil && !ow.lost.Load() {
 		if !ow.fl.anyMaximum() {
@@ -93,7 +94,7 @@
 	}
 }
 
-// accountsDue are the rows that are to be written now.
+// dueAccounts returns the accounts that have to be written now.
 func (ow *owner) dueAccounts() []cell.AccountRow {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -103,7 +104,7 @@
 	return ow.core.AccountWrites(ow.fl.opts.Now())
 }
 
-// writeAccounts writes rows on the condition of their versions, and reports whether the store said how that ended.
+// writeAccounts writes accounts on the condition of their versions, and reports whether the outcome is known.
 func (ow *owner) writeAccounts(ctx context.Context, rows []cell.AccountRow) bool {
 	tx, err := accountTx(rows)
 	if err != nil {
@@ -120,7 +121,7 @@
 		ow.mu.Lock()
 		ow.core.AccountsWritten(rows, version)
 		ow.mu.Unlock()
-		// What waited for it can start.
+		// Tasks that waited for the larger part can start.
 		ow.wake()
 		return true
 	case errors.As(err, &cf):
@@ -131,7 +132,7 @@
 	return false
 }
 
-// accountTx writes accounts, each on the condition of its version.
+// accountTx returns a transaction that writes accounts, each on the condition of its version.
 func accountTx(rows []cell.AccountRow) (Tx, error) {
 	var tx Tx
 	for _, ar := range rows {
--- a/fleet/archive.go
+++ b/fleet/archive.go
@@ -13,7 +13,7 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// commit tries a transaction until it is done, or another owner is met.
+// commit retries a transaction until it succeeds, another owner has replaced this one, or the context ends.
 func (ow *owner) commit(ctx context.Context, tx Tx) (int64, bool) {
 	for ctx.Err() == nil && !ow.lost.Load() {
 		callCtx, cancel := context.WithTimeout(ctx, ow.fl.store.commitTimeout())
@@ -29,11 +29,11 @@
 			if version := earlierCommitVersion(tx, cf); version != 0 {
 				return version, true
 			}
-			ow.loseOwnership("a condition of the store does not hold")
+			ow.loseOwnership("a write conflicted with a newer version in the store")
 			return 0, false
 		}
 		if errors.Is(err, ErrNoAnswer) {
-			// It was waited for long enough; the next try finds what this one has done.
+			// The timeout was long enough; the conditions of the next attempt show whether this one was carried out.
 			continue
 		}
 		sleep(ctx, writeRetryDelay)
@@ -41,7 +41,8 @@
 	return 0, false
 }
 
-// doneBefore returns the version of an earlier try of the same transaction, if that is why its conditions do not hold.
+// earlierCommitVersion returns the version that an earlier attempt of the same transaction wrote, if that attempt is why the
+// conditions do not hold, and 0 otherwise.
 func earlierCommitVersion(tx Tx, cf *Conflict) int64 {
 	found := map[Place]Row{}
 	for _, rw := range cf.Rows {
@@ -58,7 +59,8 @@
 	return version
 }
 
-// archive takes the rows of ended jobs out of the table of open jobs. Nothing waits for it, so it rests while the store is slow.
+// runArchive removes the rows of ended jobs from the table of open jobs until the context ends. Nothing waits for it, so it
+// pauses while the store is slow.
 func (ow *owner) runArchive(ctx context.Context) {
 	pause := archiveInterval
 	for ctx.Err() == nil {
@@ -72,7 +74,7 @@
 	}
 }
 
-// archivePause is when the next round follows one that took so many jobs out of the table of open ones.
+// archiveDelay returns the delay before the next round, given how many jobs the last round archived.
 func archiveDelay(archived int) time.Duration {
 	if archived < archiveBatchSize {
 		return archiveInterval
@@ -80,7 +82,8 @@
 	return archiveBacklogInterval
 }
 
-// sweep removes what is kept of jobs whose retention is over: first that they exist, then how they ended.
+// deleteExpired deletes the rows of jobs past their retention period: first the row that says that the job exists, then its
+// progress.
 func (ow *owner) deleteExpired(ctx context.Context) {
 	ids := ow.expiredJobs()
 	if len(ids) == 0 {
@@ -88,7 +91,7 @@
 	}
 	ids = ow.removeRows(ctx, ids, func(id job.ID) []Place { return []Place{{tableHome, partName(homePart(id)), string(id)}} })
 	ids = ow.removeRows(ctx, ids, func(id job.ID) []Place { return []Place{{tableProgress, ow.name, string(id)}} })
-	// What is left is removed in a later round.
+	// Rows that could not be deleted are deleted in a later round.
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	ow.core.Forget(ids)
@@ -97,8 +100,8 @@
 	}
 }
 
-// remove removes the rows of jobs and returns those for which that was done. A store that takes no transaction over several parts gets one
-// for each of the parts with the most rows.
+// removeRows deletes rows of jobs and returns the jobs for which that succeeded. If the store does not support transactions
+// over several parts, it uses one transaction each for the parts with the most rows.
 func (ow *owner) removeRows(ctx context.Context, ids []job.ID, rows func(job.ID) []Place) []job.ID {
 	groups := [][]job.ID{ids}
 	if ow.fl.opts.SinglePartTx {
@@ -117,7 +120,7 @@
 	return done
 }
 
-// byPart groups jobs by the part of their rows, the largest groups alone.
+// groupByPart groups jobs by the part of their rows and returns the largest groups.
 func groupByPart(ids []job.ID, rows func(job.ID) []Place) [][]job.ID {
 	byPart := map[string][]job.ID{}
 	for _, id := range ids {
@@ -130,7 +133,7 @@
 	return groups[:min(len(groups), archivePartsPerRound)]
 }
 
-// expired lists jobs whose retention is over: those in memory, and those that ended under earlier owners.
+// expiredJobs lists jobs past their retention period: jobs in memory, and jobs that ended under earlier owners.
 func (ow *owner) expiredJobs() []job.ID {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -148,7 +151,7 @@
 	return ids
 }
 
-// try makes one try at a write that can be made again.
+// commitOnce makes one attempt at an idempotent write.
 func (ow *owner) commitOnce(ctx context.Context, tx Tx) bool {
 	callCtx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
@@ -156,7 +159,7 @@
 	return err == nil
 }
 
-// archiveEnded makes one round of archive.
+// archiveEnded runs one round of archiving and returns the number of jobs in it.
 func (ow *owner) archiveEnded(ctx context.Context) int {
 	ow.mu.Lock()
 	ids := ow.core.Archivable(archiveBatchSize)
@@ -164,7 +167,7 @@
 	if len(ids) == 0 {
 		return 0
 	}
-	// Those that fail are removed in a later round; until then they only lengthen a takeover.
+	// Rows that could not be removed are removed in a later round. Until then they only make a takeover slower.
 	ids = ow.removeRows(ctx, ids, func(id job.ID) []Place {
 		part := partName(homePart(id))
 		return []Place{{jobTable(ow.name), part, string(id)}, {jobTable(ow.name), part, string(id) + cancelSuffix}, {tablePayload, part, string(id)}}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,4 +1,5 @@
-// Package fleet runs cells of jobs on an entry instance: it keeps jobs in the platform's store, shares cells among the entry instances, and carries out what their cores decide.
+// Package fleet runs cells of jobs on an entry instance. It stores jobs in the platform's store, divides the cells among the
+// entry instances, and carries out the orders of the cells' cores.
 package fleet
 
 import (
@@ -20,45 +21,49 @@
 	"go.uber.org/zap"
 )
 
-// The tables of the store that are the fleet's own.
+// Tables of the store that belong to the fleet.
 const (
-	// tableControl holds the owners of cells, the entry instances and the machines that are wanted. All entry instances follow it.
+	// tableControl holds the owners of cells, the entry instances, the machines to be drained and the paused queues. All entry
+	// instances follow it.
 	tableControl = "control"
-	// tableHome holds a row for each job that was ever accepted, with its cell, until its retention is over.
+	// tableHome holds a row with the cell of each accepted job until the job's retention period is over.
 	tableHome = "home"
-	// tableProgress holds what is kept of the course of jobs, in a part for each cell.
+	// tableProgress holds the progress of jobs, in one part for each cell.
 	tableProgress = "progress"
-	// tablePayload holds what the tasks of open jobs are given, apart from the jobs, since those are read by owners that seldom need it.
+	// tablePayload holds the payloads of open jobs. They are separate from the jobs because owners read the jobs but seldom
+	// need the payloads.
 	tablePayload = "payload"
-	// tableAccount holds a row for each organisation with a maximum: what each cell has of it. Owners follow it.
+	// tableAccount holds a row for each organisation with a maximum, with the part of the maximum that each cell holds. Owners
+	// follow it.
 	tableAccount = "account"
-	// tableJob begins the names of the tables of open jobs; each cell has one, which several may share.
+	// tableJob is the prefix of the tables of open jobs. Each cell uses one table, and several cells may share it.
 	tableJob = "job"
 )
 
-// Shares of the store.
+// Partitioning of the store.
 const (
-	// homeParts spreads jobs over parts, since each part takes its transactions in turn: some 300 a second, and fewer by as much as a store
-	// is slow. Jobs of all instances share the parts, so that a second try finds the first wherever it comes; with this many a store that is
-	// sixty times slower still takes 320 jobs a second.
+	// homePartCount is the number of parts that jobs are spread over. A part serializes its transactions: a fast store commits
+	// about 300 a second in one part, and a slow one proportionally fewer. All instances use the same parts, so that a repeated
+	// submission finds the first one wherever it arrives. With this many parts a store that is sixty times slower still accepts
+	// 320 jobs a second.
 	homePartCount = 64
-	// jobTables bounds the number of tables however many cells there are.
+	// jobTableCount bounds the number of tables of open jobs, whatever the number of cells.
 	jobTableCount = 16
 )
 
-// Options are what a fleet node is built with.
+// Options configure a fleet node.
 type Options struct {
-	// Name is the entry instance's.
+	// Name is the name of the entry instance.
 	Name string
 	Hall string
-	// Address is where other entry instances reach it, IP and port.
+	// Address is the IP and port under which other entry instances reach this one.
 	Address     string
 	Incarnation string
-	// Power is the instance's share of a core.
+	// Power is the instance's share of a CPU core.
 	Power float64
 	Seeds []string
 	Store Store
-	// OnePart means that the store takes no transaction over rows of several parts.
+	// SinglePartTx means that the store does not support transactions over several parts.
 	SinglePartTx bool
 	Workers      Workers
 	Adviser      Adviser
@@ -68,24 +73,24 @@
 	Sizes        machine.SizeOptions
 	Log          *event.Logger
 	Registry     metrics.Registry
-	// Bytes counts what the instance's connections move; nil if nothing does.
+	// Bytes counts the bytes that the instance's connections transfer, nil if they are not counted.
 	Bytes *Traffic
 	Now   func() time.Time
-	// Day is the time of day, in which jobs have due times.
+	// WallClock returns the time of day, which the due times of jobs refer to.
 	WallClock func() time.Time
 }
 
-// Fleet is one entry instance's part in running the jobs.
+// Fleet is the part of one entry instance in running the jobs.
 type Fleet struct {
 	opts   Options
 	store  *storeClient
 	peers  *peers
 	config atomic.Pointer[job.Configuration]
-	// control, operator and registry follow the tables of the same matter.
+	// control, operator and registry follow the tables of these names.
 	control  *tableWatch
 	operator *tableWatch
 	registry *tableWatch
-	// accounts follows what cells hold of organisations' maxima.
+	// accounts follows the parts of organisations' maxima that cells hold.
 	accounts    *tableWatch
 	members     *members
 	mu          sync.Mutex // guards owners and claiming
@@ -98,18 +103,18 @@
 	payloads    *payloadCache
 	fullQueues  fullQueueSet
 	stopping    atomic.Bool
-	// apart is set while all instances that live read payloads apart from jobs.
+	// separatePayloads is set while all live instances can read payloads that are stored separately from jobs.
 	separatePayloads atomic.Bool
 	controller       *machineController
 	partition        *partitionDetector
 	relay            *relay
-	// readers read the parts of tables.
+	// readers is the pool of goroutines that read the parts of tables.
 	readers pond.Pool
-	// paused holds the queues that an operator has paused.
+	// paused holds the queues that an operator has paused. The map is replaced, never changed.
 	paused atomic.Pointer[map[job.QueueID]bool]
-	// errands numbers the orders that peers are given.
+	// relayIDs numbers the orders that are relayed to peers.
 	relayIDs atomic.Uint64
-	// background ends when the process does.
+	// background is the context of Run, for work that outlives a call.
 	background context.Context
 	metrics    fleetMetrics
 }
@@ -159,7 +164,7 @@
 	return fl
 }
 
-// Run works until the context ends.
+// Run runs the node until the context ends.
 func (fl *Fleet) Run(ctx context.Context) {
 	fl.background = ctx
 	var wg sync.WaitGroup
@@ -176,22 +181,23 @@
 	wg.Wait()
 }
 
-// HandOver leaves all cells without an owner, so that others take them at once. The instance goes on accepting and answering.
+// HandOver releases all cells, so that other instances claim them at once. The instance continues to accept jobs and to answer
+// calls.
 func (fl *Fleet) HandOver(ctx context.Context) {
 	fl.stopping.Store(true)
 	fl.releaseAll(ctx)
 }
 
-// Ready reports whether the instance can serve: it has a configuration, knows the owners of cells, and is not cut off from the store and
-// the other halls, where its callers are served better.
+// Ready reports whether the instance can serve: it has a configuration, knows the owners of cells, and is not cut off from the
+// store and the other data halls. Callers of an instance that is cut off are better served by another data hall.
 func (fl *Fleet) Ready() bool {
 	return !fl.stopping.Load() && !fl.CutOff() && fl.config.Load() != nil && fl.control.loaded()
 }
 
-// Configuration returns the configuration in force, nil before the first.
+// Configuration returns the current configuration, nil before the first one was read.
 func (fl *Fleet) Configuration() *job.Configuration { return fl.config.Load() }
 
-// operatorChanged takes changes of the operator's rows.
+// operatorChanged applies changes of the operator table.
 func (fl *Fleet) operatorChanged(rows []Row, _ time.Time) {
 	for _, rw := range rows {
 		fl.applyOperatorRow(rw)
@@ -218,7 +224,7 @@
 	}
 }
 
-// takeConfiguration puts a configuration in force unless a newer one is.
+// applyConfiguration replaces the configuration unless the current one is newer.
 func (fl *Fleet) applyConfiguration(cf *job.Configuration) {
 	for {
 		old := fl.config.Load()
@@ -253,7 +259,7 @@
 	return fl.owners[name]
 }
 
-// cellName is the cell of a pool. Large pools are to have several; their jobs are then spread by id.
+// cellName returns the cell of a pool. If large pools are ever divided into several cells, their jobs will be spread by id.
 func cellName(pool job.PoolID) string { return string(pool) }
 
 func hash(text string) uint32 {
@@ -263,15 +269,15 @@
 	return sum.Sum32()
 }
 
-// homePart is the part in which a job's rows lie: the same for every try at every entry instance.
+// homePart returns the part of a job's rows. It is the same for every attempt at every entry instance.
 func homePart(id job.ID) int { return int(hash(string(id)) % homePartCount) }
 
 func partName(part int) string { return "p" + strconv.Itoa(part) }
 
-// jobTable is the table of a cell's open jobs.
+// jobTable returns the table of a cell's open jobs.
 func jobTable(name string) string {
 	return tableJob + string(rune('a'+hash(name)%jobTableCount))
 }
 
-// cancelSuffix marks the key of a cancellation beside its job's.
+// cancelSuffix is appended to a job's key to form the key of its cancellation.
 const cancelSuffix = "/c"
--- a/fleet/fullqueues.go
+++ b/fleet/fullqueues.go
@@ -9,24 +9,26 @@
 	"github.com/aspenseam/aspenseam/peer"
 )
 
-// fullFor is how long word that a queue's jobs cannot be served counts. It comes with the question for loads, four times a second.
+// fullQueueTTL is how long a report of full queues is valid. Reports arrive with the requests for loads, four times a second.
 const fullQueueTTL = time.Second
 
-// comeBackMost bounds the time after which callers are told to come back: what is ahead shrinks as machines become free elsewhere.
+// maxRetryAfter bounds the time after which callers should retry. It is short because the backlog shrinks as other pools
+// release machines.
 const maxRetryAfter = 10 * time.Second
 
-// full holds the queues whose jobs cannot be served at this time, as the holder of the machines' duty gathers them from owners and tells all.
+// fullQueueSet holds the queues whose jobs cannot be run in time at present. The leader of the machine controller collects them
+// from the owners of cells and reports them to all instances.
 type fullQueueSet struct {
 	latest atomic.Pointer[fullQueueReport]
 }
 
-// fullWord is what was told at one time. It is replaced, never changed.
+// fullQueueReport is the report received at one time. It is replaced, never changed.
 type fullQueueReport struct {
 	at     time.Time
 	queues map[job.QueueID]time.Duration
 }
 
-// take notes what was told.
+// update replaces the current report.
 func (fs *fullQueueSet) update(now time.Time, list []*peer.FullQueue) {
 	queues := map[job.QueueID]time.Duration{}
 	for _, fq := range list {
@@ -35,7 +37,7 @@
 	fs.latest.Store(&fullQueueReport{now, queues})
 }
 
-// comeBack is when callers of a queue are to come back whose jobs cannot be served now, 0 if they can.
+// retryAfter returns the time after which callers of a full queue should retry, 0 if the queue is not full.
 func (fs *fullQueueSet) retryAfter(now time.Time, id job.QueueID) time.Duration {
 	report := fs.latest.Load()
 	if report == nil || now.Sub(report.at) > fullQueueTTL {
@@ -47,7 +49,7 @@
 	return 0
 }
 
-// fullQueues are those that owners told with their loads.
+// collectFullQueues returns the full queues that owners reported with their loads.
 func collectFullQueues(loads map[job.PoolID]cell.Load) []*peer.FullQueue {
 	var list []*peer.FullQueue
 	for _, ld := range loads {
--- a/fleet/intake.go
+++ b/fleet/intake.go
@@ -13,87 +13,88 @@
 	"go.uber.org/zap"
 )
 
-// Times and sizes of accepting jobs.
+// Timeouts and limits of accepting jobs.
 const (
-	// intakeGroup is how many jobs one transaction accepts: three rows and a condition each stay below a transaction's 100 entries.
+	// intakeBatchSize is how many jobs one transaction accepts. At three rows and a condition each they stay below the limit of
+	// 100 entries per transaction.
 	intakeBatchSize = 24
-	// intakeTimeout bounds one read.
+	// intakeReadTimeout bounds one attempt at reading a row.
 	intakeReadTimeout = 900 * time.Millisecond
-	// intakeRetry is the pause before a try whose end is not known is repeated.
+	// intakeRetryDelay is the delay before an attempt that the store refused or did not answer is repeated.
 	intakeRetryDelay = 60 * time.Millisecond
-	// refuseAfter is how long a job that the store refuses is tried before its caller is told to come back.
+	// intakeRefuseTimeout is how long a job that the store refuses is retried before the caller gets Refused.
 	intakeRefuseTimeout = 250 * time.Millisecond
-	// comeBack is when a caller whose job was refused is to come back.
+	// defaultRetryAfter is the time after which the caller of a refused job should retry.
 	defaultRetryAfter = time.Second
-	// pendingAge is how old a count of waiting jobs may be when it is told.
+	// pendingCacheTTL is how long a cached count of waiting jobs is returned without asking the owner.
 	pendingCacheTTL = 700 * time.Millisecond
-	// pendingStale is how old it may be while the owner does not answer.
+	// pendingMaxStale is how long a cached count is returned while the owner does not answer.
 	pendingMaxStale = 1900 * time.Millisecond
-	// homesKept is how many jobs' cells are remembered.
+	// homeCacheSize is the number of jobs whose home rows are cached.
 	homeCacheSize = 8192
 )
 
-// Verdict is what becomes of a job that is handed in.
+// SubmitResult is the result of submitting a job.
 type SubmitResult int
 
-// The verdicts.
+// Results of Submit.
 const (
-	// Unknown means that the job may have been accepted.
+	// Unknown means that the outcome is not known: the job may have been accepted.
 	Unknown SubmitResult = iota
-	// Accepted means that the job is kept.
+	// Accepted means that the job is stored.
 	Accepted
-	// Refused means that the job was not taken by this try and will not run because of it.
+	// Refused means that this attempt did not store the job and will not run it.
 	Refused
-	// Foreign means that the id is that of another organisation's job.
+	// Foreign means that a job of another organisation has the same id.
 	Foreign
 )
 
 // Errors of job calls.
 var (
-	// ErrNoJob says that there is no such job.
+	// ErrJobNotFound means that there is no such job.
 	ErrJobNotFound = errors.New("no such job")
-	// ErrNotNow says that the answer is not to be had at this time.
-	ErrUnavailable = errors.New("the answer is not to be had now")
+	// ErrUnavailable means that neither the owner nor the store could answer.
+	ErrUnavailable = errors.New("the job's cell and the store are temporarily unavailable")
 )
 
-// home is the row that says which cell a job belongs to, and which organisation.
+// homeRow is the row that records which cell and organisation a job belongs to.
 type homeRow struct {
 	Cell         string             `json:"cell"`
 	Queue        job.QueueID        `json:"queue"`
 	Organisation job.OrganisationID `json:"organisation,omitempty"`
 }
 
-// handed is a job that waits to be accepted.
+// submission is a job that waits to be accepted.
 type submission struct {
 	ctx    context.Context
 	spec   *job.Spec
 	raw    []byte
 	result chan SubmitResult
-	// unsure is set once a try had no answer: from then on only the store can say that it was not taken.
+	// inDoubt is set once an attempt was not answered. From then on only the store can tell whether the job was accepted.
 	inDoubt bool
 	started time.Time
-	// tries counts the transactions that it was in.
+	// attempts counts the transactions that included the job.
 	attempts atomic.Int32
-	// hold tells whether a transaction may take it.
+	// txState tells whether a transaction may store the job.
 	txState atomic.Int32
 }
 
-// What transactions have to do with a job that is handed in.
+// States of a submission with regard to transactions.
 const (
-	// holdNone means that none has taken it, nor will unless it is tried.
+	// txNone means that no transaction has stored the job, and none will unless a new attempt begins.
 	txNone = iota
-	// holdDoubt means that one is under way, or ended without an answer.
+	// txInDoubt means that a transaction is in flight or was not answered.
 	txInDoubt
-	// holdWithdrawn means that its caller was told that it was not taken, so none may hold it any more.
+	// txWithdrawn means that the caller was told that the job is refused, so no transaction may include it any more.
 	txWithdrawn
 )
 
-// home is the row that says where the job belongs.
+// homeRow returns the job's home row.
 func (sb *submission) homeRow() homeRow {
 	return homeRow{Cell: cellName(sb.spec.Pool), Queue: sb.spec.Queue, Organisation: sb.spec.Organisation}
 }
 
-// verdict is what a caller is told who hands the job in once more.
+// resubmitResult returns the result for a caller that submits a stored job again.
 func (hr homeRow) resubmitResult(caller job.OrganisationID) SubmitResult {
 	if !job.MayAccess(caller, hr.Organisation) {
 		return Foreign
@@ -101,12 +102,12 @@
 	return Accepted
 }
 
-// story is what the log tells of the way of a job until its verdict.
+// logFields returns the log fields that describe how the job was accepted or refused.
 func (sb *submission) logFields(now time.Time) []zap.Field {
 	return []zap.Field{zap.Duration("waited", now.Sub(sb.started)), zap.Int32("tries", sb.attempts.Load())}
 }
 
-// tried counts one more transaction, and reports whether the job may be in it.
+// beginAttempt counts a transaction and reports whether the job may be part of it.
 func (sb *submission) beginAttempt() bool {
 	if !sb.inDoubt && !sb.txState.CompareAndSwap(txNone, txInDoubt) {
 		return false
@@ -115,14 +116,15 @@
 	return true
 }
 
-// untaken notes that the transaction that held the job did nothing.
+// endAttempt records that the transaction with the job had no effect.
 func (sb *submission) endAttempt() {
 	if !sb.inDoubt {
 		sb.txState.Store(txNone)
 	}
 }
 
-// giveUp is the verdict of a caller whose time is over: refused only if no transaction has taken the job, and none will.
+// abandon returns the result for a caller whose time is over. It is Refused only if no transaction has stored the job and none
+// will.
 func (sb *submission) abandon() SubmitResult {
 	if sb.txState.CompareAndSwap(txNone, txWithdrawn) {
 		return Refused
@@ -130,7 +132,8 @@
 	return Unknown
 }
 
-// intake accepts the jobs of one part. The first goes at once; those that come while a transaction is on its way share the next.
+// intake accepts the jobs of one part. The first job is written at once. Jobs that arrive while a transaction is in flight
+// share the next one.
 type intake struct {
 	fl    *Fleet
 	part  string
@@ -141,20 +144,21 @@
 	return &intake{fl: fl, part: partName(part), queue: make(chan *submission, 1024)}
 }
 
-// Submit keeps a job, so that it runs once whatever fails. A second try of the same id is the same job.
+// Submit stores a job, so that it runs exactly once whatever fails. A repeated submission of the same id refers to the same
+// job. If the result is Refused, the caller should retry after the returned delay.
 func (fl *Fleet) Submit(ctx context.Context, sp *job.Spec) (SubmitResult, time.Duration) {
 	if hr, known := fl.homes.get(sp.ID); known {
 		return hr.resubmitResult(sp.Organisation), 0
 	}
 	if fl.CutOff() || !fl.store.Reachable() && !fl.control.isFresh(fl.opts.Now()) {
-		// Nothing was sent, so it has not run and will not.
+		// No transaction was sent, so the job has not run and will not run.
 		fl.metrics.refused.Inc(1)
 		fl.logJob(event.JobRefused, sp.ID, zap.String("why", "the store does not answer"))
 		return Refused, defaultRetryAfter
 	}
 	if delay := fl.fullQueues.retryAfter(fl.opts.Now(), sp.Queue); delay > 0 {
 		fl.metrics.refused.Inc(1)
-		fl.logJob(event.JobRefused, sp.ID, zap.String("why", "its pool cannot serve it in time"), zap.Duration("comeBack", delay))
+		fl.logJob(event.JobRefused, sp.ID, zap.String("why", "its pool does not have the capacity to run it in time"), zap.Duration("comeBack", delay))
 		return Refused, delay
 	}
 	if fl.pausedQueues()[sp.Queue] {
@@ -179,7 +183,7 @@
 	select {
 	case result = <-sb.result:
 	case <-ctx.Done():
-		// A try may be under way for longer than the caller waits.
+		// An attempt may stay in flight for longer than the caller waits.
 		result = sb.abandon()
 	}
 	now := fl.opts.Now()
@@ -190,7 +194,8 @@
 	return result, defaultRetryAfter
 }
 
-// kept is a job as its row has it: without its payload, which lies apart, once all instances know how to find it there.
+// specForRow returns the spec that the job's row holds. It lacks the payload, which has its own row, once all live instances
+// can read that layout.
 func (fl *Fleet) specForRow(sp *job.Spec) *job.Spec {
 	if sp.Payload == "" || !fl.separatePayloads.Load() {
 		return sp
@@ -201,13 +206,13 @@
 	return &light
 }
 
-// fresh reports whether the table was heard of lately.
+// fresh reports whether the last call for the table was answered within the feed's wait and margin.
 func (wt *tableWatch) isFresh(now time.Time) bool {
 	_, until := wt.healthyPeriod()
 	return now.Sub(until) < wt.wait+feedTimeoutMargin
 }
 
-// run accepts jobs until the context ends. Jobs whose try had no answer are tried again together with those that came meanwhile.
+// run accepts jobs until the context ends. Jobs whose attempt was not answered are retried together with newer ones.
 func (in *intake) run(ctx context.Context) {
 	var waiting []*submission
 	for ctx.Err() == nil {
@@ -226,7 +231,7 @@
 	}
 }
 
-// round tries the first jobs that wait and returns those that are still to be tried.
+// processBatch tries to accept the first waiting jobs and returns those that have to be tried again.
 func (in *intake) processBatch(ctx context.Context, waiting []*submission) []*submission {
 	waiting = in.answerExpired(waiting)
 	if len(waiting) == 0 {
@@ -268,13 +273,14 @@
 	}
 }
 
-// expire answers the callers whose time is over, and all of them once this instance is cut off.
+// answerExpired answers the callers whose time is over, or all callers once this instance is cut off, and returns the remaining
+// jobs.
 func (in *intake) answerExpired(waiting []*submission) []*submission {
 	var remaining []*submission
 	for _, sb := range waiting {
 		switch {
 		case in.fl.CutOff() && sb.inDoubt:
-			// Another hall can find out what became of it.
+			// The caller can find out the outcome through another data hall.
 			sb.result <- Unknown
 		case in.fl.CutOff():
 			sb.result <- Refused
@@ -289,7 +295,8 @@
 	return remaining
 }
 
-// refuse answers at once what the store has refused for a while and cannot have taken, and returns the others.
+// refuse answers Refused for jobs that the store has refused for intakeRefuseTimeout and cannot have accepted, and returns the
+// remaining jobs.
 func (in *intake) refuse(waiting []*submission) []*submission {
 	var remaining []*submission
 	for _, sb := range waiting {
@@ -298,13 +305,13 @@
 			continue
 		}
 		in.fl.metrics.refused.Inc(1)
-		in.fl.logJob(event.JobRefused, sb.spec.ID, append(sb.logFields(in.fl.opts.Now()), zap.String("why", "the store does not take it"))...)
+		in.fl.logJob(event.JobRefused, sb.spec.ID, append(sb.logFields(in.fl.opts.Now()), zap.String("why", "the store refuses the transaction"))...)
 		sb.result <- Refused
 	}
 	return remaining
 }
 
-// unique leaves out later tries of a job that waits already; their callers are told to ask again.
+// dedupe removes repeated submissions of a job that is already waiting. Their callers get Unknown and ask again.
 func dedupe(waiting []*submission) []*submission {
 	seen := map[job.ID]bool{}
 	var list []*submission
@@ -319,7 +326,7 @@
 	return list
 }
 
-// try writes the rows of some jobs on the condition that none is there.
+// commitGroup writes the rows of some jobs, on the condition that no job with the same id exists.
 func (in *intake) commitGroup(ctx context.Context, group []*submission) error {
 	var tx Tx
 	for _, sb := range group {
@@ -341,7 +348,7 @@
 	return err
 }
 
-// accepted tells callers, and then the owners of the cells.
+// answerAccepted answers the callers, and notifies the owners of the jobs' cells.
 func (in *intake) answerAccepted(group []*submission) {
 	byCell := map[string][][]byte{}
 	for _, sb := range group {
@@ -357,9 +364,9 @@
 	}
 }
 
-// known tells the callers of jobs that were accepted before, by an earlier try here or through another entry instance, and returns
-// the others. The job is as that try wrote it: this one may name another cell, and its epoch would make an owner that has just
-// taken over believe that no earlier one can have started it, so the owner is not told.
+// answerKnown answers the callers of jobs that an earlier attempt accepted, here or through another entry instance, and returns
+// the remaining jobs. The job stays as that attempt wrote it, and the owner is not notified: the new spec may name another
+// cell, and its epoch would make an owner that has just taken over assume that no earlier owner can have started the job.
 func (in *intake) answerKnown(group []*submission, cf *Conflict) []*submission {
 	homes := map[string]homeRow{}
 	for _, rw := range cf.Rows {
@@ -382,7 +389,7 @@
 	return remaining
 }
 
-// offer tells a cell's owner of new jobs; the owner's feed finds them as well, only later.
+// offerJobs notifies the owner of a cell of new jobs. The owner's feed also delivers them, only later.
 func (fl *Fleet) offerJobs(name string, specs [][]byte) {
 	if ow := fl.ownerOf(name); ow != nil {
 		for _, raw := range specs {
--- a/fleet/jobstate.go
+++ b/fleet/jobstate.go
@@ -13,9 +13,10 @@
 	"go.uber.org/zap"
 )
 
-// homeCache remembers where jobs belong that were accepted or asked for here.
+// homeCache caches the home rows of jobs that were accepted or queried through this instance. The oldest entries are evicted
+// first.
 type homeCache struct {
-	mu    sync.Mutex // guards what follows
+	mu    sync.Mutex // guards the fields below
 	homes map[job.ID]homeRow
 	order []job.ID
 }
@@ -44,7 +45,7 @@
 	return hr, ok
 }
 
-// homeOf returns where a job belongs, from memory or from the store; ErrNoJob if the store has no such job.
+// homeOf returns a job's home row from the cache or the store, or ErrJobNotFound if the store has no such job.
 func (fl *Fleet) homeOf(ctx context.Context, id job.ID) (homeRow, error) {
 	if hr, ok := fl.homes.get(id); ok {
 		return hr, nil
@@ -52,7 +53,7 @@
 	return fl.storedHome(ctx, id)
 }
 
-// storedHome returns where a job belongs as the store has it.
+// storedHome reads a job's home row from the store.
 func (fl *Fleet) storedHome(ctx context.Context, id job.ID) (homeRow, error) {
 	rw, ok, err := fl.readRow(ctx, Place{tableHome, partName(homePart(id)), string(id)})
 	if err != nil {
@@ -70,7 +71,7 @@
 	return hr, nil
 }
 
-// readRow reads one row, again if the store does not answer, as long as the context allows.
+// readRow reads one row and retries until the store answers or the context ends.
 func (fl *Fleet) readRow(ctx context.Context, place Place) (Row, bool, error) {
 	for {
 		callCtx, cancel := context.WithTimeout(ctx, intakeReadTimeout)
@@ -89,8 +90,8 @@
 	}
 }
 
-// State returns a job's state to a caller of an organisation: from its cell's owner, else from the store. The error is job.ErrForeign for
-// another organisation's job.
+// State returns a job's state from the owner of its cell, or else from the store. It returns job.ErrForeign if the caller's
+// organisation may not see the job.
 func (fl *Fleet) State(ctx context.Context, caller job.OrganisationID, queue *job.Queue, id job.ID) (job.State, error) {
 	name := cellName(queue.Pool)
 	if hr, known := fl.homes.get(id); known {
@@ -99,7 +100,7 @@
 	if js, ok := fl.queryOwner(ctx, name, id); ok {
 		return js.stateFor(caller)
 	}
-	// The owner may have forgotten it after its retention, so only the store knows whether there is such a job.
+	// The owner forgets a job after its retention period, so only the store can tell whether the job exists.
 	found, err := fl.storedHome(ctx, id)
 	if err != nil {
 		return "", err
@@ -115,13 +116,13 @@
 	return fl.storedState(ctx, found.Cell, id)
 }
 
-// word is what a cell's owner says of a job.
+// jobStatus is what the owner of a cell knows of a job.
 type jobStatus struct {
 	state        job.State
 	organisation job.OrganisationID
 }
 
-// told is the word as a caller of an organisation may have it.
+// stateFor returns the state if the caller's organisation may see the job, and job.ErrForeign otherwise.
 func (js jobStatus) stateFor(caller job.OrganisationID) (job.State, error) {
 	if !job.MayAccess(caller, js.organisation) {
 		return "", job.ErrOtherOrganisation
@@ -129,7 +130,8 @@
 	return js.state, nil
 }
 
-// askOwner asks a cell's owner, here or at a peer, for a job that it has in memory.
+// queryOwner asks the owner of a cell, here or on a peer, for a job. It reports false if the owner does not have the job in
+// memory or cannot be reached.
 func (fl *Fleet) queryOwner(ctx context.Context, name string, id job.ID) (jobStatus, bool) {
 	if ow := fl.ownerOf(name); ow != nil {
 		return ow.jobStatus(id)
@@ -137,7 +139,7 @@
 	return fl.peers.jobState(ctx, name, id)
 }
 
-// storedState is what the store says of a job that is known to exist.
+// storedState derives the state of an existing job from its stored rows.
 func (fl *Fleet) storedState(ctx context.Context, name string, id job.ID) (job.State, error) {
 	rw, begun, err := fl.readRow(ctx, Place{tableProgress, name, string(id)})
 	if err != nil {
@@ -165,8 +167,8 @@
 	return job.Queued, nil
 }
 
-// Cancel keeps that a job is given up by a caller of its organisation, and has its owner stop what runs. The error is job.ErrForeign for
-// another organisation's job.
+// Cancel stores the cancellation of a job and has the owner of its cell stop its tasks. It returns job.ErrForeign if the
+// caller's organisation may not cancel the job.
 func (fl *Fleet) Cancel(ctx context.Context, caller job.OrganisationID, id job.ID) error {
 	hr, err := fl.homeOf(ctx, id)
 	if err != nil {
@@ -198,7 +200,7 @@
 	return nil
 }
 
-// pendingCache holds counts of waiting jobs for as long as they may be told.
+// pendingCache caches the counts of waiting jobs that peers returned.
 type pendingCache struct {
 	mu     sync.Mutex // guards counts
 	counts map[job.QueueID]pendingCount
@@ -209,7 +211,7 @@
 	at    time.Time
 }
 
-// Pending returns how many jobs of a queue have not begun.
+// Pending returns the number of a queue's jobs that have not started.
 func (fl *Fleet) Pending(ctx context.Context, queue *job.Queue) (int, error) {
 	name := cellName(queue.Pool)
 	if ow := fl.ownerOf(name); ow != nil {
--- a/fleet/keys.go
+++ b/fleet/keys.go
@@ -6,7 +6,8 @@
 	"go.uber.org/zap"
 )
 
-// Rejected notes a call that was refused since its key is none that the configuration holds. The log names the key's fingerprint only.
+// LogRejectedKey counts and logs a call that was refused because its key is missing or unknown. The log has only the key's
+// fingerprint.
 func (fl *Fleet) LogRejectedKey(qu *job.Queue, key string) {
 	fl.metrics.keysRejected.Inc(1)
 	shown := "none"
@@ -16,7 +17,7 @@
 	fl.opts.Log.Emit(event.KeyRejected, zap.String("queue", string(qu.ID)), zap.String("key", shown))
 }
 
-// tellShared logs the keys that several organisations of a configuration hold.
+// logSharedKeys logs the keys of a configuration that belong to several organisations.
 func (fl *Fleet) logSharedKeys(cf *job.Configuration) {
 	if cf.Organisations == nil {
 		return
--- a/fleet/machinecheck.go
+++ b/fleet/machinecheck.go
@@ -10,17 +10,17 @@
 	"go.uber.org/zap"
 )
 
-// Times of asking which lives have ended.
+// Intervals of checking which workers have ended.
 const (
 	machineCheckInterval = 100 * time.Millisecond
-	// censusAgain is the least time between two lists, since each has its price; censusPressing where connections of a worker broke, whose
-	// tasks wait.
+	// minMachineListInterval is the minimum time between two requests for the list of machines, since each is expensive.
+	// minUrgentMachineListInterval applies if connections to a worker broke, because its tasks wait for the result.
 	minMachineListInterval       = 1200 * time.Millisecond
 	minUrgentMachineListInterval = 500 * time.Millisecond
 )
 
-// census asks for the list of machines while workers are silent: a life that no machine runs any more has ended, and with it
-// all that it ran, which is known sooner than that its leases have run out.
+// checkMachines lists the machines while workers do not answer. A worker incarnation that no machine runs any more has ended
+// together with all of its tasks. The list shows that sooner than the leases run out.
 func (ow *owner) checkMachines(ctx context.Context) {
 	var last time.Time
 	for ctx.Err() == nil {
@@ -54,7 +54,7 @@
 				pool, known := pools[cr.MachineOf(id)]
 				switch {
 				case running[id.Name()]:
-					// It may be another life under the same name; whoever answers there tells.
+					// A later incarnation may run under the same name; its answer will tell.
 				case known && pool != ow.pool():
 					cr.WorkerMoved(at, id)
 				default:
--- a/fleet/metrics.go
+++ b/fleet/metrics.go
@@ -10,28 +10,31 @@
 	"go.uber.org/zap"
 )
 
-// figures are the counters and histograms of a fleet node.
+// fleetMetrics are the counters and histograms of a fleet node.
 type fleetMetrics struct {
 	claims, looks, starts, saves, storeFailed metrics.Counter
 	accepted, refused, unknown                metrics.Counter
-	// keysRejected counts calls without a key that the configuration holds.
+	// keysRejected counts calls with a missing or unknown key.
 	keysRejected metrics.Counter
-	// accountsWritten counts rows of organisations' accounts, accountsContended writes of them that another owner's came before.
+	// accountsWritten counts rows of organisations' accounts that were written, accountsContended writes of them that
+	// conflicted with another owner's.
 	accountsWritten, accountsContended metrics.Counter
-	// workersLost counts the workers that ended with tasks on them, tasksLost those tasks, givenUp the jobs that crashed too many.
+	// workersLost counts the workers that ended while running tasks, tasksLost those tasks, givenUp the jobs that failed
+	// because too many of their workers crashed.
 	workersLost, tasksLost, givenUp metrics.Counter
-	// registrationsRejected counts registrations that could not be read.
+	// registrationsRejected counts registrations that could not be decoded.
 	registrationsRejected metrics.Counter
 	acceptTime            metrics.Histogram
 	outcomes              map[cell.Outcome]metrics.Counter
-	// commits are how long transactions took, in microseconds, and unanswered how many were not answered, by matter.
+	// commits holds the durations of transactions in microseconds, unanswered the number of transactions without an answer, by
+	// kind.
 	commits    map[txKind]metrics.Histogram
 	unanswered map[txKind]metrics.Counter
-	// writeWait is how long an owner's writes waited for the one before, in microseconds.
+	// writeWait is how long an owner's writes waited for the previous write, in microseconds.
 	writeWait metrics.Histogram
 }
 
-// histogramSize is how many of the newest values a histogram is made from.
+// histogramSize is the number of recent values that a histogram is computed from.
 const histogramSize = 512
 
 func newFleetMetrics(rg metrics.Registry) fleetMetrics {
@@ -60,7 +63,7 @@
 
 func (fm fleetMetrics) countOutcome(oc cell.Outcome) { fm.outcomes[oc].Inc(1) }
 
-// handed counts a job that was handed in.
+// recordSubmit counts a submitted job.
 func (fm fleetMetrics) recordSubmit(result SubmitResult, elapsed time.Duration) {
 	switch result {
 	case Accepted:
@@ -71,7 +74,7 @@
 	}
 }
 
-// logDecision writes what a cell decided.
+// logDecision logs a decision of a cell.
 func (fl *Fleet) logDecision(name string, epoch job.Epoch, dc cell.Decision) {
 	fields := []zap.Field{zap.String("what", dc.What), zap.String("cell", name), zap.Int64("epoch", int64(epoch))}
 	if dc.Task.Job != "" {
@@ -106,12 +109,12 @@
 	fl.opts.Log.Emit(event.CellDecided, fields...)
 }
 
-// logJob writes what became of a job's call.
+// logJob logs an event of a job.
 func (fl *Fleet) logJob(kd event.Kind, id job.ID, fields ...zap.Field) {
 	fl.opts.Log.Emit(kd, append(fields, zap.String("job", string(id)))...)
 }
 
-// logPeer writes that a peer did not answer.
+// logPeerError logs that a peer did not answer.
 func (fl *Fleet) logPeerError(call, name string, err error) {
 	fl.opts.Log.Emit(event.PeerSilent, zap.String("call", call), zap.String("cell", name), zap.Error(err))
 }
--- a/fleet/organisations.go
+++ b/fleet/organisations.go
@@ -14,34 +14,34 @@
 	"go.uber.org/zap"
 )
 
-// ErrNoConfiguration says that the operator has put no configuration in force yet.
-var ErrNoConfiguration = errors.New("the store holds no configuration")
+// ErrNoConfiguration means that the operator has not stored a configuration yet.
+var ErrNoConfiguration = errors.New("the store has no configuration")
 
-// OrganisationStatus is what an operator sees of an organisation.
+// OrganisationStatus is the state of an organisation as shown to operators.
 type OrganisationStatus struct {
 	ID     job.OrganisationID `json:"id"`
 	Weight float64            `json:"weight"`
-	// Keys are fingerprints.
+	// Keys are the fingerprints of the organisation's keys.
 	Keys    []string `json:"keys"`
 	Maximum job.Size `json:"maximum"`
-	// Held is what all cells together keep of the maximum, Running what runs of it.
+	// Held is the part of the maximum that all cells together hold, Running the size of the tasks that run.
 	Held    job.Size `json:"held"`
 	Running job.Size `json:"running"`
-	// Waiting counts jobs with tasks that wait, Oldest is for how long the first has been there, AtLimit names the pools where they wait since
-	// the organisation has its part of the maximum.
+	// Waiting is the number of jobs with waiting tasks, Oldest the age of the oldest of them. AtLimit lists the pools in which
+	// jobs wait because the organisation has reached its maximum.
 	Waiting int           `json:"waiting"`
 	Oldest  time.Duration `json:"oldestNanos"`
 	AtLimit []job.PoolID  `json:"atLimit,omitempty"`
 }
 
-// OrganisationReport is the state of all organisations; owners that did not answer are named.
+// OrganisationReport is the state of all organisations. Unreachable lists the addresses of owners that did not answer.
 type OrganisationReport struct {
 	Version       int64                `json:"version"`
 	Organisations []OrganisationStatus `json:"organisations"`
 	Unreachable   []string             `json:"silent,omitempty"`
 }
 
-// ReadOrganisations gathers what the store and the owners of cells say of organisations.
+// ReadOrganisations collects the state of all organisations from the store and from the owners of cells.
 func ReadOrganisations(ctx context.Context, st Store, fm Format) (*OrganisationReport, error) {
 	cf, err := readConfiguration(ctx, st, fm)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return nil, ErrNoConfiguration
 }
 
-// readAccounts returns what all cells together hold of each maximum.
+// readAccounts returns the part of each maximum that all cells together hold.
 func readAccounts(ctx context.Context, st Store) (map[job.OrganisationID]job.Size, error) {
 	pg, err := st.Read(ctx, Query{Table: tableAccount, Part: accountPart})
 	if err != nil {
@@ -99,7 +99,7 @@
 	return held, nil
 }
 
-// ownerAddresses are where the owners of cells are reached.
+// ownerAddresses returns the addresses of the owners of cells.
 func ownerAddresses(ctx context.Context, st Store, cf *job.Configuration) ([]string, error) {
 	var addresses []string
 	seen := map[string]bool{}
@@ -123,7 +123,7 @@
 	return addresses, nil
 }
 
-// readJSON reads one row; one that is not there leaves the value as it is.
+// readJSON reads and decodes one row. It leaves the value unchanged if the row does not exist.
 func readJSON(ctx context.Context, st Store, place Place, into any) error {
 	pg, err := st.Read(ctx, Query{Table: place.Table, Part: place.Part, From: place.Key, To: place.Key + "!", Limit: 1})
 	if err != nil || len(pg.Rows) == 0 || pg.Rows[0].Key != place.Key {
@@ -132,7 +132,7 @@
 	return json.Unmarshal(pg.Rows[0].Value, into)
 }
 
-// askOrganisations adds what one owner says, and reports whether it answered.
+// queryOrganisations adds the loads that one owner returns, and reports whether it answered.
 func queryOrganisations(ctx context.Context, address string, loads map[job.OrganisationID][]cell.OrganisationLoad) bool {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
@@ -151,7 +151,7 @@
 	return true
 }
 
-// statusOf joins what is known of an organisation.
+// organisationStatus combines the configuration of an organisation with its accounts and loads.
 func organisationStatus(og job.Organisation, held job.Size, loads []cell.OrganisationLoad) OrganisationStatus {
 	os := OrganisationStatus{ID: og.ID, Weight: og.Weight, Keys: []string{}, Maximum: og.Maximum, Held: held}
 	for _, ky := range og.Keys {
@@ -168,7 +168,7 @@
 	return os
 }
 
-// Organisations tells what the cells owned here have of each organisation.
+// Organisations returns the loads of all organisations in the cells that this instance owns.
 func (sv cellsServer) Organisations(context.Context, *peer.OrganisationsRequest) (*peer.OrganisationsResponse, error) {
 	rp := &peer.OrganisationsResponse{}
 	for _, ow := range sv.fl.allOwners() {
--- a/fleet/owner.go
+++ b/fleet/owner.go
@@ -13,32 +13,35 @@
 	"go.uber.org/zap"
 )
 
-// Times of an owner.
+// Intervals, timeouts and batch sizes of a cell owner.
 const (
-	// writeTimeout bounds one try at a write; a slow store takes some 400 ms.
+	// writeTimeout bounds one attempt at a write. A slow store takes about 400 ms.
 	writeTimeout = 1500 * time.Millisecond
-	// writeRetry is the pause before a write without effect is tried again.
+	// writeRetryDelay is the delay before a failed write is retried.
 	writeRetryDelay = 200 * time.Millisecond
-	// quietFor bounds how long a handover waits for the last progress to be kept.
+	// quiesceTimeout bounds how long a handover waits until the latest progress is saved.
 	quiesceTimeout = 1500 * time.Millisecond
-	// loadPoll is how often a new owner looks whether all that it needs has been read.
+	// loadPollInterval is how often a new owner checks whether the tables that it needs have been read.
 	loadPollInterval = 10 * time.Millisecond
-	// archiveEvery is how often the rows of ended jobs are removed from the table of open ones.
+	// archiveInterval is how often the rows of ended jobs are removed from the table of open jobs.
 	archiveInterval = 3 * time.Second
-	// archiveAgain is the pause before the next round while more of them are left: whoever takes the cell over reads them all.
+	// archiveBacklogInterval is the delay before the next round while ended jobs remain in the table of open jobs. A new owner
+	// has to read all of them.
 	archiveBacklogInterval = 300 * time.Millisecond
-	// archiveMost is how many jobs are removed at once: three rows each stay below a transaction's 100 entries.
+	// archiveBatchSize is how many jobs are removed at once. At three rows each they stay below the limit of 100 entries per
+	// transaction.
 	archiveBatchSize = 32
-	// archiveParts is how many parts a round removes rows from where each takes a transaction of its own, since each has its price.
+	// archivePartsPerRound is how many parts a round removes rows from if each part needs its own transaction, since
+	// transactions are expensive.
 	archivePartsPerRound = 4
 )
 
-// owner runs the core of one cell.
+// owner runs the core of one cell: it passes events to the core, carries out the core's orders and stores its progress.
 type owner struct {
 	fl    *Fleet
 	name  string
 	epoch job.Epoch
-	// rowVersion is that of the cell's row; each write of progress requires it.
+	// rowVersion is the version of the cell's row. Each write of progress is conditional on it.
 	rowVersion     atomic.Int64
 	lost           atomic.Bool
 	cancel         context.CancelFunc
@@ -46,23 +49,23 @@
 	wakeup         chan struct{}
 	writeQueue     *writeQueue
 	jobs           *tableWatch
-	mu             sync.Mutex // guards what follows
+	mu             sync.Mutex // guards the fields below
 	core           *cell.Core
 	events         []func(*cell.Core, time.Time)
 	storedProgress map[job.ID]Row
 	orderQueues    map[cell.WorkerID]*orderQueue
 	relays         *relays
 	quiescing      bool
-	// since is when the cell was claimed, claimed the row by which it was.
+	// claimedAt is when the cell was claimed, claimRow the row that the claim wrote.
 	claimedAt time.Time
 	claimRow  ownerRow
-	// tookOver is set once the core knows what the owner before left.
+	// takenOver is set once the core knows the state that the previous owner left.
 	takenOver bool
-	// began is set once the core has planned for the first time.
+	// planned is set once the core has planned for the first time.
 	planned bool
 }
 
-// newOwner returns an owner of a cell that knows nothing of its jobs yet.
+// newOwner returns an owner whose core knows no jobs yet.
 func newOwner(fl *Fleet, name string, row ownerRow, cancel context.CancelFunc) *owner {
 	ow := &owner{
 		fl: fl, name: name, epoch: row.epoch(), cancel: cancel, done: make(chan struct{}), wakeup: make(chan struct{}, 1),
@@ -76,7 +79,7 @@
 	return ow
 }
 
-// startOwner loads a claimed cell and begins to work on it.
+// startOwner loads the state of a claimed cell and starts the owner's goroutines. previous is the row that the claim replaced.
 func (fl *Fleet) startOwner(ctx context.Context, name string, row, previous ownerRow, sentAt time.Time) {
 	ctx, cancel := context.WithCancel(ctx)
 	ow := newOwner(fl, name, row, cancel)
@@ -117,17 +120,18 @@
 	fl.cordonWorkers()
 }
 
-// pool is the cell's.
+// pool returns the pool that the cell serves.
 func (ow *owner) pool() job.PoolID { return job.PoolID(ow.name) }
 
-// cellOptions are the fleet's, with a log of this cell.
+// cellOptions returns the fleet's cell options with a log that names this cell.
 func (ow *owner) cellOptions() cell.Options {
 	options := ow.fl.opts.Cell
 	options.Log = func(dc cell.Decision) { ow.fl.logDecision(ow.name, ow.epoch, dc) }
 	return options
 }
 
-// readProgress reads what is kept of the cell's jobs; nobody else writes it any more.
+// loadProgress reads the stored progress of the cell's jobs, retrying until it succeeds. No other owner can write it any more.
+// It reports false if the owner was stopped or lost the cell.
 func (ow *owner) loadProgress(ctx context.Context) bool {
 	for ctx.Err() == nil && !ow.lost.Load() {
 		rows, _, err := ow.fl.readPart(ctx, tableProgress, ow.name)
@@ -142,7 +146,7 @@
 	return false
 }
 
-// jobsChanged takes jobs and cancellations of the table of open jobs, which other cells may share.
+// jobRowsChanged applies new jobs and cancellations from the table of open jobs. Several cells may share the table.
 func (ow *owner) jobRowsChanged(rows []Row, _ time.Time) {
 	for _, rw := range rows {
 		if rw.Deleted {
@@ -156,7 +160,7 @@
 	}
 }
 
-// offer adds a job by its row.
+// addJob decodes a job's row and adds the job if it belongs to this cell.
 func (ow *owner) addJob(raw []byte) {
 	sp, err := job.DecodeSpec(raw)
 	if err != nil {
@@ -169,7 +173,7 @@
 	ow.post(func(cr *cell.Core, now time.Time) { cr.Add(now, ow.withStoredProgress(sp)) })
 }
 
-// stored joins a job with what is kept of its course; the caller holds the lock.
+// withStoredProgress combines a job with its stored progress. The caller holds the lock.
 func (ow *owner) withStoredProgress(sp *job.Spec) cell.StoredJob {
 	sd := cell.StoredJob{Spec: sp}
 	rw, ok := ow.storedProgress[sp.ID]
@@ -186,7 +190,7 @@
 	return sd
 }
 
-// post has the core take an event soon.
+// post queues an event for the core and wakes the owner.
 func (ow *owner) post(ev func(*cell.Core, time.Time)) {
 	ow.mu.Lock()
 	ow.events = append(ow.events, ev)
@@ -194,7 +198,7 @@
 	ow.wake()
 }
 
-// nudge has the core plan soon.
+// wake makes the owner plan without waiting for its timer.
 func (ow *owner) wake() {
 	select {
 	case ow.wakeup <- struct{}{}:
@@ -202,10 +206,10 @@
 	}
 }
 
-// run feeds the core until the context ends.
+// run passes events to the core and carries out its orders until the context ends.
 func (ow *owner) run(ctx context.Context) {
 	defer close(ow.done)
-	// A worker that is not registered would count as leaving, so the registrations come first.
+	// The core treats a worker without a registration as leaving, so wait for the registrations.
 	for ctx.Err() == nil && !(ow.jobs.loaded() && ow.fl.registry.loaded()) {
 		sleep(ctx, loadPollInterval)
 	}
@@ -227,7 +231,7 @@
 	}
 }
 
-// step hands waiting events to the core and returns its orders.
+// plan passes the queued events to the core and returns its orders, and when to plan next.
 func (ow *owner) plan() ([]cell.Order, time.Time) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -252,7 +256,7 @@
 	return orders, ow.core.Wake()
 }
 
-// carryOut begins to carry out an order; its result comes back as an event.
+// execute starts to carry out an order. Its result is posted to the core as an event.
 func (ow *owner) execute(ctx context.Context, od cell.Order) {
 	switch order := od.(type) {
 	case cell.Poll:
@@ -274,7 +278,7 @@
 	}
 }
 
-// command gives a worker an order, through a peer if one carries out this worker's.
+// sendOrder sends an order to a worker, through a peer if a peer relays the orders for this worker.
 func (ow *owner) sendOrder(ctx context.Context, id cell.WorkerID, od cell.Order) {
 	if ow.relays.send(ctx, id, od) {
 		return
@@ -294,7 +298,7 @@
 	ow.post(func(cr *cell.Core, now time.Time) { cr.HandleOrder(now, od) })
 }
 
-// lane returns the lane of a worker whose orders are carried out here.
+// orderQueue returns the queue of a worker that gets its orders directly from this instance.
 func (ow *owner) orderQueue(id cell.WorkerID) *orderQueue {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -319,7 +323,7 @@
 	ow.post(func(cr *cell.Core, now time.Time) { cr.Advised(now, ad, tickets, valid) })
 }
 
-// startTime is how long starts take of late, 0 if none was answered.
+// startLatency returns how long recent starts took, 0 if none was answered.
 func (ow *owner) startLatency() time.Duration {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -330,7 +334,7 @@
 	return latency
 }
 
-// overtaken ends this owner's work.
+// loseOwnership stops planning because another instance may own the cell.
 func (ow *owner) loseOwnership(why string) {
 	ow.lost.Store(true)
 	ow.post(func(cr *cell.Core, _ time.Time) { cr.Overtaken(why) })
@@ -338,10 +342,10 @@
 
 func (ow *owner) isLost() bool { return ow.lost.Load() }
 
-// stop ends the goroutines of the owner.
+// stop ends the owner's goroutines.
 func (ow *owner) stop() { ow.cancel() }
 
-// quiet stops giving orders and waits until what has ended is kept.
+// quiesce stops sending orders and waits until the results that are already known are saved.
 func (ow *owner) quiesce(ctx context.Context) {
 	until := ow.fl.opts.Now().Add(quiesceTimeout)
 	for ctx.Err() == nil && !ow.lost.Load() && ow.fl.opts.Now().Before(until) {
@@ -363,7 +367,7 @@
 	}
 }
 
-// onlySaves keeps the orders that write progress; the others are the next owner's.
+// saveOrders returns the orders that save progress. The next owner plans the others again.
 func saveOrders(orders []cell.Order) []cell.Order {
 	var saves []cell.Order
 	for _, od := range orders {
@@ -374,8 +378,9 @@
 	return saves
 }
 
-// left is the cell's row when this owner gives it up: the workers on which it, or one before it, may have started tasks. Released tells that
-// only leases named there are open. An owner that gives a cell up before it has taken over passes on what it found.
+// handoverRow returns the cell's row for the next owner. It lists the workers on which this owner or an earlier one may have
+// started tasks. Released means that no worker outside the list can hold a lease. An owner that releases the cell before its
+// takeover is complete passes on the lists that it found.
 func (ow *owner) handoverRow() ownerRow {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -385,15 +390,15 @@
 	return ownerRow{Workers: ow.core.Release(ow.fl.opts.Now()), UnseenLossEpoch: ow.core.UnseenLossEpoch(), Released: true}
 }
 
-// mayMove reports whether the cell may be given to another instance: it has been here for a while, nothing of earlier owners is open, and no job
-// waits, unless that does not matter.
+// canMove reports whether the cell can move to another instance: it has been here for some time, nothing of earlier owners is
+// unresolved, and no job is waiting unless evenIfWaiting is set.
 func (ow *owner) canMove(now time.Time, evenIfWaiting bool) bool {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	return ow.planned && ow.core.TakeoverComplete() && now.Sub(ow.claimedAt) > cellMoveInterval && (evenIfWaiting || !ow.core.Pressed(now))
 }
 
-// state returns a job's state if this owner has it in memory.
+// jobStatus returns a job's state if this owner has the job in memory.
 func (ow *owner) jobStatus(id job.ID) (jobStatus, bool) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -404,7 +409,7 @@
 	return jobStatus{st, ow.core.Organisation(id)}, known
 }
 
-// pending counts a queue's jobs that have not begun, once the cell is loaded.
+// pending returns the number of a queue's jobs that have not started, or false if the cell is not loaded.
 func (ow *owner) pending(queue job.QueueID) (int, bool) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
--- a/fleet/ownership.go
+++ b/fleet/ownership.go
@@ -131,7 +131,8 @@
 	fl.startClaim(ctx, name, or)
 }
 
-// ownerLives reports whether a cell has an owner that lives. The holder of the machines' duty is told by its lease alone.
+// ownerAlive reports whether a cell has a live owner. The leader of the machine controller counts as live while its lease may
+// run, whether or not its instance sends heartbeats.
 func (fl *Fleet) ownerAlive(name string, or ownerRow, live map[string]node) bool {
 	if or.Holder == "" {
 		return false
@@ -143,7 +144,8 @@
 	return known && nd.Incarnation == or.Incarnation && !nd.Leaving
 }
 
-// dutyHeld reports whether the lease of the machines' duty may still run. A holder whose process has started anew gives no orders any more.
+// machineLeaseHeld reports whether the machine lease may still run. If the leader's process has restarted, the earlier process
+// sends no orders any more.
 func (fl *Fleet) machineLeaseHeld(or ownerRow) bool {
 	if nd, known := fl.members.node(or.Holder); known && nd.Incarnation != or.Incarnation {
 		return false
--- a/fleet/pause.go
+++ b/fleet/pause.go
@@ -15,19 +15,19 @@
 	"go.uber.org/zap"
 )
 
-// pausePrefix is that of the keys of paused queues in the control table, pausePart the part in which they lie.
+// pausePrefix is the key prefix of paused queues in the control table, pausePart the part that holds them.
 const (
 	pausePrefix = "pause/"
 	pausePart   = "pause"
 )
 
-// pausedFor is when callers of a paused queue are told to come back: an operator takes minutes.
+// pausedRetryAfter is the time after which callers of a paused queue should retry. Operators take minutes to resume a queue.
 const pausedRetryAfter = 30 * time.Second
 
-// ErrNotPaused says that a queue that is to go on is not paused.
+// ErrNotPaused means that a queue that should be resumed is not paused.
 var ErrNotPaused = errors.New("the queue is not paused")
 
-// Pause is an operator's word that nothing of a queue is started and none of its jobs accepted; what runs goes on.
+// Pause is an operator's request to start no task of a queue and to accept none of its jobs. Running tasks continue.
 type Pause struct {
 	Queue job.QueueID `json:"queue"`
 	By    string      `json:"by"`
@@ -39,7 +39,7 @@
 	return Place{tableControl, pausePart, pausePrefix + string(queue)}
 }
 
-// PauseQueue writes an operator's word. A queue that is paused already gets the new reason.
+// PauseQueue pauses a queue. If it is already paused, the new reason replaces the old one.
 func PauseQueue(ctx context.Context, st Store, ps Pause) error {
 	raw, err := json.Marshal(ps)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return err
 }
 
-// ResumeQueue takes the word back.
+// ResumeQueue resumes a paused queue.
 func ResumeQueue(ctx context.Context, st Store, queue job.QueueID) error {
 	list, err := PausedQueues(ctx, st)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return err
 }
 
-// PausedQueues lists the queues that are paused, by name.
+// PausedQueues lists the paused queues by name.
 func PausedQueues(ctx context.Context, st Store) ([]Pause, error) {
 	pg, err := st.Read(ctx, Query{Table: tableControl, Part: pausePart})
 	if err != nil {
@@ -80,7 +80,7 @@
 	return list, nil
 }
 
-// takePause takes the row of a paused queue. One that cannot be read pauses the queue that its key names.
+// applyPause applies the row of a paused queue. A row that cannot be decoded pauses the queue that its key names.
 func (fl *Fleet) applyPause(rw Row) {
 	queue := job.QueueID(strings.TrimPrefix(rw.Key, pausePrefix))
 	ps := Pause{Queue: queue}
@@ -101,7 +101,7 @@
 	}
 }
 
-// pausedQueues are the queues that an operator has paused; the map is replaced, never changed.
+// pausedQueues returns the queues that an operator has paused. The map must not be changed.
 func (fl *Fleet) pausedQueues() map[job.QueueID]bool {
 	if paused := fl.paused.Load(); paused != nil {
 		return *paused
--- a/fleet/payloads.go
+++ b/fleet/payloads.go
@@ -13,26 +13,29 @@
 )
 
 const (
-	// payloadBytes bounds the payloads that are remembered: some 1,700 jobs of 2.4 KB, those of several seconds at an instance.
+	// payloadCacheBytes bounds the size of the payload cache. It holds about 1,700 payloads of 2.4 KB, the jobs of several
+	// seconds at one instance.
 	payloadCacheBytes = 4 << 20
-	// payloadTimeout bounds asking an instance for one; then the store is asked, which is there when the instance is not.
+	// payloadFetchTimeout bounds a request to the instance that accepted the job. After that the payload is read from the
+	// store, which also has it when the instance is gone.
 	payloadFetchTimeout = 300 * time.Millisecond
 )
 
-// payloads remembers the payloads of jobs that were accepted here, or tasks of which are started here for an owner. A payload has up to
-// 4 KB and goes to the worker with each of a job's tasks, 13 in the mean; an owner that was told of it with the job, read it from its feed and
-// handed it to peers with each task would need most of a narrow link for it. So it lies in a table of its own, and whoever starts tasks asks
-// the instance that accepted the job, once, or the store if that is gone.
+// payloadCache caches the payloads of jobs that were accepted here or whose tasks are started here for an owner. A payload has
+// up to 4 KB and is sent to a worker with each task of a job, 13 on average. If an owner received payloads with the jobs, read
+// them from its feed and sent them to peers with each task, they would use most of a narrow link. Payloads therefore have a
+// table of their own, and an instance that starts tasks requests a payload once, from the instance that accepted the job or
+// else from the store.
 type payloadCache struct {
-	mu    sync.Mutex // guards what follows
+	mu    sync.Mutex // guards the fields below
 	texts map[job.ID]string
 	order []job.ID
 	bytes int
-	// asked holds the questions that are under way.
+	// fetches holds the requests in flight.
 	fetches map[job.ID]*payloadFetch
 }
 
-// question asks for a payload; several orders may wait for its end.
+// payloadFetch is a request for a payload. Several orders may wait for it.
 type payloadFetch struct {
 	done  chan struct{}
 	text  string
@@ -43,7 +46,7 @@
 	return &payloadCache{texts: map[job.ID]string{}, fetches: map[job.ID]*payloadFetch{}}
 }
 
-// put remembers a payload, and forgets the oldest ones where they are too many.
+// put adds a payload and evicts the oldest ones while the cache is too large.
 func (pc *payloadCache) put(id job.ID, text string) {
 	pc.mu.Lock()
 	defer pc.mu.Unlock()
@@ -68,7 +71,7 @@
 	return text, known
 }
 
-// ask returns the question for a payload, and whether the caller is to put it.
+// startFetch returns the request for a payload, and whether the caller has to carry it out.
 func (pc *payloadCache) startFetch(id job.ID) (*payloadFetch, bool) {
 	pc.mu.Lock()
 	defer pc.mu.Unlock()
@@ -80,7 +83,7 @@
 	return pf, true
 }
 
-// answer ends a question.
+// finishFetch completes a request.
 func (pc *payloadCache) finishFetch(id job.ID, pf *payloadFetch, text string, known bool) {
 	if known {
 		pc.put(id, text)
@@ -92,7 +95,8 @@
 	close(pf.done)
 }
 
-// payload returns a job's payload, asking the instance at the address, and then the store, if it is not known here; false if neither had it.
+// payload returns a job's payload from the cache, the instance at the address or the store. It reports false if none of them
+// has it.
 func (fl *Fleet) payload(ctx context.Context, id job.ID, address string) (string, bool) {
 	if text, known := fl.payloads.get(id); known {
 		return text, true
@@ -125,10 +129,10 @@
 	return string(rw.Value), true
 }
 
-// payload asks a peer for the payload of a job that it accepted.
+// payload requests the payload of a job from the peer that accepted it.
 func (pr *peers) payload(ctx context.Context, address string, id job.ID) (string, bool) {
 	if address == pr.fl.opts.Address || pr.backingOff(address) {
-		// It was accepted by an earlier process here, or its instance has just been silent.
+		// An earlier process of this instance accepted the job, or calls to the peer are backing off.
 		return "", false
 	}
 	ctx, cancel := context.WithTimeout(ctx, payloadFetchTimeout)
@@ -142,13 +146,14 @@
 	return rp.Payload, rp.Known
 }
 
-// Payload tells the payload of a job that was accepted here.
+// Payload returns the payload of a job that this instance accepted.
 func (sv cellsServer) Payload(_ context.Context, rq *peer.PayloadRequest) (*peer.PayloadResponse, error) {
 	text, known := sv.fl.payloads.get(job.ID(rq.Job))
 	return &peer.PayloadResponse{Known: known, Payload: text}, nil
 }
 
-// complete gives an order what it came without, and hands it on; absent is called instead if that is not to be had.
+// attachPayload adds the payload to a start order if it is missing, and passes the order to send. It calls absent instead if
+// the payload cannot be found.
 func (fl *Fleet) attachPayload(ctx context.Context, od cell.Order, send func(cell.Order), absent func()) {
 	st, ok := od.(cell.Start)
 	if !ok || st.PayloadAt == "" {
--- a/fleet/release.go
+++ b/fleet/release.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 )
 
-// dropLost forgets owners that were overtaken.
+// removeLostOwners stops and removes owners whose cell another instance has claimed.
 func (fl *Fleet) removeLostOwners() {
 	for _, ow := range fl.allOwners() {
 		if ow.isLost() {
@@ -27,12 +27,13 @@
 	fl.controller.stepDownIfReplaced()
 }
 
-// pressedRatio is by how many times less laden another instance must be for a cell some of whose jobs wait. Its next owner looks at all workers
-// before it goes on, and what was accepted before waits for those that it cannot reach: on days with a hall cut off four such handovers fell into
-// bursts, after one of which 58 to 139 machines' worth ran on 163 to 229 machines for 4 s.
+// waitingMoveRatio is how many times less loaded another instance must be to get a cell with waiting jobs. The next owner polls
+// all workers before it continues, and jobs that were accepted earlier wait for the workers that it cannot reach. With a
+// data hall cut off, four such handovers fell into bursts of jobs; after one of them 58 to 139 machines' worth of tasks ran on
+// 163 to 229 machines for 4 s.
 const waitingMoveRatio = 3
 
-// giveAway leaves one cell to an instance that would be less laden with it than this one is; it reports whether it did.
+// rebalance releases one cell if another instance would be less loaded with it than this one is. It reports whether it did.
 func (fl *Fleet) rebalance(ctx context.Context, live map[string]node) bool {
 	ratio := fl.bestLoadRatio(live)
 	if ratio <= 1 {
@@ -44,12 +45,13 @@
 		return false
 	}
 	slices.SortFunc(candidates, func(one, other *owner) int { return cmp.Compare(one.name, other.name) })
-	fl.opts.Log.Emit(event.CellReleased, zap.String("cell", candidates[0].name), zap.String("why", "another is less laden"))
+	fl.opts.Log.Emit(event.CellReleased, zap.String("cell", candidates[0].name), zap.String("why", "another instance has a lower load"))
 	fl.release(ctx, candidates[0])
 	return true
 }
 
-// lighter is by how many times less laden than this instance another one would be with one more cell, at the most.
+// bestLoadRatio returns the ratio of this instance's load to the load that another instance would have with one more cell, for
+// the instance with the highest ratio. It returns 0 if there is no other instance.
 func (fl *Fleet) bestLoadRatio(live map[string]node) float64 {
 	held := fl.members.cellCounts()
 	own, best := live[fl.opts.Name].load(held[fl.opts.Name]), 0.0
@@ -61,7 +63,7 @@
 	return best
 }
 
-// release ends an owner's work and leaves its cell without an owner.
+// release stops an owner and releases its cell.
 func (fl *Fleet) release(ctx context.Context, ow *owner) {
 	ow.quiesce(ctx)
 	fl.mu.Lock()
@@ -71,11 +73,11 @@
 	fl.mu.Unlock()
 	ow.stop()
 	row := ow.handoverRow()
-	// A failure is logged there; the others then find the owner gone.
+	// commitRelease logs a failure. The other instances then find that the owner has left or is dead.
 	_ = fl.commitRelease(ctx, ow.name, ow.rowVersion.Load(), row)
 }
 
-// vacate writes that a cell has no owner, and tells the peers.
+// commitRelease stores that a cell has no owner, and notifies the peers.
 func (fl *Fleet) commitRelease(ctx context.Context, name string, version int64, row ownerRow) error {
 	raw, err := json.Marshal(row)
 	if err != nil {
@@ -86,7 +88,7 @@
 	place := Place{tableControl, name, ownerKey}
 	newest, err := fl.store.Commit(callCtx, Tx{Expect: []Expect{{place, version}}, Write: []Row{{Table: place.Table, Part: place.Part, Key: place.Key, Value: raw}}})
 	if err != nil {
-		// Without it the others find this instance leaving or dead, only later.
+		// Without this row the other instances only notice later that this instance is leaving or dead.
 		fl.opts.Log.Emit(event.ReleaseFailed, zap.String("cell", name), zap.Error(err))
 		return err
 	}
@@ -96,7 +98,7 @@
 	return nil
 }
 
-// handOver leaves all cells without an owner and takes this instance out of the membership.
+// releaseAll releases all cells and the machine lease.
 func (fl *Fleet) releaseAll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, 2*claimTimeout)
 	defer cancel()
--- a/fleet/store.go
+++ b/fleet/store.go
@@ -20,26 +20,27 @@
 	Deleted bool   `json:"deleted,omitempty"`
 }
 
-// Place names a row.
+// Place is the address of a row.
 type Place struct{ Table, Part, Key string }
 
-// Place returns where the row lies.
+// Place returns the address of the row.
 func (rw Row) Place() Place { return Place{rw.Table, rw.Part, rw.Key} }
 
-// Expect is a condition of a transaction: the row must have the version, 0 if it must not exist.
+// Expect is a condition of a transaction: the row must have the given version, or must not exist if the version is 0.
 type Expect struct {
 	Place   Place `json:"place"`
 	Version int64 `json:"version"`
 }
 
-// Tx changes rows, all or none. Rows of several parts take twice as long, and a turn in each of the parts.
+// Tx changes rows atomically. A transaction over several parts takes twice as long and is serialized with the other
+// transactions of each part.
 type Tx struct {
 	Expect []Expect `json:"expect,omitempty"`
 	Write  []Row    `json:"write,omitempty"`
 	Remove []Place  `json:"remove,omitempty"`
 }
 
-// Query asks for the rows of a part whose keys are From or above and below To, if those are given.
+// Query selects the rows of a part with keys from From, inclusive, to To, exclusive, if they are set.
 type Query struct {
 	Table string `json:"table"`
 	Part  string `json:"part,omitempty"`
@@ -48,68 +49,68 @@
 	Limit int    `json:"limit,omitempty"`
 }
 
-// Page is an answer to a query, or a part of the feed.
+// Page is the result of a query or of a feed call.
 type Page struct {
 	Rows []Row `json:"rows,omitempty"`
-	// More tells that the query has further rows.
+	// More is set if the query has further rows.
 	More bool `json:"more,omitempty"`
-	// Version is the store's newest.
+	// Version is the newest version of the store.
 	Version int64 `json:"version"`
 }
 
-// Errors of the store.
+// Errors of a Store.
 var (
-	// ErrRefused says that nothing was done.
+	// ErrRefused means that the call had no effect.
 	ErrRefused = errors.New("the store refused the call")
-	// ErrSilent says that it is not known whether the call was, or will be, carried out.
+	// ErrNoAnswer means that the outcome is not known: the call may have been carried out or may still be.
 	ErrNoAnswer = errors.New("the store did not answer")
-	// ErrHistory says that the feed cannot go on from the version given.
-	ErrHistoryTruncated = errors.New("the store has forgotten its history")
+	// ErrHistoryTruncated means that the feed cannot continue from the given version.
+	ErrHistoryTruncated = errors.New("the store no longer has the changes since this version")
 )
 
-// Conflict is the error of a transaction whose conditions do not hold.
+// Conflict is the error of a transaction with a condition that does not hold.
 type Conflict struct {
-	// Rows are the rows of the conditions as they are.
+	// Rows are the current rows of all conditions.
 	Rows []Row `json:"rows,omitempty"`
 }
 
 // Error implements error.
 func (cf *Conflict) Error() string { return "a condition of the transaction does not hold" }
 
-// Store keeps what must last or be agreed.
+// Store is the platform's transactional store. It holds all state that must survive a restart or be agreed between instances.
 type Store interface {
-	// Commit carries out a transaction and returns its version; errors are a *Conflict, ErrRefused or ErrSilent.
+	// Commit carries out a transaction and returns its version. Its errors are *Conflict, ErrRefused and ErrNoAnswer.
 	Commit(ctx context.Context, tx Tx) (int64, error)
-	// Read returns rows as of one moment.
+	// Read returns a consistent snapshot of rows.
 	Read(ctx context.Context, qu Query) (Page, error)
-	// Feed returns the changes of a table after a version as soon as there is one, or none after the wait.
+	// Feed returns the changes of a table after a version as soon as there are any, or none after the wait.
 	Feed(ctx context.Context, table string, after int64, wait time.Duration) (Page, error)
 	// Parts lists the parts of a table.
 	Parts(ctx context.Context, table string) ([]string, error)
 }
 
-// Workers carries out a cell's orders.
+// Workers sends a cell's orders to workers.
 type Workers interface {
 	Look(ctx context.Context, lk cell.Poll) cell.PollResult
 	Order(ctx context.Context, od cell.Order) cell.OrderResult
 }
 
-// Adviser asks the advice service.
+// Adviser requests tickets from the advice service.
 type Adviser interface {
 	Advise(ctx context.Context, ad cell.Advise) ([]cell.Ticket, time.Duration, error)
 }
 
-// Format reads what the platform and its operator keep in the store.
+// Format converts between the rows of the platform and its operator and the types of this module.
 type Format interface {
-	// OperatorTable holds the configuration and the requests for maintenance, RegistryTable the registrations of workers.
+	// OperatorTable holds the configuration and the maintenance waves, RegistryTable the registrations of workers.
 	OperatorTable() string
 	RegistryTable() string
-	// Configuration reads a row of the operator's; nil if it is another row.
+	// Configuration decodes a row of the operator table. It returns nil if the row is not a configuration.
 	Configuration(rw Row) (*job.Configuration, error)
-	// Wave reads a row of the operator's; nil if it is another row.
+	// Wave decodes a row of the operator table. It returns nil if the row is not a maintenance wave.
 	Wave(rw Row) (*machine.Wave, error)
-	// Worker reads a registration.
+	// Worker decodes a registration.
 	Worker(rw Row) (cell.Worker, error)
-	// WaveStatus is the row that tells the operator how far a wave is.
+	// WaveStatus returns the row that reports the state of a wave to the operator.
 	WaveStatus(number int, completed bool) (Row, error)
 }
--- a/fleet/txkind.go
+++ b/fleet/txkind.go
@@ -7,10 +7,10 @@
 	"go.uber.org/zap"
 )
 
-// slowCommit is from when on a transaction is told in the log; one takes some 4 ms on a store that is fast.
+// slowCommitThreshold is the duration from which a transaction is logged. With a fast store a transaction takes about 4 ms.
 const slowCommitThreshold = 100 * time.Millisecond
 
-// matter is what a transaction is for.
+// txKind is the purpose of a transaction, for metrics and logs.
 type txKind string
 
 const (
@@ -25,7 +25,7 @@
 
 var txKinds = []txKind{txIntake, txProgress, txCell, txHeartbeat, txMachines, txAccounts, txOther}
 
-// matterOf tells what a transaction is for, and in which part.
+// txKindOf returns the purpose of a transaction and the part of its first row.
 func txKindOf(tx Tx) (txKind, string) {
 	if len(tx.Write) == 0 {
 		return txOther, ""
@@ -48,7 +48,7 @@
 	return txHeartbeat, first.Part
 }
 
-// tell counts a transaction, and writes down one that took long or failed.
+// recordCommit updates the metrics of a transaction and logs one that was slow or failed.
 func (sc *storeClient) tell(tx Tx, elapsed time.Duration, err error) {
 	kind, part := txKindOf(tx)
 	sc.metrics.commits[kind].Update(elapsed.Microseconds())
--- a/fleet/workertimeout.go
+++ b/fleet/workertimeout.go
@@ -8,33 +8,35 @@
 	"github.com/aspenseam/aspenseam/cell"
 )
 
-// How long a worker's answer is waited for.
+// Timeouts of calls to workers.
 const (
-	// workerPatience bounds an order to a worker, whose answer takes some 2 ms, and a look beyond the time for which it is held back. An order
-	// that is lost keeps those behind it waiting for as long; one that is given up although it was carried out costs a look.
+	// workerMinTimeout is the least timeout of a call to a worker, beyond the wait of a poll. Answers take about 2 ms. A lost
+	// order delays the orders behind it by the timeout; an order that times out although it was carried out costs one
+	// additional poll.
 	workerMinTimeout = 400 * time.Millisecond
-	// workerMost bounds it where answers are slow: three tries of a look still fit into a lease of 5 s.
+	// workerMaxTimeout is the greatest timeout where answers are slow. Three attempts at a poll still fit into a lease of 5 s.
 	workerMaxTimeout = 1600 * time.Millisecond
-	// workerTimes is how many times the time that answers take is waited for.
+	// workerTimeoutFactor is the ratio of the timeout to the smoothed answer time.
 	workerTimeoutFactor = 4
-	// workerVain is how many calls in a row, to any workers, must be waited for in vain before the wait doubles: single answers are lost
-	// where others come in between, while an own link that is full for two seconds lets none through in time. Looks that are then given up
-	// and sent anew add to what fills it, until leases lapse whose workers are well.
+	// timeoutsPerDoubling is how many calls in a row, to any workers, must time out before the timeout doubles. If only single
+	// answers are lost, others arrive in between. But a link of this instance that is saturated for two seconds lets no answer
+	// through in time, and polls that are abandoned and sent again add to its load, until the leases of healthy workers run
+	// out.
 	timeoutsPerDoubling = 3
-	// vainWorker bounds how often it doubles.
+	// workerMaxDoublings bounds how often the timeout doubles.
 	workerMaxDoublings = 2
 )
 
-// patientWorkers waits for workers' answers as long as answers take. It implements Workers.
+// adaptiveWorkers adapts the timeouts of calls to the workers' answer times. It implements Workers.
 type adaptiveWorkers struct {
 	Workers
-	mu sync.Mutex // guards what follows
-	// answer is the smoothed time of an answer, vain how many calls in a row had none.
+	mu sync.Mutex // guards the fields below
+	// answerTime is the smoothed answer time, consecutiveTimeouts the number of calls in a row without an answer.
 	answerTime          time.Duration
 	consecutiveTimeouts int
 }
 
-// patience is how long to wait for an answer now.
+// timeout returns how long to wait for an answer.
 func (aw *adaptiveWorkers) timeout() time.Duration {
 	aw.mu.Lock()
 	defer aw.mu.Unlock()
@@ -42,7 +44,8 @@
 	return min(workerMaxTimeout, elapsed<<min(aw.consecutiveTimeouts/timeoutsPerDoubling, workerMaxDoublings))
 }
 
-// took notes how long an answer took beyond the time for which it was held back, or that none came.
+// recordAnswer records how long a call took, including the time held for which the worker may delay its answer, or that it was
+// not answered.
 func (aw *adaptiveWorkers) recordAnswer(elapsed time.Duration, held time.Duration, oc cell.Outcome) {
 	aw.mu.Lock()
 	defer aw.mu.Unlock()
@@ -51,7 +54,7 @@
 	case oc == cell.NoAnswer:
 		aw.consecutiveTimeouts++
 	case elapsed > held:
-		// An answer that came before its time was held back for an end tells nothing of the way.
+		// An answer that the worker did not delay for the whole time does not show how long the network took.
 		aw.answerTime += time.Duration(latencyWeight * float64(elapsed-held-aw.answerTime))
 		aw.consecutiveTimeouts = 0
 	default:
--- a/fleet/writes.go
+++ b/fleet/writes.go
@@ -12,27 +12,28 @@
 	"go.uber.org/zap"
 )
 
-// writes are those of a cell's owner that wait for the one under way. They all need the condition of the cell's row, so they go one after
-// the other; what waits goes together, so that no write waits for more than one besides its own, and the owner waits for none.
+// writeQueue collects an owner's writes while one is in flight. All of them are conditional on the cell's row, so they run one
+// after another. The waiting writes share one transaction, so that a write waits for at most one other, and the owner never
+// blocks.
 type writeQueue struct {
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards pending
 	pending writeBatch
-	// waiting tells that there is a batch.
+	// ready signals that a batch is pending.
 	ready chan struct{}
 }
 
-// batch is what one transaction writes.
+// writeBatch is the content of one transaction.
 type writeBatch struct {
 	save *cell.Save
-	// enlist is the newest wish to name the workers in use. It names those of the ones before as well.
+	// enlist is the newest list of the workers in use. It includes the workers of the earlier lists.
 	enlist *cell.RecordWorkers
-	// since is when the first of them came.
+	// queuedAt is when the first write of the batch was queued.
 	queuedAt time.Time
 }
 
 func newWriteQueue() *writeQueue { return &writeQueue{ready: make(chan struct{}, 1)} }
 
-// add puts a write into the next batch. The core orders a save only once the one before is kept.
+// add adds a write to the next batch. The core orders a save only after the previous one has been stored.
 func (wq *writeQueue) add(now time.Time, od cell.Order) {
 	wq.mu.Lock()
 	if wq.pending.queuedAt.IsZero() {
@@ -51,7 +52,7 @@
 	}
 }
 
-// take returns the next batch; it is empty if none waits.
+// takeBatch returns the next batch, which is empty if no write is waiting.
 func (wq *writeQueue) takeBatch() writeBatch {
 	wq.mu.Lock()
 	defer wq.mu.Unlock()
@@ -60,7 +61,7 @@
 	return next
 }
 
-// write carries out the owner's writes to the store until the context ends.
+// runWrites carries out the owner's writes until the context ends.
 func (ow *owner) runWrites(ctx context.Context) {
 	for {
 		select {
@@ -75,7 +76,7 @@
 	}
 }
 
-// waited notes how long a batch waited for the one before.
+// recordWriteWait records how long a batch waited for the previous one.
 func (ow *owner) recordWriteWait(wb writeBatch) {
 	waited := ow.fl.opts.Now().Sub(wb.queuedAt)
 	ow.fl.metrics.writeWait.Update(waited.Microseconds())
@@ -84,7 +85,8 @@
 	}
 }
 
-// keep writes a batch. It is tried until the store says how it ended, since a try without an answer may still be carried out.
+// commitBatch writes a batch. It retries until the outcome is known, since the store may still carry out an attempt that it has
+// not answered.
 func (ow *owner) commitBatch(ctx context.Context, wb writeBatch) {
 	tx := Tx{Expect: []Expect{{ow.rowPlace(), ow.rowVersion.Load()}}}
 	if err := ow.addProgress(&tx, wb.save); err != nil {
@@ -109,7 +111,7 @@
 	ow.post(func(cr *cell.Core, now time.Time) { wb.notifyCore(cr, now, version) })
 }
 
-// done tells the core that a batch is written.
+// notifyCore reports a committed batch to the core.
 func (wb writeBatch) notifyCore(cr *cell.Core, now time.Time, version int64) {
 	if wb.enlist != nil {
 		cr.WorkersRecorded(wb.enlist.Workers)
@@ -120,7 +122,7 @@
 	}
 }
 
-// addSave adds progress rows to a transaction.
+// addProgress adds the rows of a save to a transaction.
 func (ow *owner) addProgress(tx *Tx, sv *cell.Save) error {
 	if sv == nil {
 		return nil
@@ -137,7 +139,7 @@
 	return nil
 }
 
-// addWorkers adds the cell's row with the workers that are used.
+// addWorkers adds the cell's row with the list of workers in use to a transaction.
 func (ow *owner) addWorkers(tx *Tx, en *cell.RecordWorkers) error {
 	if en == nil {
 		return nil
