--- a/cell/cell_test.go
+++ b/cell/cell_test.go
@@ -7,70 +7,70 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// TestFailedEndCountsOnce: an end that was kept but not acknowledged is listed again to the next owner.
-func TestFailedEndCountsOnce(t *testing.T) {
-	bd := newBed(t, 1)
+// TestRepeatedFailedEndCountsOnce: an end that was kept but not acknowledged is listed again to the next owner.
+func TestRepeatedFailedEndCountsOnce(t *testing.T) {
+	bd := newTestBed(t, 1)
 	pg := &job.Progress{FailedAttempts: map[string][]string{"0.0.0": {"1@w0"}}}
-	bd.core.Add(bd.now, StoredJob{Spec: &job.Spec{ID: "j", Queue: "q", Pool: bedPool, Steps: []job.Step{tasks(1)}, Epoch: 1}, Progress: pg, Version: 7})
+	bd.core.Add(bd.now, StoredJob{Spec: &job.Spec{ID: "j", Queue: "q", Pool: testPool, Steps: []job.Step{taskStep(1)}, Epoch: 1}, Progress: pg, Version: 7})
 	if st := bd.wantStarts(bd.plan(), 1)[0]; st.Attempt != 2 {
 		t.Fatalf("attempt %d, want 2", st.Attempt)
 	}
-	lk := bd.nextLook("w0")
+	lk := bd.waitForPoll("w0")
 	task := job.Task{Job: "j"}
-	bd.looked(lk, []Running{{Task: task, Attempt: 2}}, []End{{Number: 1, Task: task, Attempt: 1, Reason: EndFailed}})
-	bd.saved = true
-	bd.pass(time.Second)
+	bd.answerPoll(lk, []Running{{Task: task, Attempt: 2}}, []End{{Number: 1, Task: task, Attempt: 1, Reason: EndFailed}})
+	bd.autoSave = true
+	bd.advance(time.Second)
 	bd.plan()
 	if state, _ := bd.core.State("j"); state != job.Running {
 		t.Fatalf("the job is %s after one failed attempt of two", state)
 	}
 }
 
-// TestJobFailsAfterItsAttempts: as many failed attempts as the queue allows, and not one start more.
-func TestJobFailsAfterItsAttempts(t *testing.T) {
-	bd := newBed(t, 2)
-	bd.add("j", bedEpoch, tasks(1))
+// TestJobFailsAfterMaxAttempts: as many failed attempts as the queue allows, and not one start more.
+func TestJobFailsAfterMaxAttempts(t *testing.T) {
+	bd := newTestBed(t, 2)
+	bd.addJob("j", testEpoch, taskStep(1))
 	for attempt := range 2 {
 		st := bd.wantStarts(bd.plan(), 1)[0]
-		bd.ordered(st, Done)
-		bd.looked(bd.nextLook(st.Worker), nil, []End{bd.end(st, EndFailed)})
-		bd.saved = true
+		bd.answerOrder(st, Done)
+		bd.answerPoll(bd.waitForPoll(st.Worker), nil, []End{bd.newEnd(st, EndFailed)})
+		bd.autoSave = true
 		if int(st.Attempt) != attempt+1 {
 			t.Fatalf("attempt %d, want %d", st.Attempt, attempt+1)
 		}
 	}
-	bd.pass(time.Second)
+	bd.advance(time.Second)
 	bd.wantStarts(bd.plan(), 0)
 	if state, _ := bd.core.State("j"); state != job.Failed {
 		t.Fatalf("the job is %s", state)
 	}
 }
 
-// TestEndIsAcknowledgedOnceItIsKept: also that of a member of a gang whose end another member has brought already.
-func TestEndIsAcknowledgedOnceItIsKept(t *testing.T) {
-	bd := newBed(t, 2)
-	gang := tasks(2)
+// TestEndIsAcknowledgedAfterSave: also that of a member of a gang whose end another member has brought already.
+func TestEndIsAcknowledgedAfterSave(t *testing.T) {
+	bd := newTestBed(t, 2)
+	gang := taskStep(2)
 	gang.Gang, gang.SpreadLimit = true, 1
-	bd.add("j", bedEpoch, gang)
+	bd.addJob("j", testEpoch, gang)
 	list := bd.wantStarts(bd.plan(), 2)
 	for _, st := range list {
-		bd.ordered(st, Done)
+		bd.answerOrder(st, Done)
 	}
 	for _, st := range list {
-		bd.looked(bd.nextLook(st.Worker), nil, []End{bd.end(st, EndDone)})
+		bd.answerPoll(bd.waitForPoll(st.Worker), nil, []End{bd.newEnd(st, EndDone)})
 	}
 	for range 20 {
-		bd.pass(100 * time.Millisecond)
-		for id, lk := range looksOf(bd.plan()) {
+		bd.advance(100 * time.Millisecond)
+		for id, lk := range pollsByWorker(bd.plan()) {
 			if lk.AckedEnd > 0 {
 				t.Fatalf("end %d of %s is acknowledged before it is kept", lk.AckedEnd, id)
 			}
-			bd.looked(lk, nil, nil)
+			bd.answerPoll(lk, nil, nil)
 		}
 	}
 	bd.core.Saved(bd.now, 9)
 	for _, st := range list {
-		if lk := bd.nextLook(st.Worker); lk.AckedEnd != 1 {
+		if lk := bd.waitForPoll(st.Worker); lk.AckedEnd != 1 {
 			t.Fatalf("acknowledged up to %d, want 1", lk.AckedEnd)
 		}
 	}
@@ -79,17 +79,17 @@
 	}
 }
 
-// TestLooksWaitNoLongerThanEndsAreToBeExpected: an answer that is lost is then missed soon; a worker without short tasks is looked at
+// TestPollWaitFollowsExpectedEnds: an answer that is lost is then missed soon; a worker without short tasks is looked at
 // rarely, since each look has its price.
-func TestLooksWaitNoLongerThanEndsAreToBeExpected(t *testing.T) {
-	bd := newBed(t, 2)
-	lasting := tasks(1)
+func TestPollWaitFollowsExpectedEnds(t *testing.T) {
+	bd := newTestBed(t, 2)
+	lasting := taskStep(1)
 	lasting.LongRunning = true
-	bd.add("l", bedEpoch, lasting)
-	bd.ordered(bd.wantStarts(bd.plan(), 1)[0], Done)
-	bd.pass(100 * time.Millisecond)
+	bd.addJob("l", testEpoch, lasting)
+	bd.answerOrder(bd.wantStarts(bd.plan(), 1)[0], Done)
+	bd.advance(100 * time.Millisecond)
 	waits := map[WorkerID]time.Duration{}
-	for id, lk := range looksOf(bd.plan()) {
+	for id, lk := range pollsByWorker(bd.plan()) {
 		waits[id] = lk.Wait
 	}
 	for id := range waits {
@@ -113,8 +113,8 @@
 	}
 }
 
-// TestObjectiveFollowsTheNumberOfTasks: the longest of many tasks takes longer than that of few, by what was learned of the queue.
-func TestObjectiveFollowsTheNumberOfTasks(t *testing.T) {
+// TestObjectiveGrowsWithTaskCount: the longest of many tasks takes longer than that of few, by what was learned of the queue.
+func TestObjectiveGrowsWithTaskCount(t *testing.T) {
 	rt := runtimes{}
 	spec := &job.Spec{Queue: "q"}
 	for range 200 {
@@ -134,14 +134,14 @@
 	}
 }
 
-// TestRoomInUseIsTheSumOfWhatIsPlaced: it is kept along with each attempt.
-func TestRoomInUseIsTheSumOfWhatIsPlaced(t *testing.T) {
-	bd := newBed(t, 2)
-	bd.add("j", bedEpoch, tasks(5))
+// TestUsedRoomIsSumOfPlacements: it is kept along with each attempt.
+func TestUsedRoomIsSumOfPlacements(t *testing.T) {
+	bd := newTestBed(t, 2)
+	bd.addJob("j", testEpoch, taskStep(5))
 	list := bd.wantStarts(bd.plan(), 5)
-	bd.ordered(list[0], Unhealthy)
-	bd.ordered(list[1], Done)
-	bd.ordered(list[2], AttemptEnded)
+	bd.answerOrder(list[0], Unhealthy)
+	bd.answerOrder(list[1], Done)
+	bd.answerOrder(list[2], AttemptEnded)
 	for _, wk := range bd.core.list {
 		var sum job.Size
 		for _, pl := range wk.placed {
@@ -153,19 +153,19 @@
 	}
 }
 
-// TestGangStartsWholeOrNotAtAll: and all members under one number.
-func TestGangStartsWholeOrNotAtAll(t *testing.T) {
-	bd := newBed(t, 2)
-	bd.add("full", bedEpoch, job.Step{Count: 2, Size: job.Size{CPUMillis: 3000}})
+// TestGangStartsCompleteOrNotAtAll: and all members under one number.
+func TestGangStartsCompleteOrNotAtAll(t *testing.T) {
+	bd := newTestBed(t, 2)
+	bd.addJob("full", testEpoch, job.Step{Count: 2, Size: job.Size{CPUMillis: 3000}})
 	for _, st := range bd.wantStarts(bd.plan(), 2) {
-		bd.ordered(st, Done)
+		bd.answerOrder(st, Done)
 	}
-	gang := tasks(3)
+	gang := taskStep(3)
 	gang.Gang = true
-	bd.add("gang", bedEpoch, gang)
+	bd.addJob("gang", testEpoch, gang)
 	bd.wantStarts(bd.plan(), 0)
 	bd.register("w2")
-	bd.lookAll()
+	bd.answerDuePolls()
 	for _, st := range bd.wantStarts(bd.plan(), 3) {
 		if st.Attempt != 1 {
 			t.Fatalf("attempt %d", st.Attempt)
@@ -173,22 +173,22 @@
 	}
 }
 
-// TestSavesFitATransaction: one row of the cell, and a condition and a write for each job, are at most 100 entries.
-func TestSavesFitATransaction(t *testing.T) {
-	bd := newBed(t, 1)
+// TestSaveFitsInTransaction: one row of the cell, and a condition and a write for each job, are at most 100 entries.
+func TestSaveFitsInTransaction(t *testing.T) {
+	bd := newTestBed(t, 1)
 	for at := range 80 {
 		id := job.ID(string(rune('a'+at/26)) + string(rune('a'+at%26)))
-		bd.add(id, bedEpoch, tasks(1))
+		bd.addJob(id, testEpoch, taskStep(1))
 		bd.core.Cancel(bd.now, id)
 	}
-	bd.pass(time.Second)
+	bd.advance(time.Second)
 	for _, od := range bd.plan() {
 		if sv, ok := od.(Save); ok && 1+2*len(sv.Rows) > 100 {
 			t.Fatalf("a save has %d entries", 1+2*len(sv.Rows))
 		}
 	}
 	bd.core.Saved(bd.now, 5)
-	bd.pass(time.Second)
+	bd.advance(time.Second)
 	saved := 0
 	for _, od := range bd.plan() {
 		if sv, ok := od.(Save); ok {
@@ -202,8 +202,8 @@
 
 // TestDueTimesAndRepeats: a run starts at its time, and the job is over when all runs are.
 func TestDueTimesAndRepeats(t *testing.T) {
-	bd := newBed(t, 1)
-	sp := &job.Spec{ID: "j", Queue: "q", Pool: bedPool, Steps: []job.Step{tasks(1)}, Epoch: bedEpoch, Repeats: 2, FirstDue: bd.now.Add(time.Second), Interval: 3 * time.Second}
+	bd := newTestBed(t, 1)
+	sp := &job.Spec{ID: "j", Queue: "q", Pool: testPool, Steps: []job.Step{taskStep(1)}, Epoch: testEpoch, Repeats: 2, FirstDue: bd.now.Add(time.Second), Interval: 3 * time.Second}
 	bd.core.Add(bd.now, StoredJob{Spec: sp})
 	for run := range 2 {
 		bd.wantStarts(bd.plan(), 0)
@@ -212,22 +212,22 @@
 		if st.Task.Run != run {
 			t.Fatalf("run %d started, want %d", st.Task.Run, run)
 		}
-		bd.ordered(st, Done)
-		bd.looked(bd.nextLook("w0"), nil, []End{bd.end(st, EndDone)})
-		bd.saved = true
+		bd.answerOrder(st, Done)
+		bd.answerPoll(bd.waitForPoll("w0"), nil, []End{bd.newEnd(st, EndDone)})
+		bd.autoSave = true
 	}
-	bd.pass(time.Second)
+	bd.advance(time.Second)
 	bd.plan()
 	if state, _ := bd.core.State("j"); state != job.Completed {
 		t.Fatalf("the job is %s", state)
 	}
 }
 
-// TestTicketsAreAskedForAndBrought: a queue whose placements need approval.
-func TestTicketsAreAskedForAndBrought(t *testing.T) {
-	bd := newBed(t, 2)
-	bd.core.Configure([]job.Queue{{ID: "q", Pool: bedPool, MaxAttempts: 2, Advice: &job.Advice{ValidFor: 3 * time.Second}}})
-	bd.add("j", bedEpoch, tasks(2))
+// TestTicketsAreRequestedAndSentWithStarts: a queue whose placements need approval.
+func TestTicketsAreRequestedAndSentWithStarts(t *testing.T) {
+	bd := newTestBed(t, 2)
+	bd.core.Configure([]job.Queue{{ID: "q", Pool: testPool, MaxAttempts: 2, Advice: &job.Advice{ValidFor: 3 * time.Second}}})
+	bd.addJob("j", testEpoch, taskStep(2))
 	var ask Advise
 	orders := bd.plan()
 	bd.wantStarts(orders, 0)
@@ -247,8 +247,8 @@
 	}
 }
 
-// TestTasksThatFillAreThrottledBeforeOthersSuffer: and released again.
-func TestTasksThatFillAreThrottledBeforeOthersSuffer(t *testing.T) {
+// TestBestEffortTasksAreThrottledNearLatencyObjective: and released again.
+func TestBestEffortTasksAreThrottledNearLatencyObjective(t *testing.T) {
 	for _, tc := range []struct {
 		pace  int
 		worst float64
@@ -260,8 +260,8 @@
 	}
 }
 
-// TestBadWorkerIsLeftAloneNotABadJob: several jobs must fail there, and one that fails everywhere condemns nobody.
-func TestBadWorkerIsLeftAloneNotABadJob(t *testing.T) {
+// TestOnlySeveralFailingJobsQuarantineWorker: several jobs must fail there, and one that fails everywhere condemns nobody.
+func TestOnlySeveralFailingJobsQuarantineWorker(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	var jd judge
 	for range 10 {
@@ -284,15 +284,15 @@
 
 // TestGrabTakesOnlyIdleWorkers: a machine that moves takes what runs there with it.
 func TestGrabTakesOnlyIdleWorkers(t *testing.T) {
-	bd := newBed(t, 2)
-	bd.add("j", bedEpoch, tasks(1))
+	bd := newTestBed(t, 2)
+	bd.addJob("j", testEpoch, taskStep(1))
 	st := bd.wantStarts(bd.plan(), 1)[0]
 	granted := bd.core.Grab(bd.now, []WorkerName{"w0", "w1"})
 	if len(granted) != 1 || granted[0] == st.Worker.Name() {
 		t.Fatalf("granted %v, %s is busy", granted, st.Worker)
 	}
-	bd.add("k", bedEpoch, tasks(4))
-	for _, next := range starts(bd.plan()) {
+	bd.addJob("k", testEpoch, taskStep(4))
+	for _, next := range startsIn(bd.plan()) {
 		if next.Worker.Name() == granted[0] {
 			t.Fatal("a worker that was given up gets a task")
 		}
--- a/cell/crash_bound_test.go
+++ b/cell/crash_bound_test.go
@@ -37,10 +37,10 @@
 			cs := newCrashes(t, 6, guiltyJobs(after, "bad0", "bad1", "bad2"))
 			cs.dark, cs.untold, cs.stranger = bc.dark, bc.untold, bc.stranger
 			for at := range 12 {
-				cs.add(job.ID(fmt.Sprintf("good%02d", at)), bedEpoch, tasks(6))
+				cs.add(job.ID(fmt.Sprintf("good%02d", at)), testEpoch, taskStep(6))
 			}
 			for at := range 3 {
-				cs.add(job.ID(fmt.Sprintf("bad%d", at)), bedEpoch, bc.step)
+				cs.add(job.ID(fmt.Sprintf("bad%d", at)), testEpoch, bc.step)
 			}
 			bc.run(cs)
 			for at := range 3 {
@@ -78,11 +78,11 @@
 // succeed gives the cell to another owner, which knows what was kept.
 func (cs *crashes) succeed() {
 	refs, exposed, before := cs.core.Release(cs.now), cs.core.UnseenLossEpoch(), cs.core
-	cs.core = New(bedPool, before.epoch+1, before.opts)
+	cs.core = New(testPool, before.epoch+1, before.opts)
 	cs.core.TakeOver(cs.now, cs.now, refs, true)
 	cs.core.NoteUnseenLosses(exposed)
-	cs.core.Configure([]job.Queue{{ID: "q", Pool: bedPool, MaxAttempts: 2, Stretch: 1.5, Slack: time.Second}})
-	cs.open = map[WorkerID]Poll{}
+	cs.core.Configure([]job.Queue{{ID: "q", Pool: testPool, MaxAttempts: 2, Stretch: 1.5, Slack: time.Second}})
+	cs.pendingPolls = map[WorkerID]Poll{}
 	for _, fr := range cs.workers {
 		fr.look = nil
 	}
@@ -109,7 +109,7 @@
 
 var (
 	quick = []time.Duration{10 * time.Millisecond, 300 * time.Millisecond, 1500 * time.Millisecond}
-	short = tasks(6)
+	short = taskStep(6)
 )
 
 // A cell changed hands each second while tasks ended their workers without a word. Of an attempt on a silent worker nothing was kept, so that
--- a/cell/crash_test.go
+++ b/cell/crash_test.go
@@ -46,7 +46,7 @@
 
 // crashes is a core whose workers crash under guilty tasks: they fall silent, are told as gone, and come back as other lives.
 type crashes struct {
-	*bed
+	*testBed
 	workers map[WorkerID]*fragile
 	// guilty says after which time a task crashes its worker; none for an innocent one.
 	guilty func(job.Task) (time.Duration, bool)
@@ -75,8 +75,8 @@
 
 func newCrashes(t *testing.T, workers int, guilty func(job.Task) (time.Duration, bool)) *crashes {
 	t.Helper()
-	cs := &crashes{bed: newBed(t, 0), workers: map[WorkerID]*fragile{}, guilty: guilty, starts: map[job.Task]int{}, specs: map[job.ID]*job.Spec{}, rows: map[job.ID]*job.Progress{}}
-	cs.saved = true
+	cs := &crashes{testBed: newTestBed(t, 0), workers: map[WorkerID]*fragile{}, guilty: guilty, starts: map[job.Task]int{}, specs: map[job.ID]*job.Spec{}, rows: map[job.ID]*job.Progress{}}
+	cs.autoSave = true
 	for range workers {
 		cs.born()
 	}
@@ -88,7 +88,7 @@
 func (cs *crashes) born() {
 	cs.lives++
 	id := WorkerID(fmt.Sprintf("w%04d", cs.lives))
-	info := Worker{ID: id, Pool: bedPool, Address: string(id), Rack: fmt.Sprintf("r%d", cs.lives%12), Room: job.Size{CPUMillis: 1000 * crashSlots, MemoryMB: 32000}}
+	info := Worker{ID: id, Pool: testPool, Address: string(id), Rack: fmt.Sprintf("r%d", cs.lives%12), Room: job.Size{CPUMillis: 1000 * crashSlots, MemoryMB: 32000}}
 	cs.workers[id] = &fragile{id: id, info: info, runs: map[job.Task]*fragileRun{}}
 	cs.core.Register(cs.now, info)
 	cs.core.WorkersRecorded([]WorkerRef{{ID: id, Address: string(id)}})
@@ -100,7 +100,7 @@
 
 // run plays a span of time.
 func (cs *crashes) run(span time.Duration) {
-	for end := cs.now.Add(span); cs.now.Before(end); cs.pass(crashTick) {
+	for end := cs.now.Add(span); cs.now.Before(end); cs.advance(crashTick) {
 		cs.happen()
 		for _, id := range slices.Sorted(maps.Keys(cs.workers)) {
 			cs.settle(cs.workers[id])
@@ -162,7 +162,7 @@
 		if cs.stranger && len(running) > 0 {
 			running = append(running, Running{Task: job.Task{Job: "stranger"}, Attempt: 1})
 		}
-		cs.looked(lk, running, fr.ends)
+		cs.answerPoll(lk, running, fr.ends)
 	}
 }
 
@@ -239,11 +239,11 @@
 			return
 		}
 		if fr == nil {
-			cs.ordered(order, NoAnswer)
+			cs.answerOrder(order, NoAnswer)
 			return
 		}
 		cs.started(fr, order)
-		cs.ordered(order, Done)
+		cs.answerOrder(order, Done)
 	case Stop:
 		if st := cs.core.find(order.Task); st != nil && st.spec.LongRunning {
 			cs.stopped = append(cs.stopped, order.Task)
@@ -252,7 +252,7 @@
 			if rn := fr.runs[order.Task]; rn != nil {
 				rn.crashes, rn.how, rn.ends = false, EndStopped, cs.now.Add(crashStopped)
 			}
-			cs.ordered(order, Done)
+			cs.answerOrder(order, Done)
 		}
 	}
 }
@@ -274,7 +274,7 @@
 
 // add hands a job in.
 func (cs *crashes) add(id job.ID, epoch job.Epoch, steps ...job.Step) {
-	cs.specs[id] = &job.Spec{ID: id, Queue: "q", Pool: bedPool, Steps: steps, Epoch: epoch, AcceptedAt: cs.now}
+	cs.specs[id] = &job.Spec{ID: id, Queue: "q", Pool: testPool, Steps: steps, Epoch: epoch, AcceptedAt: cs.now}
 	cs.core.Add(cs.now, StoredJob{Spec: cs.specs[id]})
 }
 
@@ -313,9 +313,9 @@
 		t.Run(after.String(), func(t *testing.T) {
 			cs := newCrashes(t, 6, guiltyJobs(after, "bad"))
 			for at := range 12 {
-				cs.add(job.ID(fmt.Sprintf("good%02d", at)), bedEpoch, tasks(6))
+				cs.add(job.ID(fmt.Sprintf("good%02d", at)), testEpoch, taskStep(6))
 			}
-			cs.add("bad", bedEpoch, tasks(6))
+			cs.add("bad", testEpoch, taskStep(6))
 			cs.run(20 * time.Second)
 			// Three losses may be needed to be sure; a start more than two after the third is one too many.
 			if most := 4; cs.lost > most {
@@ -359,7 +359,7 @@
 			}
 			pg.jobs++
 			pg.added[id] = pg.now
-			pg.add(id, bedEpoch, tasks(6))
+			pg.add(id, testEpoch, taskStep(6))
 			pg.run(time.Second / time.Duration(perSecond))
 		}
 		pg.count()
@@ -434,11 +434,11 @@
 				for at := range 20 {
 					id := job.ID(fmt.Sprintf("j%d%02d", wave, at))
 					ids = append(ids, id)
-					step := tasks(6)
+					step := taskStep(6)
 					if at == 0 {
 						step = job.Step{Count: 4, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true}
 					}
-					cs.add(id, bedEpoch, step)
+					cs.add(id, testEpoch, step)
 				}
 				cs.run(400 * time.Millisecond)
 				lost := 0
@@ -477,9 +477,9 @@
 	for others, want := range map[int]job.State{0: job.Failed, 2: job.Completed} {
 		cs := newCrashes(t, 8, func(job.Task) (time.Duration, bool) { return 0, false })
 		// Every worker has something to look at.
-		cs.add("lasting", bedEpoch, job.Step{Count: 8, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true, SpreadLimit: 1})
+		cs.add("lasting", testEpoch, job.Step{Count: 8, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true, SpreadLimit: 1})
 		cs.run(6 * time.Second)
-		cs.add("a", bedEpoch, tasks(1))
+		cs.add("a", testEpoch, taskStep(1))
 		task := job.Task{Job: "a"}
 		for start := 1; start <= 2; start++ {
 			for range 300 {
@@ -510,12 +510,12 @@
 func TestGangThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	for _, after := range []time.Duration{10 * time.Millisecond, 300 * time.Millisecond} {
 		cs := newCrashes(t, 8, guiltyJobs(after, "bad"))
-		gang := tasks(4)
+		gang := taskStep(4)
 		gang.Gang = true
-		cs.add("good", bedEpoch, gang)
-		cs.add("bad", bedEpoch, gang)
+		cs.add("good", testEpoch, gang)
+		cs.add("bad", testEpoch, gang)
 		for at := range 6 {
-			cs.add(job.ID(fmt.Sprintf("other%d", at)), bedEpoch, tasks(6))
+			cs.add(job.ID(fmt.Sprintf("other%d", at)), testEpoch, taskStep(6))
 		}
 		cs.run(20 * time.Second)
 		if got := cs.state("bad"); got != job.Failed || cs.lost > 4 {
--- a/cell/exposure_test.go
+++ b/cell/exposure_test.go
@@ -14,9 +14,9 @@
 // that ended where it was does.
 func TestVacatedWorkersExposeNothing(t *testing.T) {
 	for _, vacated := range []bool{true, false} {
-		bd := newBed(t, 1)
+		bd := newTestBed(t, 1)
 		bd.core.TakeOver(bd.now, bd.now, []WorkerRef{{ID: "gone", Address: "gone", Machine: "m1"}}, true)
-		bd.add("old", 1, tasks(1))
+		bd.addJob("old", 1, taskStep(1))
 		if got := bd.core.MachineOf("gone"); got != "m1" {
 			t.Fatalf("the machine is %q", got)
 		}
@@ -26,8 +26,8 @@
 			bd.core.WorkerEnded(bd.now, "gone")
 		}
 		bd.core.Plan(bd.now)
-		bd.pass(time.Millisecond)
-		if got := len(starts(bd.plan())); (got == 1) != vacated {
+		bd.advance(time.Millisecond)
+		if got := len(startsIn(bd.plan())); (got == 1) != vacated {
 			t.Errorf("vacated %t: %d starts before anything was kept", vacated, got)
 		}
 		if got := bd.core.UnseenLossEpoch() != 0; got == vacated {
@@ -38,15 +38,15 @@
 
 // A row of a cell named 91 workers of which some 30 were there, since it was written only when one came.
 func TestRowOfACellNamesNoWorkersThatAreGone(t *testing.T) {
-	bd := newBed(t, 2)
-	bd.saved = true
+	bd := newTestBed(t, 2)
+	bd.autoSave = true
 	bd.core.Unregister(bd.now, "w1")
-	bd.pass(unlistedFor + time.Second)
-	bd.add("j", bedEpoch, tasks(1))
+	bd.advance(unlistedFor + time.Second)
+	bd.addJob("j", testEpoch, taskStep(1))
 	st := bd.wantStarts(bd.plan(), 1)[0]
-	bd.ordered(st, Done)
-	bd.pass(time.Second)
-	bd.looked(bd.nextLook(st.Worker), nil, []End{bd.end(st, EndDone)})
+	bd.answerOrder(st, Done)
+	bd.advance(time.Second)
+	bd.answerPoll(bd.waitForPoll(st.Worker), nil, []End{bd.newEnd(st, EndDone)})
 	var named []WorkerRef
 	for _, od := range bd.plan() {
 		if en, ok := od.(RecordWorkers); ok {
@@ -62,20 +62,20 @@
 // ahead, and starts at once when some comes; but for tasks that need advice first.
 func TestExposedTasksAreKeptAheadOfRoom(t *testing.T) {
 	for _, advised := range []bool{false, true} {
-		bd := newBed(t, 1)
-		bd.saved = true
-		qu := job.Queue{ID: "q", Pool: bedPool, MaxAttempts: 2, Stretch: 1.5, Slack: time.Second}
+		bd := newTestBed(t, 1)
+		bd.autoSave = true
+		qu := job.Queue{ID: "q", Pool: testPool, MaxAttempts: 2, Stretch: 1.5, Slack: time.Second}
 		if advised {
 			qu.Advice = &job.Advice{}
 		}
-		bd.add("first", bedEpoch, tasks(4))
+		bd.addJob("first", testEpoch, taskStep(4))
 		first := bd.wantStarts(bd.plan(), 4)
 		for _, st := range first {
-			bd.ordered(st, Done)
+			bd.answerOrder(st, Done)
 		}
 		bd.core.Configure([]job.Queue{qu})
-		bd.core.NoteUnseenLosses(bedEpoch)
-		bd.add("old", 1, tasks(4))
+		bd.core.NoteUnseenLosses(testEpoch)
+		bd.addJob("old", 1, taskStep(4))
 		bd.wantStarts(bd.plan(), 0)
 		ahead := 0
 		for _, in := range bd.core.intents {
@@ -87,13 +87,13 @@
 		if want := map[bool]int{false: 2, true: 0}[advised]; ahead != want {
 			t.Errorf("advised %t: %d starts are kept ahead, want %d", advised, ahead, want)
 		}
-		bd.pass(time.Second)
+		bd.advance(time.Second)
 		var running []Running
 		for _, st := range first[1:] {
 			running = append(running, Running{Task: st.Task, Attempt: st.Attempt})
 		}
-		bd.looked(bd.nextLook("w0"), running, []End{bd.end(first[0], EndDone)})
-		if got := len(starts(bd.plan())); !advised && got != 1 {
+		bd.answerPoll(bd.waitForPoll("w0"), running, []End{bd.newEnd(first[0], EndDone)})
+		if got := len(startsIn(bd.plan())); !advised && got != 1 {
 			t.Errorf("%d starts when there is room for one", got)
 		}
 	}
@@ -102,8 +102,8 @@
 // A cell was handed over between the word that a worker of an earlier owner had ended and the next confirmation. The row named that worker no more
 // and told of no exposed jobs, so that the start which had ended it was never counted: one task ended five workers as attempt 1.
 func TestHandoverNamesWorkersThatEndedUnseen(t *testing.T) {
-	bd := newBed(t, 1)
-	bd.saved = true
+	bd := newTestBed(t, 1)
+	bd.autoSave = true
 	bd.core.TakeOver(bd.now, bd.now, []WorkerRef{{ID: "gone", Address: "gone", Machine: "m1"}}, false)
 	bd.core.WorkerEnded(bd.now, "gone")
 	bd.core.Plan(bd.now)
@@ -111,12 +111,12 @@
 	if !slices.ContainsFunc(refs, func(rf WorkerRef) bool { return rf.ID == "gone" }) {
 		t.Errorf("the row names %+v", refs)
 	}
-	next := New(bedPool, bedEpoch+1, Options{})
+	next := New(testPool, testEpoch+1, Options{})
 	next.TakeOver(bd.now, bd.now, refs, true)
 	next.NoteUnseenLosses(bd.core.UnseenLossEpoch())
-	next.Add(bd.now, StoredJob{Spec: &job.Spec{ID: "j", Queue: "q", Pool: bedPool, Steps: []job.Step{tasks(1)}, Epoch: 1}})
+	next.Add(bd.now, StoredJob{Spec: &job.Spec{ID: "j", Queue: "q", Pool: testPool, Steps: []job.Step{taskStep(1)}, Epoch: 1}})
 	next.WorkerEnded(bd.now, "gone")
-	bd.pass(time.Second)
+	bd.advance(time.Second)
 	next.OwnershipConfirmed(bd.now)
 	next.Plan(bd.now)
 	if next.UnseenLossEpoch() == 0 {
@@ -126,20 +126,20 @@
 
 // The row of a cell went on naming an ended worker of earlier owners after that was resolved, and each next owner waited for it again.
 func TestRowOfACellNamesNoEndedWorkerThatIsResolved(t *testing.T) {
-	bd := newBed(t, 1)
-	bd.saved = true
+	bd := newTestBed(t, 1)
+	bd.autoSave = true
 	bd.core.TakeOver(bd.now, bd.now, []WorkerRef{{ID: "gone", Address: "gone"}}, true)
 	bd.core.WorkerEnded(bd.now, "gone")
 	named := true
 	for at := range 3 {
-		bd.add(job.ID(fmt.Sprint("j", at)), bedEpoch, tasks(1))
+		bd.addJob(job.ID(fmt.Sprint("j", at)), testEpoch, taskStep(1))
 		bd.core.Cancel(bd.now, job.ID(fmt.Sprint("j", at)))
 		for _, od := range bd.plan() {
 			if en, ok := od.(RecordWorkers); ok {
 				named = slices.ContainsFunc(en.Workers, func(rf WorkerRef) bool { return rf.ID == "gone" })
 			}
 		}
-		bd.pass(2 * tidyEvery)
+		bd.advance(2 * tidyEvery)
 	}
 	if named {
 		t.Error("the row still names the worker after it was resolved")
--- a/cell/life_test.go
+++ b/cell/life_test.go
@@ -18,9 +18,9 @@
 }
 
 // lifeBed is a bed whose one worker started again, with both lives known.
-func lifeBed(t *testing.T) (bd *bed, first, second Worker) {
+func lifeBed(t *testing.T) (bd *testBed, first, second Worker) {
 	t.Helper()
-	bd = newBed(t, 1)
+	bd = newTestBed(t, 1)
 	first, second = bd.core.list[0].info, bd.core.list[0].info
 	bd.core.remove(bd.core.list[0])
 	first.ID, second.ID = NewWorkerID("w0", 1000), NewWorkerID("w0", 2000)
@@ -35,11 +35,11 @@
 // The machine of a worker that had started again was taken for empty since the former life was, and tasks of the new one were stopped with it.
 func TestWorkerIsClearOnceAllItsLivesAre(t *testing.T) {
 	bd, first, second := lifeBed(t)
-	for _, lk := range looksOf(bd.plan()) {
-		bd.looked(lk, nil, nil)
+	for _, lk := range pollsByWorker(bd.plan()) {
+		bd.answerPoll(lk, nil, nil)
 	}
 	bd.core.HandlePoll(bd.now, PollResult{Poll: Poll{Worker: first.ID}, Outcome: WrongIncarnation, Received: bd.now})
-	bd.add("j", bedEpoch, tasks(1))
+	bd.addJob("j", testEpoch, taskStep(1))
 	if st := bd.wantStarts(bd.plan(), 1)[0]; st.Worker != second.ID {
 		t.Fatalf("started on %s", st.Worker)
 	}
@@ -47,8 +47,8 @@
 		t.Error("a worker with a task counts as clear")
 	}
 	bd.core.Cordon(map[WorkerName]bool{"w0": true})
-	bd.add("k", bedEpoch, tasks(1))
-	if more := starts(bd.plan()); len(more) > 0 {
+	bd.addJob("k", testEpoch, taskStep(1))
+	if more := startsIn(bd.plan()); len(more) > 0 {
 		t.Errorf("a worker whose machine is wanted gets %v", more)
 	}
 }
@@ -57,7 +57,7 @@
 func TestFirstLookAtTheNextLifeIsAboveAllOrdersOfTheFormer(t *testing.T) {
 	bd, first, second := lifeBed(t)
 	tokens := map[WorkerID]Token{}
-	for _, lk := range looksOf(bd.plan()) {
+	for _, lk := range pollsByWorker(bd.plan()) {
 		tokens[lk.Worker] = max(tokens[lk.Worker], lk.Token)
 	}
 	third := second
@@ -65,8 +65,8 @@
 	bd.core.WorkerEnded(bd.now, first.ID)
 	bd.core.WorkerEnded(bd.now, second.ID)
 	bd.core.Register(bd.now, third)
-	bd.pass(time.Second)
-	lks := looksOf(bd.plan())
+	bd.advance(time.Second)
+	lks := pollsByWorker(bd.plan())
 	if len(lks) != 1 || lks[third.ID].Token <= max(tokens[first.ID], tokens[second.ID]) {
 		t.Errorf("looks %+v after tokens %v", lks, tokens)
 	}
@@ -76,36 +76,36 @@
 // It took the former life's end for the end of what had been ordered there, and started the task a second time.
 func TestNextLifeIsLookedAtBeforeASuccessorStartsWhatTheFormerMayHave(t *testing.T) {
 	for _, looked := range []bool{true, false} {
-		bd := newBed(t, 2)
-		bd.saved = true
+		bd := newTestBed(t, 2)
+		bd.autoSave = true
 		first, second := bd.core.list[0].info, bd.core.list[0].info
 		bd.core.remove(bd.core.list[0])
 		first.ID, second.ID = NewWorkerID("w0", 1000), NewWorkerID("w0", 2000)
 		bd.core.TakeOver(bd.now, bd.now, []WorkerRef{{ID: first.ID, Address: first.Address}}, false)
 		bd.core.Register(bd.now, second)
 		bd.core.WorkersRecorded([]WorkerRef{{ID: second.ID}})
-		bd.add("j", 1, tasks(1))
+		bd.addJob("j", 1, taskStep(1))
 		bd.core.WorkerEnded(bd.now, first.ID)
-		bd.pass(time.Second)
-		lks := looksOf(bd.plan())
-		bd.pass(10 * time.Millisecond)
+		bd.advance(time.Second)
+		lks := pollsByWorker(bd.plan())
+		bd.advance(10 * time.Millisecond)
 		// What is exposed is kept in the first round and would start in the second.
-		if got := len(starts(append(bd.plan(), bd.plan()...))); got != 0 {
+		if got := len(startsIn(append(bd.plan(), bd.plan()...))); got != 0 {
 			t.Fatalf("%d tasks start while the next life may be at them", got)
 		}
 		if !looked {
-			if got := bd.silenced(second.ID, strayFor+strayRuns-2*time.Second); got != 0 {
+			if got := bd.runUnresponsive(second.ID, strayFor+strayRuns-2*time.Second); got != 0 {
 				t.Errorf("%d tasks start before what the next life may be at is over", got)
 			}
-			if got := bd.silenced(second.ID, 3*time.Second); got == 0 {
+			if got := bd.runUnresponsive(second.ID, 3*time.Second); got == 0 {
 				t.Error("no task starts once it is over")
 			}
 			continue
 		}
 		tk := job.Task{Job: "j"}
-		bd.looked(lks[second.ID], []Running{{Task: tk, Attempt: 1}}, nil)
-		bd.pass(10 * time.Millisecond)
-		if got := len(starts(bd.plan())); got != 0 || bd.core.list[0].places[tk] == nil {
+		bd.answerPoll(lks[second.ID], []Running{{Task: tk, Attempt: 1}}, nil)
+		bd.advance(10 * time.Millisecond)
+		if got := len(startsIn(bd.plan())); got != 0 || bd.core.list[0].places[tk] == nil {
 			t.Errorf("%d tasks start, placed %v, want the run adopted", got, bd.core.list[0].places)
 		}
 	}
@@ -114,29 +114,29 @@
 // An owner that waited for a start without an answer was replaced. The cell's row did not name the life any more of which it had been ordered, so
 // that nobody waited.
 func TestSuccessorIsToldOfStartsThatTheNextLifeMayCarryOut(t *testing.T) {
-	bd := newBed(t, 1)
+	bd := newTestBed(t, 1)
 	first := bd.core.list[0].info
 	bd.core.remove(bd.core.list[0])
 	first.ID = NewWorkerID("w0", 1000)
 	bd.core.Register(bd.now, first)
 	bd.core.WorkersRecorded([]WorkerRef{{ID: first.ID}})
-	bd.lookAll()
-	bd.add("j", bedEpoch, tasks(1))
-	bd.ordered(bd.wantStarts(bd.plan(), 1)[0], NoAnswer)
+	bd.answerDuePolls()
+	bd.addJob("j", testEpoch, taskStep(1))
+	bd.answerOrder(bd.wantStarts(bd.plan(), 1)[0], NoAnswer)
 	bd.core.WorkerEnded(bd.now, first.ID)
-	bd.saved = true
-	bd.pass(time.Second)
+	bd.autoSave = true
+	bd.advance(time.Second)
 	bd.plan()
 	refs := bd.core.Release(bd.now)
 	if len(refs) != 1 || refs[0].ID != first.ID || !refs[0].Ended || refs[0].Remaining != strayFor-time.Second {
 		t.Fatalf("the row names %+v", refs)
 	}
-	next := New(bedPool, bedEpoch+1, Options{})
+	next := New(testPool, testEpoch+1, Options{})
 	next.TakeOver(bd.now, bd.now, refs, true)
 	if got := next.Release(bd.now); len(got) != 1 || got[0].Remaining != strayFor-time.Second {
 		t.Errorf("the next one passes on %+v", got)
 	}
-	bd.pass(strayFor)
+	bd.advance(strayFor)
 	bd.plan()
 	if refs := bd.core.Release(bd.now); len(refs) != 0 {
 		t.Errorf("the row still names %+v once the start is void", refs)
@@ -147,23 +147,23 @@
 // seconds. An owner that had given it five, and heard no more of it, started its tasks elsewhere while they ran.
 func TestLeaseOfALifeThatBeganLatelyMayBeLonger(t *testing.T) {
 	for age, lapses := range map[time.Duration]bool{time.Second: false, time.Minute: true} {
-		bd := newBed(t, 2)
+		bd := newTestBed(t, 2)
 		in := bd.core.list[0].info
 		bd.core.remove(bd.core.list[0])
 		in.ID = NewWorkerID("w0", bd.now.Add(-age).UnixMilli())
 		bd.core.Register(bd.now, in)
 		bd.core.WorkersRecorded([]WorkerRef{{ID: in.ID}})
-		bd.lookAll()
-		bd.add("j", bedEpoch, tasks(8))
+		bd.answerDuePolls()
+		bd.addJob("j", testEpoch, taskStep(8))
 		for _, st := range bd.wantStarts(bd.plan(), 8) {
-			bd.ordered(st, Done)
+			bd.answerOrder(st, Done)
 		}
 		wk := bd.core.workers[in.ID]
-		bd.silenced(in.ID, 8*time.Second)
+		bd.runUnresponsive(in.ID, 8*time.Second)
 		if got := len(wk.places) == 0; got != lapses {
 			t.Errorf("began %v ago: lapsed after 8 s %t, want %t", age, got, lapses)
 		}
-		bd.silenced(in.ID, 4*time.Second)
+		bd.runUnresponsive(in.ID, 4*time.Second)
 		if len(wk.places) > 0 {
 			t.Errorf("began %v ago: not lapsed after 12 s", age)
 		}
--- a/cell/plague_test.go
+++ b/cell/plague_test.go
@@ -15,7 +15,7 @@
 	for at := range count {
 		id := job.ID(fmt.Sprintf("lasting%d", at))
 		ids = append(ids, id)
-		cs.add(id, bedEpoch, job.Step{Count: 5, Size: job.Size{CPUMillis: 500, MemoryMB: 200}, LongRunning: true, HasDisruptionBudget: true, DisruptionBudget: 1})
+		cs.add(id, testEpoch, job.Step{Count: 5, Size: job.Size{CPUMillis: 500, MemoryMB: 200}, LongRunning: true, HasDisruptionBudget: true, DisruptionBudget: 1})
 	}
 	return ids
 }
@@ -79,7 +79,7 @@
 			}
 			pg.jobs++
 			pg.added[id] = pg.now
-			pg.add(id, bedEpoch, tasks(10))
+			pg.add(id, testEpoch, taskStep(10))
 			pg.run(time.Second / time.Duration(perSecond))
 			pg.count()
 		}
@@ -89,11 +89,11 @@
 
 // A job was given up, and its tasks that ran well were stopped before its callers could see that it had failed.
 func TestTasksOfAJobThatFailedRunUntilItsEndIsKept(t *testing.T) {
-	bd := newBed(t, 2)
-	bd.add("j", bedEpoch, job.Step{Count: 2, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true, HasDisruptionBudget: true, DisruptionBudget: 0})
+	bd := newTestBed(t, 2)
+	bd.addJob("j", testEpoch, job.Step{Count: 2, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true, HasDisruptionBudget: true, DisruptionBudget: 0})
 	sts := bd.wantStarts(bd.plan(), 2)
 	for _, st := range sts {
-		bd.ordered(st, Done)
+		bd.answerOrder(st, Done)
 	}
 	js := bd.core.jobs["j"]
 	bd.core.giveUp(bd.now, js.runs[0].steps[0].tasks[0].place, nil)
@@ -123,7 +123,7 @@
 	cs := newCrashes(t, 20, func(job.Task) (time.Duration, bool) { return 0, false })
 	cs.core.plague(cs.now, "q")
 	for at := range 40 {
-		cs.add(job.ID(fmt.Sprintf("j%02d", at)), bedEpoch, tasks(4))
+		cs.add(job.ID(fmt.Sprintf("j%02d", at)), testEpoch, taskStep(4))
 	}
 	used := func() int {
 		count := 0
@@ -144,7 +144,7 @@
 	}
 	cs.run(yieldFor)
 	for at := range 40 {
-		cs.add(job.ID(fmt.Sprintf("k%02d", at)), bedEpoch, tasks(4))
+		cs.add(job.ID(fmt.Sprintf("k%02d", at)), testEpoch, taskStep(4))
 	}
 	cs.run(2 * crashTick)
 	if got := used(); got <= givenLeast {
--- a/cell/preempt_test.go
+++ b/cell/preempt_test.go
@@ -8,27 +8,27 @@
 )
 
 // preemptBed is one worker with four cores, full of a job of low priority that has come so far.
-func preemptBed(t *testing.T, low job.Step, progress ...int) (*bed, []Start) {
-	bd := newBed(t, 1)
+func preemptBed(t *testing.T, low job.Step, progress ...int) (*testBed, []Start) {
+	bd := newTestBed(t, 1)
 	bd.core.Configure([]job.Queue{
-		{ID: "q", Pool: bedPool, Priority: 3, MaxAttempts: 2, Stretch: 3, Slack: time.Minute},
-		{ID: "first", Pool: bedPool, Priority: 0, MaxAttempts: 2, Stretch: 3, Slack: 10 * time.Second},
+		{ID: "q", Pool: testPool, Priority: 3, MaxAttempts: 2, Stretch: 3, Slack: time.Minute},
+		{ID: "first", Pool: testPool, Priority: 0, MaxAttempts: 2, Stretch: 3, Slack: 10 * time.Second},
 	})
-	bd.add("low", bedEpoch, low)
+	bd.addJob("low", testEpoch, low)
 	list := bd.wantStarts(bd.plan(), 4)
 	for at, st := range list {
-		bd.ordered(st, Done)
+		bd.answerOrder(st, Done)
 		bd.core.workers["w0"].places[st.Task].progress = progress[at]
 	}
 	return bd, list
 }
 
 // urge hands in a job of the queue that goes first and returns the tasks that are stopped for it within a time.
-func (bd *bed) urge(count int, within time.Duration) []job.Task {
-	step := tasks(count)
-	bd.core.Add(bd.now, StoredJob{Spec: &job.Spec{ID: "urgent", Queue: "first", Pool: bedPool, Steps: []job.Step{step}, Epoch: bedEpoch}})
+func (bd *testBed) urge(count int, within time.Duration) []job.Task {
+	step := taskStep(count)
+	bd.core.Add(bd.now, StoredJob{Spec: &job.Spec{ID: "urgent", Queue: "first", Pool: testPool, Steps: []job.Step{step}, Epoch: testEpoch}})
 	var stopped []job.Task
-	for until := bd.now.Add(within); bd.now.Before(until); bd.pass(50 * time.Millisecond) {
+	for until := bd.now.Add(within); bd.now.Before(until); bd.advance(50 * time.Millisecond) {
 		for _, od := range bd.plan() {
 			if sp, ok := od.(Stop); ok {
 				stopped = append(stopped, sp.Task)
@@ -40,13 +40,13 @@
 
 // TestTaskOfALowerPriorityMakesRoom: the one that has come least far, once and not at once, and what goes first gets its room.
 func TestTaskOfALowerPriorityMakesRoom(t *testing.T) {
-	bd, list := preemptBed(t, tasks(4), 60, 20, 40, 80)
+	bd, list := preemptBed(t, taskStep(4), 60, 20, 40, 80)
 	if early := bd.urge(1, preemptAfter-time.Millisecond); len(early) != 0 {
 		t.Fatalf("%v stopped at once", early)
 	}
 	var stopped []job.Task
 	for range 6 {
-		bd.pass(50 * time.Millisecond)
+		bd.advance(50 * time.Millisecond)
 		for _, od := range bd.plan() {
 			if sp, ok := od.(Stop); ok {
 				stopped = append(stopped, sp.Task)
@@ -56,8 +56,8 @@
 	if len(stopped) != 1 || stopped[0] != list[1].Task {
 		t.Fatalf("stopped %v, want %v", stopped, list[1].Task)
 	}
-	bd.pass(100 * time.Millisecond)
-	bd.looked(bd.nextLook("w0"), []Running{{Task: list[0].Task, Attempt: 1}, {Task: list[2].Task, Attempt: 1}, {Task: list[3].Task, Attempt: 1}}, []End{bd.end(list[1], EndStopped)})
+	bd.advance(100 * time.Millisecond)
+	bd.answerPoll(bd.waitForPoll("w0"), []Running{{Task: list[0].Task, Attempt: 1}, {Task: list[2].Task, Attempt: 1}, {Task: list[3].Task, Attempt: 1}}, []End{bd.newEnd(list[1], EndStopped)})
 	if st := bd.wantStarts(bd.plan(), 1)[0]; st.Task.Job != "urgent" {
 		t.Errorf("%s gets the room", st.Task.Job)
 	}
@@ -65,7 +65,7 @@
 
 // TestWhatLastsAndGangsMakeNoRoom: nor do jobs of the same priority.
 func TestWhatLastsAndGangsMakeNoRoom(t *testing.T) {
-	lasting, gang := tasks(4), tasks(4)
+	lasting, gang := taskStep(4), taskStep(4)
 	lasting.LongRunning, gang.Gang = true, true
 	for name, low := range map[string]job.Step{"lasting": lasting, "gang": gang} {
 		bd, _ := preemptBed(t, low, 10, 10, 10, 10)
@@ -73,8 +73,8 @@
 			t.Errorf("%s: %v stopped", name, stopped)
 		}
 	}
-	bd, _ := preemptBed(t, tasks(4), 10, 10, 10, 10)
-	bd.core.Configure([]job.Queue{{ID: "first", Pool: bedPool, Priority: 3, MaxAttempts: 2, Stretch: 3, Slack: 10 * time.Second}})
+	bd, _ := preemptBed(t, taskStep(4), 10, 10, 10, 10)
+	bd.core.Configure([]job.Queue{{ID: "first", Pool: testPool, Priority: 3, MaxAttempts: 2, Stretch: 3, Slack: 10 * time.Second}})
 	if stopped := bd.urge(2, 2*time.Second); len(stopped) != 0 {
 		t.Errorf("the same priority: %v stopped", stopped)
 	}
@@ -90,14 +90,14 @@
 // TestWaitingForRoomWakesNobody: where nothing of a lower priority runs there is nothing to come back for; with a thousand jobs that wait
 // the cell would plan all the time.
 func TestWaitingForRoomWakesNobody(t *testing.T) {
-	bd, _ := preemptBed(t, tasks(4), 10, 10, 10, 10)
-	bd.core.Configure([]job.Queue{{ID: "first", Pool: bedPool, Priority: 3, MaxAttempts: 2, Stretch: 3, Slack: 10 * time.Second}})
+	bd, _ := preemptBed(t, taskStep(4), 10, 10, 10, 10)
+	bd.core.Configure([]job.Queue{{ID: "first", Pool: testPool, Priority: 3, MaxAttempts: 2, Stretch: 3, Slack: 10 * time.Second}})
 	// The look is answered, so that only what waits could wake the cell.
-	bd.pass(bd.core.opts.PollInterval)
+	bd.advance(bd.core.opts.PollInterval)
 	bd.plan()
-	bd.core.Add(bd.now, StoredJob{Spec: &job.Spec{ID: "wait", Queue: "first", Pool: bedPool, Steps: []job.Step{tasks(1)}, Epoch: bedEpoch}})
+	bd.core.Add(bd.now, StoredJob{Spec: &job.Spec{ID: "wait", Queue: "first", Pool: testPool, Steps: []job.Step{taskStep(1)}, Epoch: testEpoch}})
 	bd.plan()
-	bd.pass(preemptAfter - 100*time.Millisecond)
+	bd.advance(preemptAfter - 100*time.Millisecond)
 	bd.plan()
 	if early := bd.core.Wake().Sub(bd.now); early < idleWake {
 		t.Errorf("the cell is to plan again after %v, %v is the longest", early, idleWake)
@@ -106,9 +106,9 @@
 
 // Of a paused queue nothing is started and no machine asked for; it goes on where it was.
 func TestPausedQueueStartsNothing(t *testing.T) {
-	bd := newBed(t, 2)
+	bd := newTestBed(t, 2)
 	bd.core.SetPausedQueues(map[job.QueueID]bool{"q": true})
-	bd.add("a", bedEpoch, tasks(3))
+	bd.addJob("a", testEpoch, taskStep(3))
 	bd.wantStarts(bd.plan(), 0)
 	if needed := bd.core.Load(bd.now).Needed; needed != 0 {
 		t.Errorf("%v machines are asked for", needed)
--- a/cell/reserve_test.go
+++ b/cell/reserve_test.go
@@ -11,18 +11,18 @@
 // TestRoomIsKeptForTasksThatLast: in a pool that is full of short tasks, each of which makes room for the next as it ends, a larger task
 // that lasts gets its room within the time of a few of them.
 func TestRoomIsKeptForTasksThatLast(t *testing.T) {
-	bd := newBed(t, 2)
-	bd.saved = true
+	bd := newTestBed(t, 2)
+	bd.autoSave = true
 	short := job.Step{Count: 1, Size: job.Size{CPUMillis: 500, MemoryMB: 100}}
 	lasting := job.Step{Count: 1, Size: job.Size{CPUMillis: 2000, MemoryMB: 100}, LongRunning: true}
 	running, next := []Start{}, 0
 	fill := func() bool {
 		for len(bd.core.open) < 40 {
-			bd.add(job.ID(fmt.Sprintf("s%04d", next)), bedEpoch, short)
+			bd.addJob(job.ID(fmt.Sprintf("s%04d", next)), testEpoch, short)
 			next++
 		}
-		for _, st := range starts(bd.plan()) {
-			bd.ordered(st, Done)
+		for _, st := range startsIn(bd.plan()) {
+			bd.answerOrder(st, Done)
 			if st.Task.Job == "lasting" {
 				return true
 			}
@@ -31,20 +31,20 @@
 		return false
 	}
 	fill()
-	bd.add("lasting", bedEpoch, lasting)
+	bd.addJob("lasting", testEpoch, lasting)
 	for round := range 20 {
-		bd.pass(50 * time.Millisecond)
+		bd.advance(50 * time.Millisecond)
 		// The oldest task ends.
 		st := running[0]
 		running = running[1:]
-		lk := bd.nextLook(st.Worker)
+		lk := bd.waitForPoll(st.Worker)
 		var left []Running
 		for _, other := range running {
 			if other.Worker == st.Worker {
 				left = append(left, Running{Task: other.Task, Attempt: other.Attempt})
 			}
 		}
-		bd.looked(lk, left, []End{bd.end(st, EndDone)})
+		bd.answerPoll(lk, left, []End{bd.newEnd(st, EndDone)})
 		if fill() {
 			t.Logf("started after %d ends", round+1)
 			return
@@ -56,7 +56,7 @@
 // TestLateJobsGoByWhatCanStillBeSaved: of late jobs the smallest goes first, and one that cannot end before it is of no worth goes after all
 // that can, and asks for few machines.
 func TestLateJobsGoByWhatCanStillBeSaved(t *testing.T) {
-	bd := newBed(t, 1)
+	bd := newTestBed(t, 1)
 	// Run times of 1 s are known; the objective of a short chain is then some 2.5 s.
 	bd.core.run["q"] = runtime{task: time.Second, spread: firstSpread}
 	for _, known := range bd.core.run {
@@ -64,14 +64,14 @@
 			t.Fatal("the run time is not known")
 		}
 	}
-	bd.add("overdue", bedEpoch, tasks(1))
-	bd.pass(2 * time.Second)
+	bd.addJob("overdue", testEpoch, taskStep(1))
+	bd.advance(2 * time.Second)
 	// After 7 s half a second of its worth is left, and its task takes a second.
-	bd.add("hopeless", bedEpoch, tasks(1))
-	bd.pass(5 * time.Second)
-	bd.add("large", bedEpoch, tasks(4))
-	bd.add("small", bedEpoch, tasks(2))
-	bd.pass(2 * time.Second)
+	bd.addJob("hopeless", testEpoch, taskStep(1))
+	bd.advance(5 * time.Second)
+	bd.addJob("large", testEpoch, taskStep(4))
+	bd.addJob("small", testEpoch, taskStep(2))
+	bd.advance(2 * time.Second)
 	var order []job.ID
 	for _, js := range bd.core.sorted(bd.now, bd.core.open, 1) {
 		order = append(order, js.spec.ID)
--- a/cell/speed_test.go
+++ b/cell/speed_test.go
@@ -11,31 +11,31 @@
 )
 
 // speedBed is a bed whose queue's run times are known.
-func speedBed(t *testing.T, workers int) *bed {
-	bd := newBed(t, workers)
+func speedBed(t *testing.T, workers int) *testBed {
+	bd := newTestBed(t, workers)
 	bd.core.run["q"] = runtime{task: time.Second, spread: firstSpread, ends: trustEnds, first: bd.now.Add(-time.Minute)}
 	return bd
 }
 
 // come has a worker tell how far its tasks have come, after a while.
-func (bd *bed) come(id WorkerID, after time.Duration, progress map[job.Task]int) {
+func (bd *testBed) come(id WorkerID, after time.Duration, progress map[job.Task]int) {
 	bd.t.Helper()
-	lk := bd.nextLook(id)
-	bd.pass(after)
+	lk := bd.waitForPoll(id)
+	bd.advance(after)
 	var running []Running
 	for _, pl := range bd.core.workers[id].placed {
 		running = append(running, Running{Task: pl.task, Attempt: pl.attempt, Progress: progress[pl.task]})
 	}
-	bd.looked(lk, running, nil)
+	bd.answerPoll(lk, running, nil)
 }
 
 // TestTasksOfASlowWorkerAreStartedElsewhere: they are stopped there first, and the worker gets nothing new.
 func TestTasksOfASlowWorkerAreStartedElsewhere(t *testing.T) {
 	bd := speedBed(t, 2)
-	bd.add("j", bedEpoch, tasks(2))
+	bd.addJob("j", testEpoch, taskStep(2))
 	list := bd.wantStarts(bd.plan(), 2)
 	for _, st := range list {
-		bd.ordered(st, Done)
+		bd.answerOrder(st, Done)
 	}
 	if list[0].Worker != list[1].Worker {
 		t.Fatal("the test wants both on one worker")
@@ -51,11 +51,11 @@
 	if len(stopped) != 2 {
 		t.Fatalf("%d tasks are stopped on a worker at a tenth of the usual speed", len(stopped))
 	}
-	bd.add("k", bedEpoch, tasks(1))
+	bd.addJob("k", testEpoch, taskStep(1))
 	if st := bd.wantStarts(bd.plan(), 1)[0]; st.Worker == id {
 		t.Error("a slow worker gets a new task")
 	}
-	bd.looked(bd.nextLook(id), nil, []End{bd.end(list[0], EndStopped), bd.end(list[1], EndStopped)})
+	bd.answerPoll(bd.waitForPoll(id), nil, []End{bd.newEnd(list[0], EndStopped), bd.newEnd(list[1], EndStopped)})
 	for _, st := range bd.wantStarts(bd.plan(), 2) {
 		if st.Worker == id || st.Attempt != 2 {
 			t.Errorf("attempt %d starts on %s", st.Attempt, st.Worker)
--- a/cell/stall_test.go
+++ b/cell/stall_test.go
@@ -9,35 +9,35 @@
 
 // An owner that stood still for three seconds decides by rooms and an ownership of before. It starts nothing until it has heard of both anew.
 func TestNothingIsStartedAfterStandingStillUntilConfirmed(t *testing.T) {
-	bd := newBed(t, 2)
-	bd.add("before", bedEpoch, tasks(1))
+	bd := newTestBed(t, 2)
+	bd.addJob("before", testEpoch, taskStep(1))
 	bd.wantStarts(bd.plan(), 1)
-	bd.add("after", bedEpoch, tasks(1))
-	bd.pass(3 * time.Second)
-	bd.wantStarts(bd.planAsIs(), 0)
+	bd.addJob("after", testEpoch, taskStep(1))
+	bd.advance(3 * time.Second)
+	bd.wantStarts(bd.planUnconfirmed(), 0)
 	bd.core.OwnershipConfirmed(bd.now)
-	bd.wantStarts(bd.planAsIs(), 0)
+	bd.wantStarts(bd.planUnconfirmed(), 0)
 	bd.core.RegistrationsRead(bd.now)
-	bd.wantStarts(bd.planAsIs(), 1)
+	bd.wantStarts(bd.planUnconfirmed(), 1)
 }
 
 // A room that shrank below what runs in it gets nothing new until enough has ended, and does not take from what others have free.
 func TestShrunkRoomTakesNothing(t *testing.T) {
-	bd := newBed(t, 2)
-	bd.add("a", bedEpoch, tasks(8))
+	bd := newTestBed(t, 2)
+	bd.addJob("a", testEpoch, taskStep(8))
 	first := bd.wantStarts(bd.plan(), 8)
 	for _, st := range first {
-		bd.ordered(st, Done)
+		bd.answerOrder(st, Done)
 	}
 	shrunk := bd.core.workers["w0"].info
 	shrunk.Room.CPUMillis = 1000
 	bd.core.Register(bd.now, shrunk)
-	bd.add("b", bedEpoch, tasks(1))
+	bd.addJob("b", testEpoch, taskStep(1))
 	bd.wantStarts(bd.plan(), 0)
 	for at, st := range first {
-		bd.pass(100 * time.Millisecond)
-		bd.looked(bd.nextLook(st.Worker), nil, []End{bd.end(st, EndDone)})
-		for _, again := range starts(bd.plan()) {
+		bd.advance(100 * time.Millisecond)
+		bd.answerPoll(bd.waitForPoll(st.Worker), nil, []End{bd.newEnd(st, EndDone)})
+		for _, again := range startsIn(bd.plan()) {
 			if again.Worker == "w0" && bd.core.workers["w0"].used.CPUMillis > 1000 {
 				t.Fatalf("%s is over its room after %d ends", again.Worker, at+1)
 			}
@@ -50,17 +50,17 @@
 // A worker whose entry cannot be read any more gets nothing new, and keeps the tasks that last: nothing says that it leaves, and moving them away
 // would take several at once from a step that allows one.
 func TestWithheldWorkerKeepsWhatRuns(t *testing.T) {
-	bd := newBed(t, 2)
-	bd.add("lasting", bedEpoch, job.Step{Count: 2, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true, HasDisruptionBudget: true, DisruptionBudget: 1})
+	bd := newTestBed(t, 2)
+	bd.addJob("lasting", testEpoch, job.Step{Count: 2, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true, HasDisruptionBudget: true, DisruptionBudget: 1})
 	for _, st := range bd.wantStarts(bd.plan(), 2) {
-		bd.ordered(st, Done)
+		bd.answerOrder(st, Done)
 	}
 	for _, id := range []WorkerID{"w0", "w1"} {
 		info := bd.core.workers[id].info
 		info.Unschedulable = true
 		bd.core.Register(bd.now, info)
 	}
-	bd.add("a", bedEpoch, tasks(1))
+	bd.addJob("a", testEpoch, taskStep(1))
 	for range 20 {
 		for _, od := range bd.plan() {
 			switch od.(type) {
@@ -68,13 +68,13 @@
 				t.Fatalf("%+v for a worker that is withheld", od)
 			}
 		}
-		for id, lk := range bd.open {
+		for id, lk := range bd.pendingPolls {
 			var running []Running
 			for _, pl := range bd.core.workers[id].placed {
 				running = append(running, Running{Task: pl.task, Attempt: pl.attempt, Progress: 100})
 			}
-			bd.looked(lk, running, nil)
+			bd.answerPoll(lk, running, nil)
 		}
-		bd.pass(100 * time.Millisecond)
+		bd.advance(100 * time.Millisecond)
 	}
 }
--- a/cell/takeover_test.go
+++ b/cell/takeover_test.go
@@ -7,166 +7,166 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// TestSilentStartIsSettledByALookUnderAHigherToken: the room counts as taken and the task as running until the look.
-func TestSilentStartIsSettledByALookUnderAHigherToken(t *testing.T) {
-	bd := newBed(t, 1)
-	bd.add("j", bedEpoch, tasks(1))
+// TestUnansweredStartIsResolvedByPollWithHigherToken: the room counts as taken and the task as running until the look.
+func TestUnansweredStartIsResolvedByPollWithHigherToken(t *testing.T) {
+	bd := newTestBed(t, 1)
+	bd.addJob("j", testEpoch, taskStep(1))
 	first := bd.wantStarts(bd.plan(), 1)[0]
-	bd.pass(time.Second)
-	bd.ordered(first, NoAnswer)
+	bd.advance(time.Second)
+	bd.answerOrder(first, NoAnswer)
 	orders := bd.plan()
 	bd.wantStarts(orders, 0)
-	lk := looksOf(orders)["w0"]
+	lk := pollsByWorker(orders)["w0"]
 	if lk.Token <= first.Token {
 		t.Fatalf("looked at with token %d, the start had %d", lk.Token, first.Token)
 	}
 	// An answer to an older look proves nothing.
 	older := lk
 	older.Token = first.Token
-	bd.looked(older, nil, nil)
+	bd.answerPoll(older, nil, nil)
 	bd.wantStarts(bd.plan(), 0)
-	bd.looked(lk, nil, nil)
+	bd.answerPoll(lk, nil, nil)
 	if again := bd.wantStarts(bd.plan(), 1)[0]; again.Token <= first.Token {
 		t.Fatalf("started again with token %d", again.Token)
 	}
 }
 
-// TestRunSeenBeforeItsJobIsAdopted: the owner before may hear of a job sooner.
-func TestRunSeenBeforeItsJobIsAdopted(t *testing.T) {
-	bd := newBed(t, 2)
-	bd.add("other", bedEpoch, tasks(1))
+// TestRunReportedBeforeItsJobIsAdopted: the owner before may hear of a job sooner.
+func TestRunReportedBeforeItsJobIsAdopted(t *testing.T) {
+	bd := newTestBed(t, 2)
+	bd.addJob("other", testEpoch, taskStep(1))
 	st := bd.wantStarts(bd.plan(), 1)[0]
-	bd.ordered(st, Done)
+	bd.answerOrder(st, Done)
 	stranger := job.Task{Job: "late"}
-	bd.looked(bd.nextLook(st.Worker), []Running{{Task: st.Task, Attempt: 1}, {Task: stranger, Attempt: 1}}, nil)
-	bd.add("late", 1, tasks(1))
+	bd.answerPoll(bd.waitForPoll(st.Worker), []Running{{Task: st.Task, Attempt: 1}, {Task: stranger, Attempt: 1}}, nil)
+	bd.addJob("late", 1, taskStep(1))
 	bd.wantStarts(bd.plan(), 0)
 	if state, _ := bd.core.State("late"); state != job.Running {
 		t.Fatalf("the job is %s", state)
 	}
 }
 
-// TestLeaseOfASilentWorkerEndsWithTheSlowestClock: at 2% slow, and only for an owner confirmed later than that.
-func TestLeaseOfASilentWorkerEndsWithTheSlowestClock(t *testing.T) {
+// TestLeaseOfUnresponsiveWorkerAllowsForClockDrift: at 2% slow, and only for an owner confirmed later than that.
+func TestLeaseOfUnresponsiveWorkerAllowsForClockDrift(t *testing.T) {
 	const lease = time.Minute
-	bd := newBed(t, 2)
+	bd := newTestBed(t, 2)
 	bd.core.opts.LeaseDuration = lease
-	bd.saved = true
-	bd.add("j", bedEpoch, tasks(1))
+	bd.autoSave = true
+	bd.addJob("j", testEpoch, taskStep(1))
 	st := bd.wantStarts(bd.plan(), 1)[0]
-	bd.ordered(st, Done)
+	bd.answerOrder(st, Done)
 	given := bd.now
-	bd.silence(st.Worker)
+	bd.failPoll(st.Worker)
 	for bd.now.Sub(given) < lease*100/98 {
-		bd.pass(100 * time.Millisecond)
+		bd.advance(100 * time.Millisecond)
 		bd.wantStarts(bd.plan(), 0)
-		bd.silence(st.Worker)
-		bd.answerAll()
+		bd.failPoll(st.Worker)
+		bd.answerPendingPolls()
 	}
 	for range 20 {
-		bd.pass(100 * time.Millisecond)
+		bd.advance(100 * time.Millisecond)
 		// The owner was confirmed last before that time.
 		bd.core.confirmed = given.Add(lease)
-		bd.wantStarts(bd.planAsIs(), 0)
-		bd.silence(st.Worker)
-		bd.answerAll()
+		bd.wantStarts(bd.planUnconfirmed(), 0)
+		bd.failPoll(st.Worker)
+		bd.answerPendingPolls()
 	}
 	bd.wantStarts(bd.plan(), 0)
 	bd.wantStarts(bd.plan(), 1)
 }
 
-// TestTaskLostWithItsWorkerWaitsForConfirmation: a successor that this owner has not heard of may have noted its end.
-func TestTaskLostWithItsWorkerWaitsForConfirmation(t *testing.T) {
-	bd := newBed(t, 2)
-	bd.add("j", bedEpoch, tasks(1))
+// TestLostTaskRestartsAfterOwnershipConfirmed: a successor that this owner has not heard of may have noted its end.
+func TestLostTaskRestartsAfterOwnershipConfirmed(t *testing.T) {
+	bd := newTestBed(t, 2)
+	bd.addJob("j", testEpoch, taskStep(1))
 	st := bd.wantStarts(bd.plan(), 1)[0]
-	bd.ordered(st, Done)
-	bd.pass(time.Second)
+	bd.answerOrder(st, Done)
+	bd.advance(time.Second)
 	bd.core.WorkerEnded(bd.now, st.Worker)
 	orders := bd.core.Plan(bd.now)
 	bd.wantStarts(orders, 0)
-	bd.keep(orders)
-	bd.pass(time.Millisecond)
-	bd.wantKept(1)
+	bd.confirmSaves(orders)
+	bd.advance(time.Millisecond)
+	bd.wantStartsAfterSave(1)
 }
 
-// TestCarriedJobsWaitForUnresolvedWorkers: jobs that name this owner do not.
-func TestCarriedJobsWaitForUnresolvedWorkers(t *testing.T) {
-	bd := newBed(t, 1)
+// TestInheritedJobsWaitForUnresolvedWorkers: jobs that name this owner do not.
+func TestInheritedJobsWaitForUnresolvedWorkers(t *testing.T) {
+	bd := newTestBed(t, 1)
 	bd.core.TakeOver(bd.now, bd.now, []WorkerRef{{ID: "gone", Address: "gone"}}, false)
-	bd.add("old", 1, tasks(1))
-	bd.add("new", bedEpoch, tasks(1))
+	bd.addJob("old", 1, taskStep(1))
+	bd.addJob("new", testEpoch, taskStep(1))
 	if st := bd.wantStarts(bd.plan(), 1)[0]; st.Task.Job != "new" {
 		t.Fatalf("%s was started", st.Task.Job)
 	}
 	bd.core.WorkerEnded(bd.now, "gone")
 	bd.wantStarts(bd.core.Plan(bd.now), 0)
-	bd.pass(time.Millisecond)
-	if st := bd.wantKept(1)[0]; st.Task.Job != "old" {
+	bd.advance(time.Millisecond)
+	if st := bd.wantStartsAfterSave(1)[0]; st.Task.Job != "old" {
 		t.Fatalf("%s was started", st.Task.Job)
 	}
 }
 
-// TestEarlierLeasesAreOverOnlyForAConfirmedOwner: a later owner that this one has not heard of may have renewed them.
-func TestEarlierLeasesAreOverOnlyForAConfirmedOwner(t *testing.T) {
-	bd := newBed(t, 1)
+// TestInheritedLeasesExpireOnlyForConfirmedOwner: a later owner that this one has not heard of may have renewed them.
+func TestInheritedLeasesExpireOnlyForConfirmedOwner(t *testing.T) {
+	bd := newTestBed(t, 1)
 	bd.core.TakeOver(bd.now, bd.now, []WorkerRef{{ID: "far", Address: "far"}}, true)
-	bd.add("old", 1, tasks(1))
-	bd.pass(bd.core.slow(bd.core.opts.LeaseDuration) + deliveryMargin + time.Millisecond)
-	bd.silence("far")
+	bd.addJob("old", 1, taskStep(1))
+	bd.advance(bd.core.slow(bd.core.opts.LeaseDuration) + deliveryMargin + time.Millisecond)
+	bd.failPoll("far")
 	bd.wantStarts(bd.core.Plan(bd.now), 0)
-	bd.pass(time.Millisecond)
-	bd.wantKept(1)
+	bd.advance(time.Millisecond)
+	bd.wantStartsAfterSave(1)
 }
 
-// TestWorkerInDoubtGetsNothingNew: until a look has settled what became of the start without an answer.
-func TestWorkerInDoubtGetsNothingNew(t *testing.T) {
-	bd := newBed(t, 1)
-	bd.add("j", bedEpoch, tasks(1))
+// TestWorkerWithUnansweredStartGetsNoNewTasks: until a look has settled what became of the start without an answer.
+func TestWorkerWithUnansweredStartGetsNoNewTasks(t *testing.T) {
+	bd := newTestBed(t, 1)
+	bd.addJob("j", testEpoch, taskStep(1))
 	st := bd.wantStarts(bd.plan(), 1)[0]
-	bd.ordered(st, NoAnswer)
-	bd.add("k", bedEpoch, tasks(1))
+	bd.answerOrder(st, NoAnswer)
+	bd.addJob("k", testEpoch, taskStep(1))
 	bd.wantStarts(bd.plan(), 0)
-	bd.looked(bd.nextLook("w0"), nil, nil)
+	bd.answerPoll(bd.waitForPoll("w0"), nil, nil)
 	bd.wantStarts(bd.plan(), 2)
 }
 
-// TestEndSeenBeforeItsJobCounts: also where it was listed behind one that is not kept yet.
-func TestEndSeenBeforeItsJobCounts(t *testing.T) {
-	bd := newBed(t, 1)
-	bd.add("known", bedEpoch, tasks(1))
+// TestEndReportedBeforeItsJobCounts: also where it was listed behind one that is not kept yet.
+func TestEndReportedBeforeItsJobCounts(t *testing.T) {
+	bd := newTestBed(t, 1)
+	bd.addJob("known", testEpoch, taskStep(1))
 	st := bd.wantStarts(bd.plan(), 1)[0]
-	bd.ordered(st, Done)
+	bd.answerOrder(st, Done)
 	before := End{Number: 2, Task: job.Task{Job: "late"}, Attempt: 1, Reason: EndDone}
-	bd.looked(bd.nextLook("w0"), nil, []End{bd.end(st, EndDone), before})
-	bd.add("late", 1, tasks(2))
-	for _, st := range starts(bd.plan()) {
+	bd.answerPoll(bd.waitForPoll("w0"), nil, []End{bd.newEnd(st, EndDone), before})
+	bd.addJob("late", 1, taskStep(2))
+	for _, st := range startsIn(bd.plan()) {
 		if st.Task.Index == 0 {
 			t.Error("a task is started whose end was seen before its job")
 		}
 	}
 }
 
-// TestWorkerWhoseRegistrationIsGoneLeaves: some workers never say that they drain. Registrations that lapsed while the store was away
+// TestWorkerWithoutRegistrationIsDrained: some workers never say that they drain. Registrations that lapsed while the store was away
 // come back within two seconds of its return.
-func TestWorkerWhoseRegistrationIsGoneLeaves(t *testing.T) {
+func TestWorkerWithoutRegistrationIsDrained(t *testing.T) {
 	for name, away := range map[string]bool{"the store was there": false, "the store was away": true} {
 		t.Run(name, func(t *testing.T) {
-			bd := newBed(t, 1)
-			lasting := tasks(1)
+			bd := newTestBed(t, 1)
+			lasting := taskStep(1)
 			lasting.LongRunning = true
-			bd.add("l", bedEpoch, lasting)
+			bd.addJob("l", testEpoch, lasting)
 			st := bd.wantStarts(bd.plan(), 1)[0]
-			bd.ordered(st, Done)
+			bd.answerOrder(st, Done)
 			for range 20 {
-				bd.pass(200 * time.Millisecond)
-				bd.looked(bd.nextLook("w0"), []Running{{Task: st.Task, Attempt: 1, Progress: 100}}, nil)
+				bd.advance(200 * time.Millisecond)
+				bd.answerPoll(bd.waitForPoll("w0"), []Running{{Task: st.Task, Attempt: 1, Progress: 100}}, nil)
 			}
 			if away {
 				bd.core.confirmed = bd.now.Add(-awayAfter - time.Second)
 			}
 			bd.core.Unregister(bd.now, "w0")
-			bd.add("j", bedEpoch, tasks(1))
+			bd.addJob("j", testEpoch, taskStep(1))
 			stops, began := 0, 0
 			for _, od := range bd.plan() {
 				switch od.(type) {
@@ -186,37 +186,37 @@
 	}
 }
 
-// TestStopUnderWayCountsAsAway: a stop of the owner before is listed as running until it takes effect.
-func TestStopUnderWayCountsAsAway(t *testing.T) {
-	bd := newBed(t, 2)
-	lasting := tasks(2)
+// TestStopInFlightCountsAgainstDisruptionBudget: a stop of the owner before is listed as running until it takes effect.
+func TestStopInFlightCountsAgainstDisruptionBudget(t *testing.T) {
+	bd := newTestBed(t, 2)
+	lasting := taskStep(2)
 	lasting.LongRunning, lasting.DisruptionBudget, lasting.HasDisruptionBudget = true, 1, true
-	bd.core = New(bedPool, bedEpoch+1, Options{StopTimeout: 400 * time.Millisecond})
+	bd.core = New(testPool, testEpoch+1, Options{StopTimeout: 400 * time.Millisecond})
 	bd.core.TakeOver(bd.now, bd.now, []WorkerRef{{ID: "w0", Address: "w0"}, {ID: "w1", Address: "w1"}}, false)
-	bd.core.Configure([]job.Queue{{ID: "q", Pool: bedPool, MaxAttempts: 2}})
-	bd.add("j", 1, lasting)
+	bd.core.Configure([]job.Queue{{ID: "q", Pool: testPool, MaxAttempts: 2}})
+	bd.addJob("j", 1, lasting)
 	bd.register("w0")
 	bd.register("w1")
 	bd.core.Cordon(map[WorkerName]bool{"w0": true, "w1": true})
 	stops := 0
 	until := bd.now.Add(600 * time.Millisecond)
 	for bd.now.Before(until) {
-		stops += bd.stopsNow()
+		stops += bd.countStops()
 	}
 	if stops != 0 {
 		t.Fatalf("%d stops while one of the owner before may be under way", stops)
 	}
-	bd.pass(2 * time.Second)
+	bd.advance(2 * time.Second)
 	for range 40 {
-		stops += bd.stopsNow()
+		stops += bd.countStops()
 	}
 	if stops != 1 {
 		t.Fatalf("%d tasks of a step with a budget of 1 were stopped", stops)
 	}
 }
 
-// stopsNow answers the looks that are due at two workers, each with its task of the job at work, counts the stops, and lets a moment pass.
-func (bd *bed) stopsNow() (stops int) {
+// countStops answers the looks that are due at two workers, each with its task of the job at work, counts the stops, and lets a moment pass.
+func (bd *testBed) countStops() (stops int) {
 	for _, od := range bd.plan() {
 		switch order := od.(type) {
 		case Poll:
@@ -224,11 +224,11 @@
 			if order.Worker == "w1" {
 				at = 1
 			}
-			bd.looked(order, []Running{{Task: job.Task{Job: "j", Index: at}, Attempt: 1, Progress: 100}}, nil)
+			bd.answerPoll(order, []Running{{Task: job.Task{Job: "j", Index: at}, Attempt: 1, Progress: 100}}, nil)
 		case Stop:
 			stops++
 		}
 	}
-	bd.pass(20 * time.Millisecond)
+	bd.advance(20 * time.Millisecond)
 	return stops
 }
--- a/cell/window_test.go
+++ b/cell/window_test.go
@@ -63,30 +63,30 @@
 
 // TestStartsWithoutAnswersAreBounded: an owner none of whose starts is answered gives no further ones, however much waits.
 func TestStartsWithoutAnswersAreBounded(t *testing.T) {
-	bd := newBed(t, 4)
-	bd.add("a", bedEpoch, job.Step{Count: 500, Size: job.Size{CPUMillis: 10, MemoryMB: 1}})
-	given := starts(bd.plan())
+	bd := newTestBed(t, 4)
+	bd.addJob("a", testEpoch, job.Step{Count: 500, Size: job.Size{CPUMillis: 10, MemoryMB: 1}})
+	given := startsIn(bd.plan())
 	if len(given) != startsFirst {
 		t.Fatalf("%d starts, want %d", len(given), startsFirst)
 	}
-	bd.pass(time.Second)
+	bd.advance(time.Second)
 	bd.wantStarts(bd.plan(), 0)
 	for _, st := range given {
-		bd.ordered(st, Done)
+		bd.answerOrder(st, Done)
 	}
-	if more := starts(bd.plan()); len(more) < startsLeast {
+	if more := startsIn(bd.plan()); len(more) < startsLeast {
 		t.Errorf("%d starts after answers", len(more))
 	}
 }
 
 // TestStartWithoutItsPayloadIsTriedAgain: it was not sent, so its number is free, and the worker is not to blame.
 func TestStartWithoutItsPayloadIsTriedAgain(t *testing.T) {
-	bd := newBed(t, 1)
-	bd.add("a", bedEpoch, tasks(1))
+	bd := newTestBed(t, 1)
+	bd.addJob("a", testEpoch, taskStep(1))
 	st := bd.wantStarts(bd.plan(), 1)[0]
-	bd.ordered(st, PayloadMissing)
+	bd.answerOrder(st, PayloadMissing)
 	bd.wantStarts(bd.plan(), 0)
-	bd.pass(unpreparedFor)
+	bd.advance(unpreparedFor)
 	if again := bd.wantStarts(bd.plan(), 1)[0]; again.Attempt != st.Attempt || again.Worker != st.Worker {
 		t.Errorf("%+v after %+v", again, st)
 	}
@@ -110,9 +110,9 @@
 // by itself, what is gone through costs each time.
 func TestFullWindowCostsNoRounds(t *testing.T) {
 	cost := func(jobs int) uint64 {
-		bd := newBed(t, 4)
+		bd := newTestBed(t, 4)
 		for at := range jobs {
-			bd.add(job.ID(fmt.Sprintf("%06d", at)), bedEpoch, job.Step{Count: 1, Size: job.Size{CPUMillis: 10, MemoryMB: 1}})
+			bd.addJob(job.ID(fmt.Sprintf("%06d", at)), testEpoch, job.Step{Count: 1, Size: job.Size{CPUMillis: 10, MemoryMB: 1}})
 		}
 		bd.wantStarts(bd.plan(), startsFirst)
 		var before, after goruntime.MemStats
--- a/cell/yield_test.go
+++ b/cell/yield_test.go
@@ -11,36 +11,36 @@
 // TestLateJobsYieldMachines: while other pools lack machines late jobs leave a part of the room idle, so that workers become empty; jobs that
 // can be in time, and tasks that last, do not wait, and late ones get on.
 func TestLateJobsYieldMachines(t *testing.T) {
-	bd := newBed(t, 4)
+	bd := newTestBed(t, 4)
 	bd.core.run["q"] = runtime{task: time.Second, spread: firstSpread}
-	bd.add("late", bedEpoch, job.Step{Count: 100, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}})
-	bd.pass(20 * time.Second)
+	bd.addJob("late", testEpoch, job.Step{Count: 100, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}})
+	bd.advance(20 * time.Second)
 	bd.core.Yield(bd.now, 1, false)
 	// Sixteen tasks fit.
-	late := starts(bd.plan())
+	late := startsIn(bd.plan())
 	if len(late) < 9 || len(late) > 11 {
 		t.Fatalf("%d starts of a late job, want some six tenths of 16", len(late))
 	}
 	busy := map[WorkerID]bool{}
 	for _, st := range late {
 		busy[st.Worker] = true
-		bd.ordered(st, Done)
+		bd.answerOrder(st, Done)
 	}
 	if len(busy) > 3 {
 		t.Errorf("they run on %d of 4 workers", len(busy))
 	}
-	bd.add("fresh", bedEpoch, tasks(3))
-	bd.add("lasting", bedEpoch, job.Step{Count: 1, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true})
+	bd.addJob("fresh", testEpoch, taskStep(3))
+	bd.addJob("lasting", testEpoch, job.Step{Count: 1, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true})
 	bd.core.Yield(bd.now, 1, false)
 	fresh := bd.wantStarts(bd.plan(), 4)
 	for _, st := range fresh {
 		if st.Task.Job == "late" {
 			t.Errorf("%v", st.Task)
 		}
-		bd.ordered(st, Done)
+		bd.answerOrder(st, Done)
 	}
-	bd.pass(2 * yieldFor)
-	if rest := starts(bd.plan()); len(rest) != 16-len(late)-len(fresh) {
+	bd.advance(2 * yieldFor)
+	if rest := startsIn(bd.plan()); len(rest) != 16-len(late)-len(fresh) {
 		t.Errorf("%d starts once nobody lacks machines", len(rest))
 	}
 }
@@ -48,10 +48,10 @@
 // TestFullQueueIsRefused: with two machines for it, and work in time ahead for far longer than a job that came now would be of any worth, the
 // queue is full, with a time to come back; it is not while there are machines for all, and tasks that last are never refused.
 func TestFullQueueIsRefused(t *testing.T) {
-	bd := newBed(t, 4)
+	bd := newTestBed(t, 4)
 	bd.core.run["q"] = runtime{task: time.Second, spread: firstSpread}
 	for at := range 10 {
-		bd.add(job.ID(fmt.Sprintf("j%d", at)), bedEpoch, tasks(40))
+		bd.addJob(job.ID(fmt.Sprintf("j%d", at)), testEpoch, taskStep(40))
 	}
 	if full := bd.core.Load(bd.now).Full; len(full) != 0 {
 		t.Errorf("full %v while the pool may grow", full)
@@ -68,10 +68,10 @@
 
 // TestJobsInTimeYieldToTasksThatLast: those must run at any time.
 func TestJobsInTimeYieldToTasksThatLast(t *testing.T) {
-	bd := newBed(t, 4)
-	bd.add("fresh", bedEpoch, tasks(16))
+	bd := newTestBed(t, 4)
+	bd.addJob("fresh", testEpoch, taskStep(16))
 	bd.core.Yield(bd.now, 1, true)
-	if got := len(starts(bd.plan())); got < 9 || got > 11 {
+	if got := len(startsIn(bd.plan())); got < 9 || got > 11 {
 		t.Errorf("%d starts of 16", got)
 	}
 }
--- a/job/organisation_test.go
+++ b/job/organisation_test.go
@@ -22,8 +22,8 @@
 	// "" <nil>
 }
 
-// TestMovedKeyAndGoneOrganisation: a key is its new holder's from the version on that moves it; an organisation that is gone lets nobody in.
-func TestMovedKeyAndGoneOrganisation(t *testing.T) {
+// TestMovedKeyAndRemovedOrganisation: a key is its new holder's from the version on that moves it; an organisation that is gone lets nobody in.
+func TestMovedKeyAndRemovedOrganisation(t *testing.T) {
 	before := NewDirectory([]Organisation{{ID: "mill", Keys: []Key{NewKey("k")}}, {ID: "yard"}})
 	after := NewDirectory([]Organisation{{ID: "yard", Keys: []Key{NewKey("k")}}})
 	if id, _ := before.CallerOrganisation(&Queue{}, "k"); id != "mill" {
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestKeysShowTheirFingerprint: whatever prints a key prints no more.
-func TestKeysShowTheirFingerprint(t *testing.T) {
+// TestKeysPrintOnlyTheirFingerprint: whatever prints a key prints no more.
+func TestKeysPrintOnlyTheirFingerprint(t *testing.T) {
 	ky := NewKey("pqk8bdk9eevyxq2yyaza")
 	for _, text := range []string{fmt.Sprint(ky), fmt.Sprintf("%v %s", Organisation{Keys: []Key{ky}}, ky)} {
 		if strings.Contains(text, "pqk8") || len(text) > 80 {
