--- a/fleet/fakes_test.go
+++ b/fleet/fakes_test.go
@@ -296,43 +296,43 @@
 	}
 }
 
-func (fw *fakeWorkers) Look(ctx context.Context, lk cell.Poll) cell.PollResult {
+func (fw *fakeWorkers) Poll(ctx context.Context, poll cell.Poll) cell.PollResult {
 	sent := time.Now()
-	until := sent.Add(lk.Wait)
+	until := sent.Add(poll.Wait)
 	for {
 		fw.mu.Lock()
-		fw.finishDue(lk.Worker)
-		if len(fw.ends[lk.Worker]) > 0 || time.Now().After(until) || ctx.Err() != nil {
+		fw.finishDue(poll.Worker)
+		if len(fw.ends[poll.Worker]) > 0 || time.Now().After(until) || ctx.Err() != nil {
 			break
 		}
 		fw.mu.Unlock()
 		time.Sleep(testPollInterval)
 	}
 	defer fw.mu.Unlock()
-	res := cell.PollResult{Poll: lk, Sent: sent, Received: time.Now(), Clock: fw.clock(), Outcome: cell.Done}
-	if lk.Token < fw.tokens[lk.Worker] {
-		res.Outcome = cell.Superseded
-		return res
+	result := cell.PollResult{Poll: poll, Sent: sent, Received: time.Now(), Clock: fw.clock(), Outcome: cell.Done}
+	if poll.Token < fw.tokens[poll.Worker] {
+		result.Outcome = cell.Superseded
+		return result
 	}
-	fw.tokens[lk.Worker] = lk.Token
-	fw.ends[lk.Worker] = slices.DeleteFunc(fw.ends[lk.Worker], func(en cell.End) bool { return en.Number <= lk.AckedEnd })
-	res.Ended = slices.Clone(fw.ends[lk.Worker])
-	for tk, rn := range fw.runs[lk.Worker] {
-		res.Running = append(res.Running, cell.Running{Task: tk, Attempt: rn.attempt})
+	fw.tokens[poll.Worker] = poll.Token
+	fw.ends[poll.Worker] = slices.DeleteFunc(fw.ends[poll.Worker], func(en cell.End) bool { return en.Number <= poll.AckedEnd })
+	result.Ended = slices.Clone(fw.ends[poll.Worker])
+	for tk, rn := range fw.runs[poll.Worker] {
+		result.Running = append(result.Running, cell.Running{Task: tk, Attempt: rn.attempt})
 	}
-	return res
+	return result
 }
 
-func (fw *fakeWorkers) Order(_ context.Context, od cell.Order) cell.OrderResult {
+func (fw *fakeWorkers) Send(_ context.Context, od cell.Order) cell.OrderResult {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
 	now := time.Now()
-	res := cell.OrderResult{Order: od, Sent: now, Received: now, Clock: fw.clock(), Outcome: cell.Done}
+	result := cell.OrderResult{Order: od, Sent: now, Received: now, Clock: fw.clock(), Outcome: cell.Done}
 	switch order := od.(type) {
 	case cell.Start:
 		if order.Token < fw.tokens[order.Worker] {
-			res.Outcome = cell.Superseded
-			return res
+			result.Outcome = cell.Superseded
+			return result
 		}
 		fw.tokens[order.Worker] = order.Token
 		if fw.runs[order.Worker] == nil {
@@ -344,7 +344,7 @@
 	case cell.Stop:
 		delete(fw.runs[order.Worker], order.Task)
 	}
-	return res
+	return result
 }
 
 // count is how often a task was started.
--- a/fleet/metrics.go
+++ b/fleet/metrics.go
@@ -12,7 +12,7 @@
 
 // fleetMetrics are the counters and histograms of a fleet node.
 type fleetMetrics struct {
-	claims, looks, starts, saves, storeFailed metrics.Counter
+	claims, polls, starts, saves, storeFailed metrics.Counter
 	accepted, refused, unknown                metrics.Counter
 	// keysRejected counts calls with a missing or unknown key.
 	keysRejected metrics.Counter
@@ -43,7 +43,7 @@
 		return metrics.GetOrRegisterHistogram(name, rg, metrics.NewUniformSample(histogramSize))
 	}
 	fm := fleetMetrics{
-		claims: counter("cells.claimed"), looks: counter("workers.looks"), starts: counter("workers.starts"), saves: counter("store.saves"), storeFailed: counter("store.failed"),
+		claims: counter("cells.claimed"), polls: counter("workers.looks"), starts: counter("workers.starts"), saves: counter("store.saves"), storeFailed: counter("store.failed"),
 		accepted: counter("jobs.accepted"), refused: counter("jobs.refused"), unknown: counter("jobs.unknown"),
 		keysRejected: counter("calls.keysRejected"), accountsWritten: counter("accounts.written"), accountsContended: counter("accounts.contended"),
 		workersLost: counter("workers.lost"), tasksLost: counter("workers.lostTasks"), givenUp: counter("jobs.givenUp"), registrationsRejected: counter("workers.registrationsRejected"),
--- a/fleet/orderqueue.go
+++ b/fleet/orderqueue.go
@@ -102,7 +102,7 @@
 			continue
 		}
 		timer := time.AfterFunc(slowOrderDelay, func() { oq.startSender(ctx) })
-		result := oq.workers.Order(ctx, qo.order)
+		result := oq.workers.Send(ctx, qo.order)
 		timer.Stop()
 		oq.recordOutcome(result.Outcome)
 		qo.report(result)
--- a/fleet/orderqueue_test.go
+++ b/fleet/orderqueue_test.go
@@ -22,9 +22,9 @@
 	answerTime = 2 * time.Millisecond
 )
 
-func (sw *slowWorkers) Look(context.Context, cell.Poll) cell.PollResult { return cell.PollResult{} }
+func (sw *slowWorkers) Poll(context.Context, cell.Poll) cell.PollResult { return cell.PollResult{} }
 
-func (sw *slowWorkers) Order(_ context.Context, od cell.Order) cell.OrderResult {
+func (sw *slowWorkers) Send(_ context.Context, od cell.Order) cell.OrderResult {
 	sw.mu.Lock()
 	sw.received++
 	lost := sw.lost(sw.received)
--- a/fleet/owner.go
+++ b/fleet/owner.go
@@ -175,19 +175,19 @@
 
 // withStoredProgress combines a job with its stored progress. The caller holds the lock.
 func (ow *owner) withStoredProgress(sp *job.Spec) cell.StoredJob {
-	sd := cell.StoredJob{Spec: sp}
+	sj := cell.StoredJob{Spec: sp}
 	rw, ok := ow.storedProgress[sp.ID]
 	if !ok {
-		return sd
+		return sj
 	}
 	delete(ow.storedProgress, sp.ID)
 	pg, err := job.DecodeProgress(rw.Value)
 	if err != nil {
 		ow.fl.opts.Log.Emit(event.JobRowRejected, zap.String("cell", ow.name), zap.String("job", string(sp.ID)), zap.Error(err))
-		return sd
+		return sj
 	}
-	sd.Progress, sd.Version = pg, rw.Version
-	return sd
+	sj.Progress, sj.Version = pg, rw.Version
+	return sj
 }
 
 // post queues an event for the core and wakes the owner.
@@ -260,9 +260,9 @@
 func (ow *owner) execute(ctx context.Context, od cell.Order) {
 	switch order := od.(type) {
 	case cell.Poll:
-		ow.fl.metrics.looks.Inc(1)
+		ow.fl.metrics.polls.Inc(1)
 		if !ow.relays.send(ctx, order.Worker, order) {
-			go func() { ow.handlePollResult(ow.fl.opts.Workers.Look(ctx, order)) }()
+			go func() { ow.handlePollResult(ow.fl.opts.Workers.Poll(ctx, order)) }()
 		}
 	case cell.Start:
 		ow.fl.metrics.starts.Inc(1)
@@ -293,9 +293,9 @@
 	ow.post(func(cr *cell.Core, now time.Time) { cr.HandlePoll(now, result) })
 }
 
-func (ow *owner) handleOrderResult(od cell.OrderResult) {
-	ow.fl.metrics.countOutcome(od.Outcome)
-	ow.post(func(cr *cell.Core, now time.Time) { cr.HandleOrder(now, od) })
+func (ow *owner) handleOrderResult(result cell.OrderResult) {
+	ow.fl.metrics.countOutcome(result.Outcome)
+	ow.post(func(cr *cell.Core, now time.Time) { cr.HandleOrder(now, result) })
 }
 
 // orderQueue returns the queue of a worker that gets its orders directly from this instance.
--- a/fleet/payloads_test.go
+++ b/fleet/payloads_test.go
@@ -17,24 +17,24 @@
 // payloadLog notes with which payload tasks are started.
 type payloadRecorder struct {
 	*fakeWorkers
-	mu   sync.Mutex
-	seen map[job.Task]string
+	mu       sync.Mutex
+	payloads map[job.Task]string
 }
 
-func (pl *payloadRecorder) Order(ctx context.Context, od cell.Order) cell.OrderResult {
+func (pr *payloadRecorder) Send(ctx context.Context, od cell.Order) cell.OrderResult {
 	if st, ok := od.(cell.Start); ok {
-		pl.mu.Lock()
-		pl.seen[st.Task] = st.Payload
-		pl.mu.Unlock()
+		pr.mu.Lock()
+		pr.payloads[st.Task] = st.Payload
+		pr.mu.Unlock()
 	}
-	return pl.fakeWorkers.Order(ctx, od)
+	return pr.fakeWorkers.Send(ctx, od)
 }
 
 // TestPayloadLiesApartFromItsJob: what owners read and are told of a job holds no payload, and its tasks are started with it all the same,
 // also when the instance that accepted it is gone.
 func TestPayloadIsStoredSeparately(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
-	log := &payloadRecorder{fakeWorkers: cl.workers, seen: map[job.Task]string{}}
+	log := &payloadRecorder{fakeWorkers: cl.workers, payloads: map[job.Task]string{}}
 	cl.workersFor = func(string) Workers { return log }
 	one, two := cl.start("one"), cl.start("two")
 	owner := cl.waitOwner(one, two)
@@ -60,7 +60,7 @@
 		cl.waitCompleted(owner, sp.ID)
 		cl.checkRanOnce(sp.ID)
 		log.mu.Lock()
-		for tk, text := range log.seen {
+		for tk, text := range log.payloads {
 			if tk.Job == sp.ID && text != sp.Payload {
 				t.Errorf("%v was started with %q", tk, text)
 			}
--- a/fleet/relay.go
+++ b/fleet/relay.go
@@ -108,7 +108,7 @@
 		sd.addResult(&peer.RelayResult{Id: ro.Id, Outcome: int32(cell.Invalid)}, now())
 	case cell.Poll:
 		go func() {
-			lk := rl.fl.opts.Workers.Look(ctx, order)
+			lk := rl.fl.opts.Workers.Poll(ctx, order)
 			sd.addResult(toRelayPollResult(ro.Id, lk), lk.Received)
 		}()
 	default:
--- a/fleet/relay_test.go
+++ b/fleet/relay_test.go
@@ -334,9 +334,9 @@
 	name string
 }
 
-func (cw countingWorkers) Order(ctx context.Context, od cell.Order) cell.OrderResult {
+func (cw countingWorkers) Send(ctx context.Context, od cell.Order) cell.OrderResult {
 	cw.callCount.mu.Lock()
 	cw.by[cw.name]++
 	cw.callCount.mu.Unlock()
-	return cw.fakeWorkers.Order(ctx, od)
+	return cw.fakeWorkers.Send(ctx, od)
 }
--- a/fleet/store.go
+++ b/fleet/store.go
@@ -91,8 +91,8 @@
 
 // Workers sends a cell's orders to workers.
 type Workers interface {
-	Look(ctx context.Context, lk cell.Poll) cell.PollResult
-	Order(ctx context.Context, od cell.Order) cell.OrderResult
+	Poll(ctx context.Context, lk cell.Poll) cell.PollResult
+	Send(ctx context.Context, od cell.Order) cell.OrderResult
 }
 
 // Adviser requests tickets from the advice service.
--- a/fleet/workertimeout.go
+++ b/fleet/workertimeout.go
@@ -62,20 +62,20 @@
 	}
 }
 
-// Look implements Workers.
-func (aw *adaptiveWorkers) Look(ctx context.Context, lk cell.Poll) cell.PollResult {
-	ctx, cancel := context.WithTimeout(ctx, lk.Wait+aw.timeout())
+// Poll implements Workers.
+func (aw *adaptiveWorkers) Poll(ctx context.Context, poll cell.Poll) cell.PollResult {
+	ctx, cancel := context.WithTimeout(ctx, poll.Wait+aw.timeout())
 	defer cancel()
-	res := aw.Workers.Look(ctx, lk)
-	aw.recordAnswer(res.Received.Sub(res.Sent), lk.Wait, res.Outcome)
-	return res
+	result := aw.Workers.Poll(ctx, poll)
+	aw.recordAnswer(result.Received.Sub(result.Sent), poll.Wait, result.Outcome)
+	return result
 }
 
-// Order implements Workers.
-func (aw *adaptiveWorkers) Order(ctx context.Context, od cell.Order) cell.OrderResult {
+// Send implements Workers.
+func (aw *adaptiveWorkers) Send(ctx context.Context, od cell.Order) cell.OrderResult {
 	ctx, cancel := context.WithTimeout(ctx, aw.timeout())
 	defer cancel()
-	res := aw.Workers.Order(ctx, od)
-	aw.recordAnswer(res.Received.Sub(res.Sent), 0, res.Outcome)
-	return res
+	result := aw.Workers.Send(ctx, od)
+	aw.recordAnswer(result.Received.Sub(result.Sent), 0, result.Outcome)
+	return result
 }
--- a/fleet/writes.go
+++ b/fleet/writes.go
@@ -26,7 +26,7 @@
 type writeBatch struct {
 	save *cell.Save
 	// enlist is the newest list of the workers in use. It includes the workers of the earlier lists.
-	enlist *cell.RecordWorkers
+	workers *cell.RecordWorkers
 	// queuedAt is when the first write of the batch was queued.
 	queuedAt time.Time
 }
@@ -43,7 +43,7 @@
 	case cell.Save:
 		wq.pending.save = &order
 	case cell.RecordWorkers:
-		wq.pending.enlist = &order
+		wq.pending.workers = &order
 	}
 	wq.mu.Unlock()
 	select {
@@ -81,7 +81,7 @@
 	waited := ow.fl.opts.Now().Sub(wb.queuedAt)
 	ow.fl.metrics.writeWait.Update(waited.Microseconds())
 	if waited >= slowCommitThreshold {
-		ow.fl.opts.Log.Emit(event.WriteWaited, zap.String("cell", ow.name), zap.Bool("progress", wb.save != nil), zap.Bool("workers", wb.enlist != nil), zap.Duration("waited", waited))
+		ow.fl.opts.Log.Emit(event.WriteWaited, zap.String("cell", ow.name), zap.Bool("progress", wb.save != nil), zap.Bool("workers", wb.workers != nil), zap.Duration("waited", waited))
 	}
 }
 
@@ -93,7 +93,7 @@
 		ow.fl.opts.Log.Emit(event.SaveFailed, zap.String("cell", ow.name), zap.Error(err))
 		return
 	}
-	if err := ow.addWorkers(&tx, wb.enlist); err != nil {
+	if err := ow.addWorkers(&tx, wb.workers); err != nil {
 		ow.fl.opts.Log.Emit(event.SaveFailed, zap.String("cell", ow.name), zap.Error(err))
 		return
 	}
@@ -102,7 +102,7 @@
 		ow.post(func(cr *cell.Core, _ time.Time) { cr.EnlistFailed() })
 		return
 	}
-	if wb.enlist != nil {
+	if wb.workers != nil {
 		ow.rowVersion.Store(version)
 	}
 	if wb.save != nil {
@@ -113,8 +113,8 @@
 
 // notifyCore reports a committed batch to the core.
 func (wb writeBatch) notifyCore(cr *cell.Core, now time.Time, version int64) {
-	if wb.enlist != nil {
-		cr.WorkersRecorded(wb.enlist.Workers)
+	if wb.workers != nil {
+		cr.WorkersRecorded(wb.workers.Workers)
 		cr.EnlistFailed()
 	}
 	if wb.save != nil {
@@ -123,11 +123,11 @@
 }
 
 // addProgress adds the rows of a save to a transaction.
-func (ow *owner) addProgress(tx *Tx, sv *cell.Save) error {
-	if sv == nil {
+func (ow *owner) addProgress(tx *Tx, save *cell.Save) error {
+	if save == nil {
 		return nil
 	}
-	for _, row := range sv.Rows {
+	for _, row := range save.Rows {
 		raw, err := job.EncodeProgress(row.Progress)
 		if err != nil {
 			return err
@@ -140,11 +140,11 @@
 }
 
 // addWorkers adds the cell's row with the list of workers in use to a transaction.
-func (ow *owner) addWorkers(tx *Tx, en *cell.RecordWorkers) error {
-	if en == nil {
+func (ow *owner) addWorkers(tx *Tx, list *cell.RecordWorkers) error {
+	if list == nil {
 		return nil
 	}
-	raw, err := json.Marshal(ownerRow{Holder: ow.fl.opts.Name, Incarnation: ow.fl.opts.Incarnation, Epoch: ow.epoch, Workers: en.Workers, UnseenLossEpoch: en.UnseenLossEpoch})
+	raw, err := json.Marshal(ownerRow{Holder: ow.fl.opts.Name, Incarnation: ow.fl.opts.Incarnation, Epoch: ow.epoch, Workers: list.Workers, UnseenLossEpoch: list.UnseenLossEpoch})
 	if err != nil {
 		return err
 	}
