--- a/fleet/machinelease_test.go
+++ b/fleet/machinelease_test.go
@@ -13,8 +13,8 @@
 	"github.com/aspenseam/aspenseam/machine"
 )
 
-// TestNoOrderOfAnEarlierHolderIsUnderWay: the holder loses the store and goes on; when the next one begins, all orders of the first are
-// over, those without an answer as well.
+// TestPreviousLeaderHasNoOrdersInFlight cuts the leader off from the store while it keeps sending orders. By the time the next
+// leader sends its first order, all orders of the previous one must have ended, including unanswered ones.
 func TestPreviousLeaderHasNoOrdersInFlight(t *testing.T) {
 	cl := newCluster(t, time.Millisecond)
 	one, two := cl.start("one"), cl.start("two")
@@ -23,39 +23,40 @@
 	if first == one {
 		next = two
 	}
-	cl.eventually("the other is ready", next.Ready)
-	ob := &orderRecorder{}
-	ob.sendConstantly(t, first)
-	ob.sendConstantly(t, next)
-	cl.eventually("orders of the first holder", func() bool { return len(ob.byNode(first.opts.Name)) > 1 })
+	cl.eventually("the other instance is ready", next.Ready)
+	recorder := &orderRecorder{}
+	recorder.sendConstantly(t, first)
+	recorder.sendConstantly(t, next)
+	cl.eventually("orders of the first leader", func() bool { return len(recorder.byNode(first.opts.Name)) > 1 })
 	first.faultyStore.set(func(fs *faultyStore) { fs.unresponsive = true })
-	// The detour through the peer would keep it in office.
+	// Through the peer it could renew its lease and stay the leader.
 	first.peers.mu.Lock()
 	first.peers.backoffUntil[next.opts.Address] = time.Now().Add(time.Hour)
 	first.peers.mu.Unlock()
-	cl.eventually("orders of the next holder", func() bool { return len(ob.byNode(next.opts.Name)) > 0 })
-	begin := ob.byNode(next.opts.Name)[0]
-	for _, gv := range ob.byNode(first.opts.Name) {
-		if gv.to.After(begin.from) {
-			t.Fatalf("an order of the first holder ended %v after the next one began", gv.to.Sub(begin.from))
+	cl.eventually("orders of the next leader", func() bool { return len(recorder.byNode(next.opts.Name)) > 0 })
+	firstOrder := recorder.byNode(next.opts.Name)[0]
+	for _, so := range recorder.byNode(first.opts.Name) {
+		if so.to.After(firstOrder.from) {
+			t.Fatalf("an order of the first leader ended %v after the next leader's first order was sent", so.to.Sub(firstOrder.from))
 		}
-		if gv.token >= begin.token {
-			t.Fatalf("tokens do not rise: %d, then %d", gv.token, begin.token)
+		if so.token >= firstOrder.token {
+			t.Fatalf("tokens do not increase: %d, then %d", so.token, firstOrder.token)
 		}
 	}
 }
 
-// TestTermFollowsTheStore: a store whose answers take long makes the term longer, and the others wait as long as the row says.
+// TestLeaseTermFollowsStoreLatency checks that a slow store lengthens the term, and that other instances wait for the term that
+// the row states.
 func TestLeaseTermFollowsStoreLatency(t *testing.T) {
 	cl := newCluster(t, time.Millisecond)
 	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &faultyStore{mem: cl.mm}, Workers: cl.workers, Machines: noMachines{}, Format: testFormat{}})
-	if fast := fl.machineLeaseTerm(); fast != machineLeaseTermMin {
-		t.Errorf("the term is %v while the store is fast", fast)
+	if fastTerm := fl.machineLeaseTerm(); fastTerm != machineLeaseTermMin {
+		t.Errorf("term %v on a fast store", fastTerm)
 	}
 	fl.store.latency = 500 * time.Millisecond
-	slow := fl.machineLeaseTerm()
-	if slow < 4*fl.store.latency || slow > machineLeaseTermMax {
-		t.Errorf("the term is %v while a transaction takes %v", slow, fl.store.latency)
+	slowTerm := fl.machineLeaseTerm()
+	if slowTerm < 4*fl.store.latency || slowTerm > machineLeaseTermMax {
+		t.Errorf("term %v at a commit latency of %v", slowTerm, fl.store.latency)
 	}
 	now := time.Now()
 	fl.control.origin = now.Add(-2 * time.Hour)
@@ -67,18 +68,19 @@
 	}{
 		{machineLeaseTermMin, machineLeaseTermMin, true},
 		{machineLeaseTermMin, machineLeaseTermMin + 2*machineLeaseMargin, false},
-		{slow, machineLeaseTermMin + 2*machineLeaseMargin, true},
-		{slow, slow + 2*machineLeaseMargin, false},
+		{slowTerm, machineLeaseTermMin + 2*machineLeaseMargin, true},
+		{slowTerm, slowTerm + 2*machineLeaseMargin, false},
 		{0, machineLeaseTermMin, true},
 	} {
 		fl.members.ownerChangedAt[machinesCell] = now.Add(-tc.still)
 		if got := fl.machineLeaseHeld(ownerRow{Holder: "two", Term: tc.term}); got != tc.held {
-			t.Errorf("a row of term %v that stands still for %v: held is %t", tc.term, tc.still, got)
+			t.Errorf("row with term %v, unchanged for %v: held is %t", tc.term, tc.still, got)
 		}
 	}
 }
 
-// TestShorterTermHoldsFromItsFirstTry: its answer may be lost, and the others wait for the shorter one only.
+// TestShorterTermAppliesFromFirstAttempt checks that a renewal with a shorter term shortens the lease as soon as it is sent. Its
+// answer may be lost, and other instances then wait only for the shorter term.
 func TestShorterTermAppliesFromFirstAttempt(t *testing.T) {
 	cl := newCluster(t, time.Millisecond)
 	now := time.Now()
@@ -87,169 +89,174 @@
 	fl.controller.lease = machineLease{expires: now.Add(machineLeaseTermMax), ordered: map[cell.MachineID]*machineOrders{}}
 	fl.controller.renewOnce(context.Background(), nil)
 	if left := fl.controller.lease.expires.Sub(now); left > machineLeaseTermMin {
-		t.Fatalf("orders may be given for %v, the row that was sent says %v", left, machineLeaseTermMin)
+		t.Fatalf("orders may be sent for %v, but the row states %v", left, machineLeaseTermMin)
 	}
 }
 
-// TestLateClaimDoesNotReplaceAHolderThatRenewed: the claim was decided, or sent, before the renewal.
+// TestLateClaimDoesNotReplaceRenewedLeader checks that a claim fails if the lease was renewed after the claim was decided or
+// sent.
 func TestLateClaimDoesNotReplaceRenewedLeader(t *testing.T) {
 	cl := newCluster(t, time.Millisecond)
 	one := cl.start("one")
 	cl.leader(one)
 	two := cl.start("two")
-	cl.eventually("the other is ready", two.Ready)
+	cl.eventually("the other instance is ready", two.Ready)
 	stale := two.members.owner(machinesCell)
 	cl.eventually("a renewal", func() bool { return one.controller.leaseVersion() > stale.version })
 	two.commitClaim(context.Background(), machinesCell, stale)
 	if two.controller.isLeader() {
-		t.Fatal("a claim in a version that is gone was granted")
+		t.Fatal("a claim based on an outdated version was granted")
 	}
 }
 
-// TestRenewalCountsFromItsFirstTry: one whose answer was lost is known once a later try finds its row, and the others may have seen that
-// row ever since it was sent. The renewal after that changes the row again, so it counts from its own sending.
+// TestRenewalCountsFromFirstAttempt checks the term of a renewal whose answer was lost. A later attempt finds the row of the lost
+// one, which other instances may have seen ever since it was sent, so the term runs from the first attempt. The next renewal
+// changes the row again, so its term runs from its own attempt.
 func TestRenewalCountsFromFirstAttempt(t *testing.T) {
 	cl := newCluster(t, time.Millisecond)
 	now := time.Now()
 	var mu sync.Mutex
-	lost := 0
-	way := &faultyStore{mem: cl.mm, dropAnswer: func(tx Tx) bool {
+	commits := 0
+	store := &faultyStore{mem: cl.mm, dropAnswer: func(tx Tx) bool {
 		mu.Lock()
 		defer mu.Unlock()
-		lost++
-		return lost == 1
+		commits++
+		return commits == 1
 	}}
 	clock := now
-	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: way, Workers: cl.workers, Machines: noMachines{}, Format: testFormat{}, Now: func() time.Time { return clock }})
+	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: store, Workers: cl.workers, Machines: noMachines{}, Format: testFormat{}, Now: func() time.Time { return clock }})
 	fl.controller.row = ownerRow{Holder: "one", Incarnation: fl.opts.Incarnation}
 	fl.controller.waveRunner = machine.NewKeeper(now, 0)
 	fl.controller.lease.ordered = map[cell.MachineID]*machineOrders{}
 	if fl.controller.renewOnce(context.Background(), nil) {
-		t.Fatal("a try without an answer counts as a renewal")
+		t.Fatal("an unanswered attempt counts as a renewal")
 	}
-	if until := fl.controller.lease.expires; until.After(now) {
-		t.Fatalf("a try without an answer gave a lease of %v", until.Sub(now))
+	if expires := fl.controller.lease.expires; expires.After(now) {
+		t.Fatalf("an unanswered attempt gave a lease of %v", expires.Sub(now))
 	}
 	clock = now.Add(time.Second)
 	for _, want := range []time.Time{now.Add(machineLeaseTermMin), clock.Add(machineLeaseTermMin)} {
-		// The first of these finds the earlier try's row, the second renews in its version.
+		// The first iteration finds the row of the earlier attempt; the second one renews from that version.
 		if !fl.controller.renewOnce(context.Background(), nil) {
 			t.Fatal("the lease was not renewed")
 		}
 		if got := fl.controller.lease.expires; !got.Equal(want) {
-			t.Fatalf("the lease ends %v after the first try, want %v", got.Sub(now), want.Sub(now))
+			t.Fatalf("the lease ends %v after the first attempt, want %v", got.Sub(now), want.Sub(now))
 		}
 	}
 	if fl.controller.waveRunner.Lost() {
-		t.Fatal("its own row was taken for another holder's")
+		t.Fatal("the leader took its own row for that of another leader")
 	}
 }
 
-// TestOrderIsGivenUpWhenTheLeaseEnds: although calls about machines may take longer.
+// TestOrderIsCancelledWhenLeaseExpires checks that an order is cancelled when the lease expires, even if the machine timeout is
+// longer.
 func TestOrderIsCancelledWhenLeaseExpires(t *testing.T) {
 	cl := newCluster(t, time.Millisecond)
 	one := cl.start("one")
 	cl.leader(one)
 	one.controller.announce(context.Background(), []cell.MachineID{busyMachine})
 	one.faultyStore.set(func(fs *faultyStore) { fs.unresponsive = true })
-	cl.eventually("a lease that is not renewed any more", func() bool {
+	cl.eventually("a lease that is no longer renewed", func() bool {
 		one.controller.mu.Lock()
 		defer one.controller.mu.Unlock()
 		return time.Until(one.controller.lease.expires) < machineLeaseTermMin/2
 	})
 	one.controller.mu.Lock()
-	until := one.controller.lease.expires
+	expires := one.controller.lease.expires
 	one.controller.mu.Unlock()
 	one.controller.sendOrder(context.Background(), busyMachine, func(ctx context.Context) machine.Outcome {
-		if deadline, _ := ctx.Deadline(); deadline.After(until.Add(time.Millisecond)) {
-			t.Errorf("the order may be under way until %v after the lease", deadline.Sub(until))
+		if deadline, _ := ctx.Deadline(); deadline.After(expires.Add(time.Millisecond)) {
+			t.Errorf("the order may be in flight until %v after the lease has expired", deadline.Sub(expires))
 		}
 		return machine.Done
 	})
 }
 
-// TestHandedOverDutyIsTakenAtOnce: no order is under way then, and nobody waits for the lease to end.
+// TestReleasedLeaseIsTakenAtOnce checks that a handover leaves no order in flight, so that the next leader does not wait for the
+// lease to expire.
 func TestReleasedLeaseIsTakenAtOnce(t *testing.T) {
 	cl := newCluster(t, time.Millisecond)
 	one := cl.start("one")
 	cl.leader(one)
 	two := cl.start("two")
-	cl.eventually("the other is ready", two.Ready)
-	ob := &orderRecorder{}
-	ob.sendConstantly(t, one)
-	cl.eventually("orders", func() bool { return len(ob.byNode("one")) > 0 })
+	cl.eventually("the other instance is ready", two.Ready)
+	recorder := &orderRecorder{}
+	recorder.sendConstantly(t, one)
+	cl.eventually("orders", func() bool { return len(recorder.byNode("one")) > 0 })
 	one.HandOver(context.Background())
 	if cl.leaseRow().Holder == "one" {
-		t.Fatal("the duty's row still names the one that left")
+		t.Fatal("the lease row still names the instance that handed over")
 	}
-	handed := time.Now()
+	releasedAt := time.Now()
 	cl.leader(two)
-	cl.eventually("the end of what is under way", func() bool { return !one.controller.leaseValid(time.Now()) })
+	cl.eventually("the end of the lease", func() bool { return !one.controller.leaseValid(time.Now()) })
 	sleep(context.Background(), machineLeaseTermMin)
-	for _, gv := range ob.byNode("one") {
-		if gv.to.After(handed) {
-			t.Fatal("an order was under way after the handover")
+	for _, so := range recorder.byNode("one") {
+		if so.to.After(releasedAt) {
+			t.Fatal("an order was in flight after the handover")
 		}
 	}
 }
 
-// TestOnlyAnnouncedMachinesGetOrders: the duty's row names a machine before an order for it is given.
+// TestOnlyAnnouncedMachinesGetOrders checks that the lease row lists a machine before an order for it is sent.
 func TestOnlyAnnouncedMachinesGetOrders(t *testing.T) {
 	cl := newCluster(t, time.Millisecond)
 	one := cl.start("one")
 	cl.leader(one)
-	give := func(id cell.MachineID) (given bool) {
+	sendOrder := func(id cell.MachineID) (sent bool) {
 		one.controller.sendOrder(context.Background(), id, func(context.Context) machine.Outcome {
-			given = true
+			sent = true
 			return machine.Done
 		})
-		return given
+		return sent
 	}
-	if give("m1") {
-		t.Error("an order for a machine that was not announced")
+	if sendOrder("m1") {
+		t.Error("an order was sent for a machine that was not announced")
 	}
 	one.faultyStore.set(func(fs *faultyStore) { fs.refuse = true })
 	one.controller.announce(context.Background(), []cell.MachineID{"m1"})
-	if give("m1") {
-		t.Error("an order for a machine whose announcement is not kept")
+	if sendOrder("m1") {
+		t.Error("an order was sent for a machine whose announcement was not stored")
 	}
 	one.faultyStore.set(func(fs *faultyStore) { fs.refuse = false })
 	cl.eventually("an order after the announcement", func() bool {
 		one.controller.announce(context.Background(), []cell.MachineID{"m1"})
-		return give("m1")
+		return sendOrder("m1")
 	})
 	row := cl.leaseRow()
-	if _, named := row.Ordered["m1"]; !named {
-		t.Fatalf("the row names %v", row.Ordered)
+	if _, listed := row.Ordered["m1"]; !listed {
+		t.Fatalf("the row lists %v", row.Ordered)
 	}
 }
 
-// TestNextHolderRestsFromWhatTheRowNames: and from nothing else, and tells a holder after it, whether the duty is handed over or taken.
+// TestNextLeaderKeepsPublishedCooldowns checks that the next leader applies the cooldowns of the row, and no others, and
+// publishes them for the leader after it, whether the lease was handed over or claimed.
 func TestNextLeaderKeepsPublishedCooldowns(t *testing.T) {
 	cl := newCluster(t, time.Millisecond)
 	one := cl.start("one")
 	cl.leader(one)
 	cl.eventually("an order", func() bool {
 		one.controller.announce(context.Background(), []cell.MachineID{"m1"})
-		given := false
+		sent := false
 		one.controller.sendOrder(context.Background(), "m1", func(context.Context) machine.Outcome {
-			given = true
+			sent = true
 			return machine.Done
 		})
-		return given
+		return sent
 	})
 	two := cl.start("two")
-	cl.eventually("the other is ready", two.Ready)
+	cl.eventually("the other instance is ready", two.Ready)
 	one.HandOver(context.Background())
 	cl.leader(two)
 	two.controller.mu.Lock()
-	before := two.controller.previous
+	previous := two.controller.previous
 	two.controller.mu.Unlock()
-	if left := before.Ordered["m1"]; left <= 0 || left > machineCooldown || len(before.Ordered) != 1 {
-		t.Fatalf("the row names %v", before.Ordered)
+	if left := previous.Ordered["m1"]; left <= 0 || left > machineCooldown || len(previous.Ordered) != 1 {
+		t.Fatalf("the row lists %v", previous.Ordered)
 	}
-	if _, passed := cl.leaseRow().Ordered["m1"]; !passed && time.Since(before.seenAt) < machineCooldown/2 {
-		t.Fatal("the next holder's row does not name it")
+	if _, listed := cl.leaseRow().Ordered["m1"]; !listed && time.Since(previous.seenAt) < machineCooldown/2 {
+		t.Fatal("the next leader's row does not list the machine")
 	}
 	for _, tc := range []struct {
 		id    cell.MachineID
@@ -257,16 +264,17 @@
 		want  bool
 	}{{"m1", 0, true}, {"m1", machineCooldown, false}, {"m2", 0, false}} {
 		two.controller.mu.Lock()
-		got := two.controller.coolingDown(before.seenAt.Add(tc.after), tc.id)
+		got := two.controller.coolingDown(previous.seenAt.Add(tc.after), tc.id)
 		two.controller.mu.Unlock()
 		if got != tc.want {
-			t.Errorf("%s rests after %v: %t", tc.id, tc.after, got)
+			t.Errorf("%s is cooling down after %v: %t", tc.id, tc.after, got)
 		}
 	}
 }
 
-// TestRowTellsForHowLongMachinesRest: an order that is over rests for what is left, one that may be given or is under way until it is
-// surely over; a machine whose order was refused before it was given does not.
+// TestLeaseRowPublishesCooldowns checks the cooldowns in the row. After an order has ended, the rest of its cooldown is
+// published. For planned orders and orders in flight, the term is added, by the end of which they have surely ended. A machine
+// whose order was refused before it was sent has no cooldown.
 func TestLeaseRowPublishesCooldowns(t *testing.T) {
 	const term = time.Second
 	now := time.Now()
@@ -280,11 +288,11 @@
 	got := dl.cooldowns(now, term)
 	want := map[cell.MachineID]time.Duration{"announced": machineCooldown + term, "active": machineCooldown + term, "over": machineCooldown - time.Second}
 	if !maps.Equal(got, want) {
-		t.Fatalf("rests %v, want %v", got, want)
+		t.Fatalf("cooldowns %v, want %v", got, want)
 	}
 }
 
-// dutyRow is the row of the machines' duty.
+// leaseRow returns the machine lease row.
 func (cl *cluster) leaseRow() ownerRow {
 	cl.t.Helper()
 	var or ownerRow
@@ -296,42 +304,44 @@
 	return or
 }
 
-// TestLateReportDoesNotUndoTheEnd: the word that a wave has begun is carried out after the word that it is over.
+// TestLateReportDoesNotUndoCompletion checks that the report of a wave's begin does not overwrite the report of its completion
+// when it is written late.
 func TestLateReportDoesNotUndoCompletion(t *testing.T) {
 	cl := newCluster(t, time.Millisecond)
-	tried := make(chan struct{}, 1)
+	attempted := make(chan struct{}, 1)
 	one := cl.start("one", func(fs *faultyStore) {
 		fs.dropAnswer = func(tx Tx) bool {
 			if len(tx.Write) == 1 && string(tx.Write[0].Value) == "completed false" {
-				tried <- struct{}{}
+				attempted <- struct{}{}
 			}
 			return false
 		}
 	})
 	cl.leader(one)
-	told := func() string {
+	status := func() string {
 		for _, rw := range cl.mm.read(Query{Table: "status"}).Rows {
 			return string(rw.Value)
 		}
 		return ""
 	}
 	one.controller.reportWave(context.Background(), machine.Report{Wave: 1, Completed: true})
-	cl.eventually("the end is told", func() bool { return told() == "completed true" })
+	cl.eventually("the completion is reported", func() bool { return status() == "completed true" })
 	one.controller.reportWave(context.Background(), machine.Report{Wave: 1})
-	<-tried
-	if word := told(); word != "completed true" {
-		t.Fatalf("the operator reads %q", word)
+	<-attempted
+	if got := status(); got != "completed true" {
+		t.Fatalf("the operator reads %q", got)
 	}
 }
 
-// TestAnnouncementWhoseAnswerIsLostIsRepeated: the row names the machines, and the orders for them are given in the same round.
+// TestAnnouncementIsRepeatedAfterLostAnswer checks that the announcement is retried within the same round after its answer was
+// lost, so that the orders can be sent.
 func TestAnnouncementIsRepeatedAfterLostAnswer(t *testing.T) {
 	cl := newCluster(t, time.Millisecond)
 	lost := 0
 	one := cl.start("one", func(fs *faultyStore) {
 		fs.dropAnswer = func(tx Tx) bool {
-			names := len(tx.Write) > 0 && tx.Write[0].Part == machinesCell && bytes.Contains(tx.Write[0].Value, []byte("m1"))
-			if names && lost == 0 {
+			listsMachine := len(tx.Write) > 0 && tx.Write[0].Part == machinesCell && bytes.Contains(tx.Write[0].Value, []byte("m1"))
+			if listsMachine && lost == 0 {
 				lost++
 				return true
 			}
@@ -344,34 +354,34 @@
 		t.Fatalf("%d answers were lost", lost)
 	}
 	if !one.controller.isPublished([]cell.MachineID{"m1"}) {
-		t.Fatal("the machine is not named after its announcement was lost")
+		t.Fatal("the machine is not listed after the answer to its announcement was lost")
 	}
 }
 
-// TestNothingIsOrderedAfterTheClockLeapt: the machine was suspended for longer than the lease, and its holder wakes between the look at the
-// lease and the order.
+// TestNoOrderAfterClockJump checks that no order is sent after the host was suspended for longer than the lease, if the leader
+// resumes between checking the lease and sending the order.
 func TestNoOrderAfterClockJump(t *testing.T) {
 	cl := newCluster(t, time.Millisecond)
 	now := time.Now()
 	clock := now
 	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &faultyStore{mem: cl.mm}, Workers: cl.workers, Machines: noMachines{}, Format: testFormat{}, Now: func() time.Time { return clock }})
-	du := fl.controller
-	du.row = ownerRow{Holder: "one", Incarnation: fl.opts.Incarnation}
-	du.waveRunner, du.tasks = machine.NewKeeper(now, 0), &sync.WaitGroup{}
-	du.cancel = func() {}
-	du.lease.ordered = map[cell.MachineID]*machineOrders{}
-	given := 0
-	give := func(context.Context) machine.Outcome {
-		given++
+	ct := fl.controller
+	ct.row = ownerRow{Holder: "one", Incarnation: fl.opts.Incarnation}
+	ct.waveRunner, ct.tasks = machine.NewKeeper(now, 0), &sync.WaitGroup{}
+	ct.cancel = func() {}
+	ct.lease.ordered = map[cell.MachineID]*machineOrders{}
+	sent := 0
+	send := func(context.Context) machine.Outcome {
+		sent++
 		return machine.Done
 	}
-	du.announce(context.Background(), []cell.MachineID{"m1", "m2"})
-	du.sendOrder(context.Background(), "m1", give)
-	if given != 1 {
-		t.Fatalf("%d orders under a lease", given)
+	ct.announce(context.Background(), []cell.MachineID{"m1", "m2"})
+	ct.sendOrder(context.Background(), "m1", send)
+	if sent != 1 {
+		t.Fatalf("%d orders under a valid lease", sent)
 	}
 	clock = clock.Add(5 * time.Second)
-	if du.leaseValid(fl.opts.Now()) || du.sendOrder(context.Background(), "m2", give) != machine.Refused || given != 1 {
-		t.Error("an order was given after the clock leapt over the lease's end")
+	if ct.leaseValid(fl.opts.Now()) || ct.sendOrder(context.Background(), "m2", send) != machine.Refused || sent != 1 {
+		t.Error("an order was sent after the clock had jumped past the end of the lease")
 	}
 }
--- a/fleet/orderqueue_test.go
+++ b/fleet/orderqueue_test.go
@@ -10,7 +10,7 @@
 	"github.com/aspenseam/aspenseam/cell"
 )
 
-// slowWorkers answer each order after a time of its own; one that is lost gets no answer within orderTime.
+// slowWorkers answers each order after a fixed time; a lost order gets no answer within orderTime.
 type slowWorkers struct {
 	mu       sync.Mutex
 	lost     func(number int) bool
@@ -37,9 +37,9 @@
 	return cell.OrderResult{Order: od, Outcome: cell.Done}
 }
 
-// laneRun gives a lane so many starts at once and returns when each had its outcome, and how many had which.
+// runQueue enqueues a number of starts at once and returns when each one had its outcome, and how often each outcome occurred.
 func runQueue(starts int, lost func(number int) bool) (ends []time.Duration, outcomes map[cell.Outcome]int) {
-	began := time.Now()
+	start := time.Now()
 	oq := newOrderQueue(&slowWorkers{lost: lost}, time.Now)
 	outcomes = map[cell.Outcome]int{}
 	var mu sync.Mutex
@@ -50,7 +50,7 @@
 			defer wg.Done()
 			mu.Lock()
 			defer mu.Unlock()
-			ends = append(ends, time.Since(began))
+			ends = append(ends, time.Since(start))
 			outcomes[od.Outcome]++
 		})
 	}
@@ -58,43 +58,46 @@
 	return ends, outcomes
 }
 
-// TestLaneGoesOnBesideAnOrderThatIsLost: the ones behind it wait for a moment, not until it is given up.
+// TestQueueContinuesWhileAnOrderHangs checks that a lost order delays the orders behind it only for slowOrderDelay, not until it
+// times out.
 func TestQueueContinuesWhileAnOrderHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ends, outcomes := runQueue(20, func(number int) bool { return number == 3 })
 		if outcomes[cell.Done] != 19 || outcomes[cell.NoAnswer] != 1 {
 			t.Fatalf("outcomes %v", outcomes)
 		}
-		if before := ends[18]; before > slowOrderDelay+20*answerTime {
-			t.Errorf("19 of 20 orders took %v beside one that was lost", before)
+		if elapsed := ends[18]; elapsed > slowOrderDelay+20*answerTime {
+			t.Errorf("19 of 20 orders took %v while one was lost", elapsed)
 		}
 	})
 }
 
-// TestLaneUsesOneConnectionWhileItIsAnswered: a second one is opened only where answers take long.
+// TestQueueUsesOneConnectionWhileAnswered checks that a second connection is opened only if answers are slow.
 func TestQueueUsesOneConnectionWhileAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ends, _ := runQueue(20, func(int) bool { return false })
-		if last := ends[19]; last != 20*answerTime {
-			t.Errorf("20 orders took %v one after the other, want %v", last, 20*answerTime)
+		if elapsed := ends[19]; elapsed != 20*answerTime {
+			t.Errorf("20 orders in sequence took %v, want %v", elapsed, 20*answerTime)
 		}
 	})
 }
 
-// TestLaneOfAWorkerThatIsGoneSendsNothingFurther: what was not sent can be started elsewhere at once.
+// TestQueueOfUnresponsiveWorkerStopsSending checks that starts to an unresponsive worker are returned as not sent, so that they
+// can be started elsewhere at once.
 func TestQueueOfUnresponsiveWorkerStopsSending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ends, outcomes := runQueue(20, func(int) bool { return true })
 		if outcomes[cell.NoAnswer] > maxOrdersInFlight+unansweredLimit || outcomes[cell.NoAnswer]+outcomes[cell.NotSent] != 20 {
 			t.Errorf("outcomes %v", outcomes)
 		}
-		if last := ends[19]; last > 2*orderTime+slowOrderDelay*maxOrdersInFlight {
-			t.Errorf("the last of 20 orders was settled after %v", last)
+		if elapsed := ends[19]; elapsed > 2*orderTime+slowOrderDelay*maxOrdersInFlight {
+			t.Errorf("the last of 20 orders was settled after %v", elapsed)
 		}
 	})
 }
 
-// TestOrderThatWaitedTooLongIsNotSent: its giver counts it as silent by then.
+// TestOrderThatWaitedTooLongIsNotSent checks the queue's time limit, after which the sender already counts the order as
+// unanswered.
 func TestOrderThatWaitedTooLongIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sw := &slowWorkers{lost: func(int) bool { return true }}
--- a/fleet/orderrecorder_test.go
+++ b/fleet/orderrecorder_test.go
@@ -10,14 +10,14 @@
 	"github.com/aspenseam/aspenseam/machine"
 )
 
-// given is a span in which an order to a machine was under way.
+// sentOrder is the time span in which an order for a machine was in flight.
 type sentOrder struct {
 	node     string
 	token    cell.Token
 	from, to time.Time
 }
 
-// orderBook notes every order that nodes give.
+// orderRecorder records all orders that nodes send.
 type orderRecorder struct {
 	mu   sync.Mutex
 	list []sentOrder
@@ -41,7 +41,7 @@
 	return list
 }
 
-// press has a node give orders without end, most of which get no answer, and several of which are under way at any time.
+// sendConstantly makes a node send orders continually, with several in flight at any time. Most of them are not answered.
 func (or *orderRecorder) sendConstantly(t *testing.T, nd *testNode) {
 	const parallel, gap = 16, 37 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
@@ -54,9 +54,9 @@
 			sleep(ctx, time.Second)
 		}
 	})
-	for turn := range parallel {
+	for sender := range parallel {
 		wg.Go(func() {
-			sleep(ctx, time.Duration(turn)*gap)
+			sleep(ctx, time.Duration(sender)*gap)
 			for count := 0; ctx.Err() == nil; count++ {
 				or.sendOne(ctx, nd, count%4 != 0)
 				sleep(ctx, time.Millisecond)
@@ -69,10 +69,10 @@
 	})
 }
 
-// pressed is the machine for which orders are given without end.
+// busyMachine is the machine that sendConstantly sends orders for.
 const busyMachine = "m0"
 
-// give gives one order, which hangs until it is given up or is answered at once.
+// sendOne sends one order, which hangs until it is cancelled or is answered at once.
 func (or *orderRecorder) sendOne(ctx context.Context, nd *testNode, hangs bool) {
 	nd.controller.sendOrder(ctx, busyMachine, func(ctx context.Context) machine.Outcome {
 		so := sentOrder{node: nd.opts.Name, token: nd.controller.tokenNow(), from: time.Now()}
@@ -85,18 +85,18 @@
 	})
 }
 
-// tokenNow is the token of the present tenure.
+// tokenNow returns the current fencing token.
 func (ct *machineController) tokenNow() cell.Token {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
 	return ct.token
 }
 
-// holder waits until one of the nodes may give orders.
+// leader waits until one of the nodes may send orders.
 func (cl *cluster) leader(nodes ...*testNode) *testNode {
 	cl.t.Helper()
 	var found *testNode
-	cl.eventually("a holder of the machines' duty", func() bool {
+	cl.eventually("a leader of the machine controller", func() bool {
 		for _, nd := range nodes {
 			if nd.controller.leaseValid(time.Now()) {
 				found = nd
--- a/fleet/partition_test.go
+++ b/fleet/partition_test.go
@@ -10,8 +10,8 @@
 	"github.com/aspenseam/aspenseam/cell"
 )
 
-// cutSite has two nodes in the hall here and one elsewhere, all of which know each other.
-func partitionSite(t *testing.T) (cl *cluster, here, beside, far *testNode) {
+// partitionCluster starts two nodes in one data hall and one in another, and waits until all know each other.
+func partitionCluster(t *testing.T) (cl *cluster, here, beside, far *testNode) {
 	cl = newCluster(t, time.Millisecond)
 	cl.halls = map[string]string{"here": "a", "beside": "a", "far": "b"}
 	here, beside, far = cl.start("here"), cl.start("beside"), cl.start("far")
@@ -21,10 +21,10 @@
 	return cl, here, beside, far
 }
 
-// TestCutOffInstanceSendsCallersElsewhere: nothing answers but the neighbour in its own hall, which is cut off as well. A job that the
-// store may have taken gets its answer at once, since another hall can find out.
+// TestCutOffInstanceSendsCallersElsewhere leaves only the neighbour in the same data hall reachable, which is cut off as well. A
+// job that the store may have accepted must be answered at once, since another data hall can find out its state.
 func TestCutOffInstanceSendsCallersElsewhere(t *testing.T) {
-	cl, here, beside, far := partitionSite(t)
+	cl, here, beside, far := partitionCluster(t)
 	for _, nd := range []*testNode{here, beside} {
 		nd.faultyStore.set(func(fs *faultyStore) { fs.unresponsive = true })
 	}
@@ -38,15 +38,15 @@
 	if err := far.srv.Close(); err != nil {
 		t.Fatal(err)
 	}
-	cl.eventually("it is seen that the hall is cut off", here.CutOff)
+	cl.eventually("the partition is detected", here.CutOff)
 	if here.Ready() {
-		t.Error("ready although the hall is cut off")
+		t.Error("ready although the data hall is cut off")
 	}
 	if result := <-waiting; result == Accepted {
 		t.Errorf("verdict %d for a job that the store has not acknowledged", result)
 	}
 	if ctx.Err() != nil {
-		t.Error("the answer came with the end of the caller's time")
+		t.Error("the answer came only at the caller's timeout")
 	}
 	if result := cl.submit(here, "c2"); result != Refused {
 		t.Errorf("verdict %d for a new job", result)
@@ -55,21 +55,23 @@
 	cl.eventually("it is ready again", here.Ready)
 }
 
-// TestStoreThatIsDownIsNoCut: the other hall answers, and callers are no better off there.
+// TestStoreOutageIsNotAPartition checks that an instance stays ready in an outage of the store: the other data hall answers, and
+// callers are no better off there.
 func TestStoreOutageIsNotAPartition(t *testing.T) {
-	cl, here, beside, far := partitionSite(t)
+	cl, here, beside, far := partitionCluster(t)
 	for _, nd := range []*testNode{here, beside, far} {
 		nd.faultyStore.set(func(fs *faultyStore) { fs.unresponsive = true })
 	}
-	cl.eventually("the store has been silent for long", func() bool { return time.Since(here.store.lastAnswer()) > 4*partitionSilence })
+	cl.eventually("the store has not answered for long", func() bool { return time.Since(here.store.lastAnswer()) > 4*partitionSilence })
 	if here.CutOff() || !here.Ready() {
-		t.Error("an outage of the store was taken for a cut")
+		t.Error("an outage of the store was taken for a partition")
 	}
 }
 
-// TestInstancesThatAreGoneTellNothing: the rows of replaced instances stay; only those that lived of late are asked.
+// TestDeadInstancesAreNotProbed checks that only instances that were live recently are probed. The rows of replaced instances
+// remain in the table.
 func TestDeadInstancesAreNotProbed(t *testing.T) {
-	cl, here, _, _ := partitionSite(t)
+	cl, here, _, _ := partitionCluster(t)
 	here.members.mu.Lock()
 	for _, name := range []string{"gone1", "gone2", "gone3", "gone4"} {
 		here.members.nodes[name] = node{Name: name, Address: "127.0.0.1:1", Hall: "b"}
@@ -77,19 +79,19 @@
 	here.members.nodes["leaves"] = node{Name: "leaves", Address: "127.0.0.1:1", Hall: "b", Leaving: true}
 	here.members.nodeSeenAt["leaves"] = time.Now().Add(testTimeout)
 	here.members.mu.Unlock()
-	cl.eventually("the gone are told from the living", func() bool { return len(here.liveNodes()) == 4 })
+	cl.eventually("the dead instances are recognized", func() bool { return len(here.liveNodes()) == 4 })
 	rc := &partitionDetector{fl: here.Fleet}
 	for range 10 {
 		for _, nd := range rc.probeTargets() {
 			if nd.Name != "far" {
-				t.Fatalf("%s is asked", nd.Name)
+				t.Fatalf("%s is probed", nd.Name)
 			}
 		}
 	}
 }
 
-// TestCutOwnerLearnsOfWorkersThroughPeers: an owner that the store does not answer asks peers for registrations, and does not try the direct
-// way with them again and again, which is silent for as long as a feed may be.
+// TestCutOffOwnerReadsRegistrationsThroughPeers checks that an owner without an answer from the store reads registrations through
+// peers. It must not retry the direct path with feed calls, each of which may be silent for the whole feed timeout.
 func TestCutOffOwnerReadsRegistrationsThroughPeers(t *testing.T) {
 	cl := newCluster(t, time.Hour)
 	one := cl.start("one")
@@ -97,27 +99,27 @@
 	two := cl.start("two")
 	cl.eventually("the peer is known", func() bool { return two.Ready() && len(one.members.others("one")) > 0 })
 	owner.faultyStore.set(func(fs *faultyStore) { fs.unresponsive = true })
-	cl.eventually("it goes through peers", owner.store.proxying)
-	before := 0
+	cl.eventually("calls go through peers", owner.store.proxying)
+	feeds := 0
 	for i := range 8 {
 		id := fmt.Sprintf("late%d", i)
 		cl.write(Row{Table: "registry", Key: id, Value: []byte("{}")})
 		cl.eventually("the owner knows "+id, func() bool {
-			now := owner
+			current := owner
 			if two.ownerOf("pool") != nil {
-				// On a busy machine the beats through the peer may be too late, and the cell changes hands.
-				now = two
+				// On a busy machine the heartbeats through the peer may be too late, and the cell changes its owner.
+				current = two
 			}
-			return slices.ContainsFunc(now.workerCache.inPool("pool"), func(wk cell.Worker) bool { return string(wk.ID) == id })
+			return slices.ContainsFunc(current.workerCache.inPool("pool"), func(wk cell.Worker) bool { return string(wk.ID) == id })
 		})
 		if i == 0 {
-			before = owner.faultyStore.feedCalls("registry")
+			feeds = owner.faultyStore.feedCalls("registry")
 		}
 		time.Sleep(directProbeInterval / 2)
 	}
-	if tries := owner.faultyStore.feedCalls("registry") - before; tries > 1 {
-		t.Errorf("the direct way was tried with %d feeds", tries)
+	if directFeeds := owner.faultyStore.feedCalls("registry") - feeds; directFeeds > 1 {
+		t.Errorf("the direct path was tried with %d feed calls", directFeeds)
 	}
 	owner.faultyStore.set(func(fs *faultyStore) { fs.unresponsive = false })
-	cl.eventually("it goes the direct way again", func() bool { return !owner.store.proxying() })
+	cl.eventually("calls go directly again", func() bool { return !owner.store.proxying() })
 }
--- a/fleet/relay_test.go
+++ b/fleet/relay_test.go
@@ -18,7 +18,7 @@
 
 var relayedTask = job.Task{Job: "0123456789abcdef", Run: 3, Step: 1, Index: 17}
 
-// TestOrdersReachAPeerWhole: an order is the same at the peer, whatever fields it has.
+// TestRelayOrderRoundTrip checks that orders are unchanged after conversion to and from the wire form.
 func TestRelayOrderRoundTrip(t *testing.T) {
 	for _, od := range []cell.Order{
 		cell.Poll{Worker: "w", Address: "a:1", Token: 1 << 40, LeaseUntil: 77, AckedEnd: 5, Wait: 900 * time.Millisecond},
@@ -27,36 +27,36 @@
 		cell.Throttle{Worker: "w", Address: "a:1", Token: 9, Task: relayedTask, Attempt: 4, Percent: 30},
 	} {
 		if got := fromRelayOrder(toRelayOrder(6, od)); !reflect.DeepEqual(got, od) {
-			t.Errorf("%+v came as %+v", od, got)
+			t.Errorf("%+v arrived as %+v", od, got)
 		}
 	}
 	if ro := toRelayOrder(7, cell.Save{}); ro != nil {
-		t.Errorf("a save is handed to a peer: %v", ro)
+		t.Errorf("a save is relayed to a peer: %v", ro)
 	}
 }
 
-// TestResultOfALookComesBackWhole: what the worker listed is the same, and it counts as received when it reached the peer.
+// TestRelayPollResultRoundTrip checks that the result of a poll is unchanged, and counts as received when it reached the peer.
 func TestRelayPollResultRoundTrip(t *testing.T) {
-	lk := cell.Poll{Worker: "w", Address: "a:1", Token: 9}
-	sent := time.Unix(1_700_000_000, 0)
-	came := sent.Add(time.Second)
+	poll := cell.Poll{Worker: "w", Address: "a:1", Token: 9}
+	sentAt := time.Unix(1_700_000_000, 0)
+	receivedAt := sentAt.Add(time.Second)
 	want := cell.PollResult{
-		Poll: lk, Outcome: cell.Done, Sent: sent, Received: came.Add(-30 * time.Millisecond), Clock: 4711,
+		Poll: poll, Outcome: cell.Done, Sent: sentAt, Received: receivedAt.Add(-30 * time.Millisecond), Clock: 4711,
 		Running: []cell.Running{{Task: relayedTask, Attempt: 2, Checkpoint: "point", Progress: 41, Metric: 700}},
 		Ended:   []cell.End{{Number: 12, Task: relayedTask, Attempt: 1, Reason: cell.EndFailed, Checkpoint: "old"}},
 	}
 	rr := toRelayPollResult(3, want)
 	rr.HeldMicros = 30_000
-	if got := fromRelayPollResult(rr, lk, sent, came); !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v came as %+v", want, got)
+	if got := fromRelayPollResult(rr, poll, sentAt, receivedAt); !reflect.DeepEqual(got, want) {
+		t.Errorf("%+v arrived as %+v", want, got)
 	}
 	rr.Outcome = 99
-	if got := fromRelayPollResult(rr, lk, sent, came); got.Outcome != cell.NoAnswer {
-		t.Errorf("an outcome that is not known here counts as %s", got.Outcome)
+	if got := fromRelayPollResult(rr, poll, sentAt, receivedAt); got.Outcome != cell.NoAnswer {
+		t.Errorf("an unknown outcome counts as %s", got.Outcome)
 	}
 }
 
-// TestRelaysAreStable: more workers add peers and change none, and a peer that comes or goes moves only its own share of workers.
+// TestRelayAssignmentIsStable checks that a peer that joins or leaves moves only its own share of the workers.
 func TestRelayAssignmentIsStable(t *testing.T) {
 	links := func(count int) []*relayLink {
 		var list []*relayLink
@@ -66,7 +66,7 @@
 		return list
 	}
 	const workers = 300
-	moved, far := 0, 0
+	moved, otherHall := 0, 0
 	for i := range workers {
 		id, hall := fmt.Sprintf("w%d", i), fmt.Sprintf("h%d", i%3)
 		before, after := bestRelay(id, hall, links(12)), bestRelay(id, hall, links(13))
@@ -74,19 +74,19 @@
 			moved++
 		}
 		if before.node.Hall != hall {
-			far++
+			otherHall++
 		}
 	}
-	// One of five peers in its hall is new: a fifth of a third of the workers moves.
-	if moved > workers/8 || far > 0 {
-		t.Errorf("%d of %d workers moved, %d have a peer in another hall", moved, workers, far)
+	// One of five peers in its data hall is new: a fifth of a third of the workers moves.
+	if moved > workers/8 || otherHall > 0 {
+		t.Errorf("%d of %d workers moved, %d have a peer in another data hall", moved, workers, otherHall)
 	}
 	if bestRelay("w", "elsewhere", links(3)) == nil {
-		t.Error("a worker in a hall without peers has none")
+		t.Error("a worker in a data hall without peers got no peer")
 	}
 }
 
-// relayPeer is a peer that is reached in the test's own way.
+// relayPeer is a peer whose Relay calls are answered by the test.
 type relayPeer struct {
 	peer.Cells
 	call func(*peer.RelayRequest) (*peer.RelayResponse, error)
@@ -96,7 +96,7 @@
 	return rp.call(rq)
 }
 
-// linkTo is a link to a peer, of an owner that only takes events.
+// linkTo returns a link to a peer, and an owner that only queues events.
 func linkTo(call func(*peer.RelayRequest) (*peer.RelayResponse, error)) (*relayLink, *owner) {
 	fl := New(Options{Name: "one", Store: &faultyStore{mem: newMemStore()}, Workers: newWorkers(time.Second), Machines: noMachines{}, Format: testFormat{}})
 	ow := &owner{fl: fl, name: "pool", wakeup: make(chan struct{}, 1)}
@@ -105,7 +105,7 @@
 	return ln, ow
 }
 
-// waitEvents waits until the core would have been told so much.
+// waitEvents waits until the owner has queued a number of events for the core.
 func waitEvents(t *testing.T, ow *owner, want int) {
 	t.Helper()
 	for until := time.Now().Add(testTimeout); ; time.Sleep(testPollInterval) {
@@ -121,14 +121,15 @@
 	}
 }
 
-// TestPeerThatFailsSettlesWhatItWasGiven: every order gets an outcome, and the next one is not given to that peer.
+// TestOrdersAreSettledWhenPeerFails checks that every order gets an outcome when the peer fails, and that the next order is not
+// relayed to that peer.
 func TestOrdersAreSettledWhenPeerFails(t *testing.T) {
 	for name, call := range map[string]func(*peer.RelayRequest) (*peer.RelayResponse, error){
-		"not reached": func(*peer.RelayRequest) (*peer.RelayResponse, error) {
+		"unreachable": func(*peer.RelayRequest) (*peer.RelayResponse, error) {
 			return nil, &net.OpError{Op: "dial", Err: errors.New("refused")}
 		},
-		"silent": func(*peer.RelayRequest) (*peer.RelayResponse, error) { return nil, errors.New("no answer") },
-		"started anew": func(*peer.RelayRequest) (*peer.RelayResponse, error) {
+		"no answer": func(*peer.RelayRequest) (*peer.RelayResponse, error) { return nil, errors.New("no answer") },
+		"restarted": func(*peer.RelayRequest) (*peer.RelayResponse, error) {
 			return &peer.RelayResponse{Incarnation: "i3"}, nil
 		},
 	} {
@@ -139,13 +140,14 @@
 			}
 			waitEvents(t, ow, int(ow.fl.relayIDs.Load()))
 			if ln.send(t.Context(), cell.Stop{Worker: "w"}) {
-				t.Error("an order is given to a peer that has just failed")
+				t.Error("an order was relayed to a peer that has just failed")
 			}
 		})
 	}
 }
 
-// TestOrdersThatCouldNotBeHandedOverAreNotSent: where no connection to the peer was to be had; otherwise they may have been carried out.
+// TestOrdersToUnreachablePeerCountAsNotSent checks that orders count as not sent only if no connection to the peer could be made;
+// otherwise they may have been carried out.
 func TestOrdersToUnreachablePeerCountAsNotSent(t *testing.T) {
 	for want, err := range map[cell.Outcome]error{
 		cell.NotSent:  &net.OpError{Op: "dial", Err: errors.New("refused")},
@@ -166,23 +168,24 @@
 	}
 }
 
-// TestResultForAnEarlierLinkIsNotTakenForAnother: after all instances lost power an owner gave looks to a peer whose row was still that of
-// its earlier run, then found out and began anew; the results of the first looks were taken for those at other workers.
+// TestResultForEarlierLinkIsIgnored guards against results that are assigned to the wrong order. After a power loss of all
+// instances, an owner relayed polls to a peer whose row was still that of its former incarnation, then noticed and opened a new
+// link. The results of the first polls were taken for those of other workers.
 func TestResultForEarlierLinkIsIgnored(t *testing.T) {
 	var mu sync.Mutex
-	var given []uint64
+	var ids []uint64
 	answers := true
 	call := func(rq *peer.RelayRequest) (*peer.RelayResponse, error) {
 		mu.Lock()
 		defer mu.Unlock()
 		rp := &peer.RelayResponse{Incarnation: "i3"}
 		for _, ro := range rq.Orders {
-			given = append(given, ro.Id)
+			ids = append(ids, ro.Id)
 		}
 		if rq.WaitMillis > 0 && answers {
-			// What the peer did for the link that knew it by its earlier run.
+			// The results of the link that used the peer's former incarnation.
 			answers = false
-			for _, id := range given {
+			for _, id := range ids {
 				rp.Results = append(rp.Results, &peer.RelayResult{Id: id, Outcome: int32(cell.Done)})
 			}
 		}
@@ -199,7 +202,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if rq.WaitMillis > 0 {
-			rp.Results = append(rp.Results, &peer.RelayResult{Id: given[0], Outcome: int32(cell.Done)})
+			rp.Results = append(rp.Results, &peer.RelayResult{Id: ids[0], Outcome: int32(cell.Done)})
 		}
 		return rp, err
 	}}, pending: map[uint64]pendingOrder{}}
@@ -209,11 +212,11 @@
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	if got := len(ow.events); got != before {
-		t.Errorf("%d results of an earlier link were taken for another worker's", got-before)
+		t.Errorf("%d results of an earlier link were taken for those of another worker", got-before)
 	}
 }
 
-// TestPeerThatFailsAgainAndAgainIsPassedOverLonger: one that answers in between starts anew.
+// TestPeerBackoffGrowsWithFailures checks that the backoff grows with consecutive failures, and that an answer resets it.
 func TestPeerBackoffGrowsWithFailures(t *testing.T) {
 	ln, ow := linkTo(nil)
 	now := time.Unix(1_700_000_000, 0)
@@ -224,39 +227,39 @@
 	}
 	for _, want := range []time.Duration{relayBackoffMin, 2 * relayBackoffMin, 4 * relayBackoffMin, relayBackoffMax, relayBackoffMax} {
 		if got := fail(); got != want {
-			t.Errorf("passed over for %v, want %v", got, want)
+			t.Errorf("backoff %v, want %v", got, want)
 		}
 		now = ln.backoffUntil
 	}
 	ln.recordAnswer()
 	if got := fail(); got != relayBackoffMin {
-		t.Errorf("passed over for %v after it answered", got)
+		t.Errorf("backoff %v after an answer", got)
 	}
 }
 
-// TestResultThatIsLostCountsAsSilence: the peer is well, but never tells what became of an order.
+// TestLostResultCountsAsNoAnswer covers a healthy peer that never returns the result of an order.
 func TestLostResultCountsAsNoAnswer(t *testing.T) {
 	ln, ow := linkTo(func(rq *peer.RelayRequest) (*peer.RelayResponse, error) {
 		return &peer.RelayResponse{Incarnation: "i2"}, nil
 	})
-	var ahead atomic.Int64
-	began := time.Now()
-	ow.fl.opts.Now = func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) }
+	var offset atomic.Int64
+	start := time.Now()
+	ow.fl.opts.Now = func() time.Time { return time.Now().Add(time.Duration(offset.Load())) }
 	ln.setCallPause(time.Millisecond)
 	if !ln.send(t.Context(), cell.Poll{Worker: "w", Wait: time.Second}) {
-		t.Fatal("not taken")
+		t.Fatal("the order was not accepted")
 	}
 	ln.expireOverdue()
-	if ow.mu.Lock(); len(ow.events) != 0 && time.Since(began) < relayResultTimeout {
-		t.Error("settled before its time")
+	if ow.mu.Lock(); len(ow.events) != 0 && time.Since(start) < relayResultTimeout {
+		t.Error("settled before the result timeout")
 	}
 	ow.mu.Unlock()
-	ahead.Store(int64(relayResultTimeout + 2*time.Second))
+	offset.Store(int64(relayResultTimeout + 2*time.Second))
 	waitEvents(t, ow, 1)
 }
 
-// TestLargeCellRunsThroughPeers: most calls to workers are made by the owner's peers, every task is started once, and jobs end while
-// the peers are taken away one after the other.
+// TestLargeCellUsesRelays checks that the owner's peers make most calls to workers, that every task is started once, and that
+// jobs complete while the peers are stopped one after the other.
 func TestLargeCellUsesRelays(t *testing.T) {
 	cl := newCluster(t, 50*time.Millisecond)
 	for i := range relayThreshold + 10 {
@@ -269,7 +272,7 @@
 		nodes = append(nodes, cl.start(name))
 	}
 	ow := cl.waitOwner(nodes...)
-	cl.eventually("peers are chosen", func() bool {
+	cl.eventually("peers are assigned", func() bool {
 		rs := ow.ownerOf("pool").relays
 		rs.mu.Lock()
 		defer rs.mu.Unlock()
@@ -305,7 +308,7 @@
 	}
 }
 
-// callCount counts the orders given to workers by node.
+// callCount counts the orders sent to workers by node.
 type callCount struct {
 	*fakeWorkers
 	mu sync.Mutex
@@ -318,7 +321,7 @@
 	cc.by = map[string]int{}
 }
 
-// of returns the calls of a node, and of all.
+// of returns the number of calls of a node, and of all nodes.
 func (cc *callCount) of(name string) (own, all int) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -328,7 +331,7 @@
 	return cc.by[name], all
 }
 
-// countedWorkers are the workers as one node calls them.
+// countingWorkers counts the calls that one node makes to workers.
 type countingWorkers struct {
 	*callCount
 	name string
--- a/fleet/serialstore_test.go
+++ b/fleet/serialstore_test.go
@@ -15,24 +15,25 @@
 	"github.com/aspenseam/aspenseam/machine"
 )
 
-// turnStore is a store whose parts take their transactions in turn, as its pages say, on a synthetic clock. A transaction that was given
-// up is carried out all the same; one that would wait for longer than a second is refused.
+// serialStore is a store on a fake clock that runs the transactions of a part one at a time, as its documentation states. A
+// cancelled transaction is still carried out; a transaction that would wait for more than a second is refused.
 type serialStore struct {
 	mm *memStore
-	// turn is how long a part is taken by a transaction, answer how long its answer takes besides.
+	// perPart is how long a transaction occupies a part, answer how long its answer takes in addition.
 	perPart, answer time.Duration
 	mu              sync.Mutex // guards the fields below
 	freeAt          map[string]time.Time
 	commits         int
-	// lost tells whether the next transaction is done and not answered.
+	// lost reports whether the answer to the next transaction is lost.
 	lost func() bool
 }
 
 const (
-	// fastTurn and fastAnswer are those of a store that is well: 300 transactions a second in a part, some 4 ms an answer.
+	// fastCommit and fastAnswer are the times of a healthy store: 300 transactions a second per part, and answers within about 4
+	// ms.
 	fastCommit = 3333 * time.Microsecond
 	fastAnswer = 4 * time.Millisecond
-	// turnWait is the longest wait for a turn.
+	// maxCommitWait is how long a transaction may wait for its parts.
 	maxCommitWait = time.Second
 )
 
@@ -40,43 +41,43 @@
 	return &serialStore{mm: newMemStore(), perPart: fastCommit * time.Duration(factor), answer: fastAnswer * time.Duration(factor), freeAt: map[string]time.Time{}}
 }
 
-// lossy makes a share of the transactions be done and not answered.
+// loseAnswers makes the store carry out a share of the transactions without answering.
 func (ss *serialStore) loseAnswers(seed uint64, share float64) {
 	rd := rand.New(rand.NewPCG(seed, seed))
 	ss.lost = func() bool { return rd.Float64() < share }
 }
 
-// loses reports whether the answer of a transaction is lost.
+// answerLost reports whether the answer to a transaction is lost.
 func (ss *serialStore) answerLost() bool {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
 	return ss.lost != nil && ss.lost()
 }
 
-// take reserves a turn in every part of a transaction and returns when it is over, or false if that is too far away.
+// reserve reserves all parts of a transaction and returns when the transaction ends. It returns false if the wait is too long.
 func (ss *serialStore) reserve(tx Tx) (time.Time, bool) {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
 	ss.commits++
 	parts := partsOf(tx)
 	now := time.Now()
-	begin, turn := now, ss.perPart
+	start, duration := now, ss.perPart
 	if len(parts) > 1 {
-		turn *= 2
+		duration *= 2
 	}
 	for _, part := range parts {
-		begin = later(begin, ss.freeAt[part])
+		start = later(start, ss.freeAt[part])
 	}
-	if begin.Sub(now) > maxCommitWait {
-		return begin, false
+	if start.Sub(now) > maxCommitWait {
+		return start, false
 	}
 	for _, part := range parts {
-		ss.freeAt[part] = begin.Add(turn)
+		ss.freeAt[part] = start.Add(duration)
 	}
-	return begin.Add(turn), true
+	return start.Add(duration), true
 }
 
-// count is how many transactions there were.
+// count returns the number of transactions.
 func (ss *serialStore) count() int {
 	ss.mu.Lock()
 	defer ss.mu.Unlock()
@@ -96,8 +97,8 @@
 }
 
 func (ss *serialStore) Commit(ctx context.Context, tx Tx) (int64, error) {
-	done, taken := ss.reserve(tx)
-	if !taken {
+	end, reserved := ss.reserve(tx)
+	if !reserved {
 		sleep(ctx, ss.answer)
 		return 0, ErrRefused
 	}
@@ -106,7 +107,7 @@
 		err     error
 	}
 	answer := make(chan result, 1)
-	time.AfterFunc(time.Until(done)+ss.answer, func() {
+	time.AfterFunc(time.Until(end)+ss.answer, func() {
 		version, err := ss.mm.commit(tx)
 		if !ss.answerLost() {
 			answer <- result{version, err}
@@ -135,7 +136,7 @@
 	return nil, ctx.Err()
 }
 
-// inBubble plays a test on a synthetic clock, and ends what it started with the context when it is over.
+// withFakeClock runs a test on a fake clock, and stops the goroutines that depend on the context at the end.
 func withFakeClock(t *testing.T, run func(ctx context.Context, t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -146,13 +147,13 @@
 	})
 }
 
-// intakeFleet is a number of instances that only accept jobs, over one store.
+// intakeFleet is a number of instances over one store that only accept jobs.
 type intakeFleet struct {
 	nodes []*Fleet
 	store *serialStore
 }
 
-// startIntake starts the intakes of some instances until the context ends.
+// startIntake runs the intakes of a number of instances until the context ends.
 func startIntake(ctx context.Context, store *serialStore, count int) intakeFleet {
 	fl := intakeFleet{store: store}
 	for i := range count {
@@ -164,7 +165,7 @@
 		}
 		go func() {
 			for ctx.Err() == nil {
-				// The feed of the control table is answered; only transactions are late.
+				// The feed of the control table is answered; only transactions are slow.
 				nd.control.recordSuccess(time.Now())
 				sleep(ctx, 200*time.Millisecond)
 			}
@@ -173,19 +174,19 @@
 	return fl
 }
 
-// handedIn is what became of the jobs that were handed in.
+// submissions holds the results of submitted jobs.
 type submissions struct {
 	verdicts map[SubmitResult]int
-	// late counts the callers that had no answer when their time was over.
+	// late counts the callers that were answered after their timeout.
 	late int
-	// refused are the jobs whose callers were told that they were not taken.
+	// refused lists the jobs whose callers were told that the job was not accepted.
 	refused []job.ID
 }
 
-// callerTime is how long a caller waits for an answer.
+// callerTimeout is how long a caller waits for an answer.
 const callerTimeout = 2850 * time.Millisecond
 
-// handIn hands in so many jobs a second for a while, each at one instance, and waits for all verdicts.
+// submitJobs submits jobs at a constant rate for some time, each to a random instance, and waits for all results.
 func (fl intakeFleet) submitJobs(seed uint64, perSecond int, span time.Duration) submissions {
 	rd := rand.New(rand.NewPCG(seed, seed))
 	res := submissions{verdicts: map[SubmitResult]int{}}
@@ -196,7 +197,7 @@
 		wg.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 			defer cancel()
-			began := time.Now()
+			start := time.Now()
 			result, _ := nd.Submit(ctx, testSpec(id))
 			mu.Lock()
 			defer mu.Unlock()
@@ -204,7 +205,7 @@
 			if result == Refused {
 				res.refused = append(res.refused, id)
 			}
-			if time.Since(began) > callerTimeout {
+			if time.Since(start) > callerTimeout {
 				res.late++
 			}
 		})
@@ -214,24 +215,24 @@
 	return res
 }
 
-// check checks that all callers were answered in time, and that no job is kept whose caller was told that it was not taken, whatever was
-// still on its way to the store then.
+// check checks that all callers were answered in time, and that no refused job is stored, not even by transactions that were
+// still in flight when the caller was answered.
 func (fl intakeFleet) check(t *testing.T, res submissions) {
 	t.Helper()
 	t.Logf("accepted %d, refused %d, unknown %d, late %d; %d transactions", res.verdicts[Accepted], res.verdicts[Refused], res.verdicts[Unknown], res.late, fl.store.count())
 	if res.late > 0 {
-		t.Errorf("%d callers were answered when their time was over", res.late)
+		t.Errorf("%d callers were answered after their timeout", res.late)
 	}
 	time.Sleep(time.Minute)
 	for _, id := range res.refused {
-		if kept := fl.store.mm.read(Query{Table: tableHome, Part: partName(homePart(id)), From: string(id), To: string(id) + "!"}); len(kept.Rows) > 0 {
-			t.Errorf("job %s was refused and is kept", id)
+		if stored := fl.store.mm.read(Query{Table: tableHome, Part: partName(homePart(id)), From: string(id), To: string(id) + "!"}); len(stored.Rows) > 0 {
+			t.Errorf("job %s was refused but is stored", id)
 		}
 	}
 }
 
-// TestCallersAreAnsweredInTime: the store is so slow that a transaction takes longer than a caller waits. Callers are told so when their
-// time is over at the latest, and those who are told that their job was not taken are told the truth.
+// TestCallersAreAnsweredInTime makes the store so slow that a transaction takes longer than a caller waits. Callers must be
+// answered before their timeout, and jobs reported as refused must not be stored.
 func TestCallersAreAnsweredInTime(t *testing.T) {
 	for _, times := range []int{150, 400, 1000} {
 		t.Run(fmt.Sprintf("%d times slower", times), func(t *testing.T) {
@@ -243,8 +244,8 @@
 	}
 }
 
-// TestSlowStoreAcceptsFromManyInstances: each answer of the store takes sixty times as long as usual, none is lost. Jobs come at many
-// instances, and what the store could take in turn is enough for all of them.
+// TestSlowStoreAcceptsFromManyInstances slows the store down by a factor of sixty, without lost answers. Jobs arrive at many
+// instances, and the store's capacity is enough for all of them.
 func TestSlowStoreAcceptsFromManyInstances(t *testing.T) {
 	for _, count := range []int{6, 33} {
 		t.Run(fmt.Sprintf("%d instances", count), func(t *testing.T) {
@@ -260,35 +261,36 @@
 	}
 }
 
-// TestWaveOnASlowStoreKeepsTheLease: many machines are wanted at once while the store is sixty times slower. Their rows lie in the part of
-// the duty's lease and must not hold up its renewals.
+// TestWaveOnSlowStoreKeepsLease drains many machines at once on a store that is sixty times slower. The drain rows lie in the
+// same part as the machine lease and must not delay its renewals.
 func TestWaveOnSlowStoreKeepsLease(t *testing.T) {
-	const wanted = 70
+	const drains = 70
 	withFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newSerialStore(60)
-		du := startLeaseHolder(ctx, t, store)
+		ct := startLeaseHolder(ctx, t, store)
 		time.Sleep(10 * time.Second)
-		for i := range wanted {
-			du.execute(ctx, machine.Want{Drain: machine.Drain{Machine: cell.MachineID(fmt.Sprintf("m%d", i)), Pool: "pool"}})
+		for i := range drains {
+			ct.execute(ctx, machine.Want{Drain: machine.Drain{Machine: cell.MachineID(fmt.Sprintf("m%d", i)), Pool: "pool"}})
 		}
-		if lost := countLeaseGaps(du, 100); lost > 0 {
-			t.Errorf("the lease was lost at %d of 100 moments", lost)
+		if gaps := countLeaseGaps(ct, 100); gaps > 0 {
+			t.Errorf("the lease was not valid at %d of 100 samples", gaps)
 		}
-		if got := len(store.mm.read(Query{Table: tableControl, Part: machinesCell, From: drainPrefix}).Rows) - 1; got != wanted {
-			t.Errorf("%d of %d machines are wanted in the store", got, wanted)
+		if got := len(store.mm.read(Query{Table: tableControl, Part: machinesCell, From: drainPrefix}).Rows) - 1; got != drains {
+			t.Errorf("%d of %d drains are stored", got, drains)
 		}
 		t.Logf("%d transactions", store.count())
 	})
 }
 
-// TestEmptyWorkersAreToldWithoutTheStore: some dozen workers of a wave are empty at once while the store is sixty times slower. The holder of
-// the duty learns it from their owner, and not from one that has been replaced.
+// TestDrainedWorkersAreReportedWithoutTheStore empties a few dozen workers of a wave at once on a store that is sixty times
+// slower. The controller's leader must learn this from the owner without a transaction, and must ignore an owner that has been
+// replaced.
 func TestDrainedWorkersAreReportedWithoutTheStore(t *testing.T) {
-	const wanted = 70
+	const drains = 70
 	store := newSerialStore(60)
 	fl := New(Options{Name: "one", Store: store, Machines: noMachines{}, Format: testFormat{}})
 	ids := map[cell.WorkerName]bool{}
-	for i := range wanted {
+	for i := range drains {
 		id := fmt.Sprintf("%02d", i)
 		ids[cell.WorkerName("w"+id)] = true
 		fl.members.applyDrain(Row{Key: drainPrefix + "m" + id, Version: 7, Value: fmt.Appendf(nil, `{"machine":"m%s","worker":"w%s","pool":"pool"}`, id, id)})
@@ -300,11 +302,11 @@
 	for _, tc := range []struct {
 		epoch int64
 		clear int
-	}{{5, wanted}, {6, 0}} {
+	}{{5, drains}, {6, 0}} {
 		fl.members.owners["pool"] = ownerRow{Holder: "one", version: tc.epoch}
 		fl.controller.recordDrained(fl.loads(context.Background(), nil, false, nil, false))
 		if got := len(fl.controller.drained); got != tc.clear {
-			t.Errorf("%d empty workers are known while the cell's epoch is %d, want %d", got, tc.epoch, tc.clear)
+			t.Errorf("%d drained workers are known at cell epoch %d, want %d", got, tc.epoch, tc.clear)
 		}
 	}
 	if got := store.count(); got > 0 {
@@ -312,7 +314,7 @@
 	}
 }
 
-// startDutyHolder starts what renews the lease of the machines' duty over a store.
+// startLeaseHolder starts the renewal of the machine lease over a store.
 func startLeaseHolder(ctx context.Context, t *testing.T, store *serialStore) *machineController {
 	t.Helper()
 	fl := New(Options{Name: "one", Store: store, Machines: noMachines{}, Format: testFormat{}})
@@ -321,38 +323,39 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	du := fl.controller
-	du.waveRunner, du.cancel, du.tasks = machine.NewKeeper(time.Now(), machineCooldown), func() {}, &sync.WaitGroup{}
-	du.row = ownerRow{Holder: "one", Incarnation: fl.opts.Incarnation, version: version}
-	du.lease = machineLease{version: version, ordered: map[cell.MachineID]*machineOrders{}}
-	go du.renewLoop(ctx)
-	return du
+	ct := fl.controller
+	ct.waveRunner, ct.cancel, ct.tasks = machine.NewKeeper(time.Now(), machineCooldown), func() {}, &sync.WaitGroup{}
+	ct.row = ownerRow{Holder: "one", Incarnation: fl.opts.Incarnation, version: version}
+	ct.lease = machineLease{version: version, ordered: map[cell.MachineID]*machineOrders{}}
+	go ct.renewLoop(ctx)
+	return ct
 }
 
-// gaps counts at how many of some moments the lease is not held.
-func countLeaseGaps(du *machineController, samples int) int {
+// countLeaseGaps counts the samples at which the lease is not valid.
+func countLeaseGaps(ct *machineController, samples int) int {
 	count := 0
 	for range samples {
 		time.Sleep(100 * time.Millisecond)
-		if !du.leaseValid(time.Now()) {
+		if !ct.leaseValid(time.Now()) {
 			count++
 		}
 	}
 	return count
 }
 
-// TestLostAnswersSeldomCostTheLease: a third of all answers are lost, also those that would tell of an earlier try. With every lost answer
-// counted as no renewal, and longer waits after each, the lease was lost at more than half of the moments.
+// TestLostAnswersRarelyLoseTheLease loses a third of all answers, including those that would reveal that an earlier attempt
+// succeeded. When each lost answer counted as a failed renewal and lengthened the next timeout, the lease was invalid at more
+// than half of the samples.
 func TestLostAnswersRarelyLoseTheLease(t *testing.T) {
 	withFakeClock(t, func(ctx context.Context, t *testing.T) {
 		store := newSerialStore(1)
 		store.loseAnswers(3, 0.35)
-		du := startLeaseHolder(ctx, t, store)
+		ct := startLeaseHolder(ctx, t, store)
 		time.Sleep(2 * time.Second)
-		got := countLeaseGaps(du, 600)
-		t.Logf("the lease was lost at %d of 600 moments, %d transactions", got, store.count())
-		if got > 200 {
-			t.Errorf("the lease was lost at %d of 600 moments", got)
+		gaps := countLeaseGaps(ct, 600)
+		t.Logf("the lease was not valid at %d of 600 samples, %d transactions", gaps, store.count())
+		if gaps > 200 {
+			t.Errorf("the lease was not valid at %d of 600 samples", gaps)
 		}
 	})
 }
--- a/fleet/workercache_test.go
+++ b/fleet/workercache_test.go
@@ -10,7 +10,7 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// newRegistry is a fleet that reads registrations, for a cell that it owns.
+// newRegistry returns a fleet that reads registrations, and the owner of the cell that it owns.
 func newRegistry(t *testing.T) (*Fleet, *owner) {
 	t.Helper()
 	fl := New(Options{Name: "one", Store: &faultyStore{mem: newMemStore()}, Machines: noMachines{}, Format: testFormat{}})
@@ -19,18 +19,18 @@
 	return fl, ow
 }
 
-// unused says of which workers the owner gives nothing to.
+// unusableWorkers returns for each worker whether it gets no new tasks.
 func unusableWorkers(ow *owner) map[cell.WorkerID]bool {
 	ow.plan()
-	leaving := map[cell.WorkerID]bool{}
+	unusable := map[cell.WorkerID]bool{}
 	for _, ld := range ow.core.Load(time.Now()).Workers {
-		leaving[ld.ID] = !ld.Usable
+		unusable[ld.ID] = !ld.Usable
 	}
-	return leaving
+	return unusable
 }
 
-// An entry that cannot be read leaves its worker without new tasks at once, whatever the worker's former entry said, and the other workers as
-// they are. It is used again once its entry can be read.
+// A registration that can't be read stops new tasks for its worker at once, whatever its former registration said, and does not
+// affect other workers. The worker is used again once its registration can be read.
 func TestUnreadableRegistrationStopsNewTasks(t *testing.T) {
 	fl, ow := newRegistry(t)
 	row := func(id, value string) Row { return Row{Table: "registry", Key: id, Value: []byte(value)} }
@@ -40,7 +40,7 @@
 	}
 	fl.applyRegistrations([]Row{row("w0", unreadableRegistration)}, time.Time{})
 	if got := unusableWorkers(ow); !got["w0"] || got["w2"] {
-		t.Errorf("workers without new tasks %v, want w0 alone", got)
+		t.Errorf("workers without new tasks %v, want only w0", got)
 	}
 	if got := fl.metrics.registrationsRejected.Count(); got < 2 {
 		t.Errorf("%d rejected registrations counted", got)
@@ -51,7 +51,7 @@
 	}
 }
 
-// A worker whose entry names another pool is none of the former's any more.
+// A worker whose registration names another pool leaves the cell of its former pool.
 func TestWorkerThatChangesPoolLeavesItsCell(t *testing.T) {
 	fl, ow := newRegistry(t)
 	fl.register(cell.Worker{ID: "w0", Pool: "pool", Address: "a"})
@@ -61,28 +61,29 @@
 	}
 }
 
-// Where workers name their machines one that names none wrote no entry of its own; where none does all are used.
+// If other workers name their machines, a registration without a machine was not written by its worker and is rejected; if none
+// does, all registrations are accepted.
 func TestRegistrationWithoutMachineIsRejectedAmongOthers(t *testing.T) {
 	for machine, want := range map[cell.MachineID]int{"m0": 1, "": 2} {
 		fl, ow := newRegistry(t)
 		fl.register(cell.Worker{ID: "w0", Pool: "pool", Address: "a", Machine: machine})
 		fl.applyRegistrations([]Row{{Table: "registry", Key: "w1", Value: []byte("{}")}}, time.Time{})
 		if got := unusableWorkers(ow); len(got) != want {
-			t.Errorf("beside a worker on machine %q: %d workers are known, want %d", machine, len(got), want)
+			t.Errorf("with another worker on machine %q: %d workers are known, want %d", machine, len(got), want)
 		}
 	}
 }
 
-// bornFormat reads when a worker's life began from its row.
+// startTimeFormat reads a worker's start time from its row.
 type startTimeFormat struct{ testFormat }
 
 func (startTimeFormat) Worker(rw Row) (cell.Worker, error) {
-	born, err := strconv.ParseInt(string(rw.Value), 10, 64)
-	return cell.Worker{ID: cell.NewWorkerID(cell.WorkerName(rw.Key), born), Pool: "pool", Address: rw.Key, Room: job.Size{CPUMillis: 4000, MemoryMB: 4000}}, err
+	startMillis, err := strconv.ParseInt(string(rw.Value), 10, 64)
+	return cell.Worker{ID: cell.NewWorkerID(cell.WorkerName(rw.Key), startMillis), Pool: "pool", Address: rw.Key, Room: job.Size{CPUMillis: 4000, MemoryMB: 4000}}, err
 }
 
-// The entry of a worker that started again under its name counts as one of another worker, and one that does not tell its life as nobody's: the
-// owner took the numbers and leases of one life for those of the other.
+// A worker that restarts under the same name must count as a new worker, and a registration without a start time must be
+// rejected. Otherwise the owner mixes up the numbers and leases of the two incarnations.
 func TestRestartedWorkerIsANewWorker(t *testing.T) {
 	fl, ow := newRegistry(t)
 	fl.opts.Format = startTimeFormat{}
@@ -93,10 +94,10 @@
 		row  Row
 		want map[cell.WorkerID]bool
 	}{
-		{"first life", row("1000"), map[cell.WorkerID]bool{first: false}},
-		{"second life", row("2000"), map[cell.WorkerID]bool{second: false}},
-		{"no life told", row("0"), map[cell.WorkerID]bool{second: true}},
-		{"second life again", row("2000"), map[cell.WorkerID]bool{second: false}},
+		{"first incarnation", row("1000"), map[cell.WorkerID]bool{first: false}},
+		{"second incarnation", row("2000"), map[cell.WorkerID]bool{second: false}},
+		{"no start time", row("0"), map[cell.WorkerID]bool{second: true}},
+		{"second incarnation again", row("2000"), map[cell.WorkerID]bool{second: false}},
 		{"gone", Row{Table: "registry", Key: "w0", Deleted: true}, map[cell.WorkerID]bool{}},
 	} {
 		fl.applyRegistrations([]Row{tc.row}, time.Time{})
@@ -106,27 +107,27 @@
 	}
 }
 
-// Registrations that came with the first answer after an outage of the store counted as written when they were asked for. They were written before
-// it, and rooms that had shrunk in between were counted on.
+// Registrations that come with the first answer after an outage of the store may have been written before it. When they were
+// dated by the request, the owner relied on free resources that had shrunk in between.
 func TestRegistrationsAreDatedByThePreviousAnswer(t *testing.T) {
 	fl, _ := newRegistry(t)
 	start := time.Now()
-	read := func(asked time.Time) time.Time {
-		fl.applyRegistrations([]Row{{Table: "registry", Key: "w0", Value: []byte("{}")}}, asked)
+	load := func(sentAt time.Time) time.Time {
+		fl.applyRegistrations([]Row{{Table: "registry", Key: "w0", Value: []byte("{}")}}, sentAt)
 		wk, _ := fl.workerCache.get("w0")
 		return wk.WrittenAt
 	}
 	fl.control.recordSuccess(start)
-	if got := read(start.Add(time.Second)); start.Sub(got) < cell.DefaultRegistrationMaxAge {
-		t.Errorf("read whole a second after the store was back: told %v before that", start.Sub(got))
+	if got := load(start.Add(time.Second)); start.Sub(got) < cell.DefaultRegistrationMaxAge {
+		t.Errorf("loaded a second after the store was back: dated %v before that", start.Sub(got))
 	}
 	late := start.Add(2 * cell.RegistrationRenewal)
-	if got := read(late); !got.Equal(late) {
-		t.Errorf("read whole long after: told %v before it was asked for", late.Sub(got))
+	if got := load(late); !got.Equal(late) {
+		t.Errorf("loaded long after: dated %v before the request", late.Sub(got))
 	}
 	fl.registry.ready.Store(true)
 	fl.registry.recordSuccess(late)
-	if got := read(late.Add(4 * time.Second)); got.Sub(late).Abs() > time.Millisecond {
-		t.Errorf("the answer before was asked for at %v, told at %v", late, got)
+	if got := load(late.Add(4 * time.Second)); got.Sub(late).Abs() > time.Millisecond {
+		t.Errorf("the previous answer was requested at %v, registration dated %v", late, got)
 	}
 }
