--- a/fleet/accounts_test.go
+++ b/fleet/accounts_test.go
@@ -11,7 +11,7 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// boundFormat has two pools with a queue each, and an organisation that may have three cores on both together.
+// maximumFormat has two pools with a queue each, and an organisation with a maximum of three cores over both pools.
 type maximumFormat struct{ testFormat }
 
 var otherQueue = job.Queue{ID: "q2", Host: "h", PathPrefix: "/q2/", Pool: "pool2", MaxAttempts: 2, Stretch: 2, Slack: time.Second}
@@ -34,8 +34,8 @@
 	return wk, err
 }
 
-// TestMaximumOverPools: jobs of one organisation in two pools, under owners on several instances, of which one is stopped without a word. What
-// runs at once stays within the maximum, and all jobs end.
+// An organisation has jobs in two pools, whose owners run on several instances. One instance stops without a handover. The
+// running tasks stay within the maximum, and all jobs complete.
 func TestMaximumAcrossPools(t *testing.T) {
 	cl := newCluster(t, 150*time.Millisecond)
 	cl.format = maximumFormat{}
@@ -53,7 +53,7 @@
 			if i%2 == 1 {
 				sp.Queue, sp.Pool = otherQueue.ID, otherQueue.Pool
 			}
-			cl.eventually("acceptance of "+string(sp.ID), func() bool {
+			cl.eventually("the acceptance of "+string(sp.ID), func() bool {
 				result, _ := nodes[0].Submit(ctx, sp)
 				return result == Accepted
 			})
@@ -75,17 +75,17 @@
 		_ = stopped.srv.Close()
 	}
 	for _, id := range append(ids, submit(8, 12)...) {
-		cl.eventually("the end of "+string(id), func() bool {
+		cl.eventually("completion of "+string(id), func() bool {
 			state, err := nodes[0].State(ctx, "mill", &testQueue, id)
 			return err == nil && state == job.Completed
 		})
 	}
 	if most := cl.workers.peakRunning(); most > 3 || most == 0 {
-		t.Errorf("%d tasks of a core ran at once, 3 are allowed", most)
+		t.Errorf("%d tasks of one core each ran at the same time, the maximum is 3", most)
 	}
 }
 
-// TestAccountThatCannotBeRead: a foreign writer's row changes nothing of what is known.
+// A row that cannot be decoded does not change the known accounts.
 func TestUnreadableAccountIsIgnored(t *testing.T) {
 	cl := newCluster(t, 20*time.Millisecond)
 	cl.format = maximumFormat{}
@@ -98,18 +98,19 @@
 	if result, _ := one.Submit(ctx, sp); result != Accepted {
 		t.Fatal(result)
 	}
-	cl.eventually("the end", func() bool {
+	cl.eventually("completion of the job", func() bool {
 		state, err := one.State(ctx, "mill", &testQueue, "r1")
 		return err == nil && state == job.Completed
 	})
 	for _, value := range []string{"", "{", "[]", `{"pool":3}`, `{"pool":{"epoch":"x"}}`, "\xff"} {
 		if _, ok := one.parseAccount(Row{Table: tableAccount, Part: accountPart, Key: "mill", Value: []byte(value), Version: 1 << 40}); ok {
-			t.Errorf("%q was read", value)
+			t.Errorf("%q was accepted", value)
 		}
 	}
 }
 
-// TestOrganisationsReport: an operator sees what an organisation may have, has, and waits for, also when it waits at its maximum.
+// The report shows an organisation's maximum, what it holds and runs, and the jobs that wait because it has reached the
+// maximum.
 func TestOrganisationsReport(t *testing.T) {
 	cl := newCluster(t, 2*time.Second)
 	cl.format = maximumFormat{}
@@ -118,13 +119,13 @@
 	for _, id := range []job.ID{"o1", "o2", "o3"} {
 		sp := testSpec(id)
 		sp.Organisation = "mill"
-		cl.eventually("acceptance", func() bool {
+		cl.eventually("the acceptance of a job", func() bool {
 			result, _ := one.Submit(t.Context(), sp)
 			return result == Accepted
 		})
 	}
 	var og OrganisationStatus
-	cl.eventually("a job that waits at the maximum", func() bool {
+	cl.eventually("a job to wait at the maximum", func() bool {
 		rp, err := ReadOrganisations(t.Context(), one.faultyStore, maximumFormat{})
 		if err != nil || len(rp.Organisations) != 1 || len(rp.Unreachable) > 0 {
 			return false
--- a/fleet/archive_test.go
+++ b/fleet/archive_test.go
@@ -8,7 +8,7 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// TestEndedJobsAreArchivedPartByPart: a store that takes no transaction over several parts refused them all, and the table of open jobs grew.
+// A store without transactions over several parts refused all removals of ended jobs, and the table of open jobs kept growing.
 func TestEndedJobsAreArchivedPartByPart(t *testing.T) {
 	cl := newCluster(t, 5*time.Millisecond)
 	one := cl.start("one", func(fs *faultyStore) { fs.singlePartTx = true })
--- a/fleet/fakes_test.go
+++ b/fleet/fakes_test.go
@@ -17,13 +17,13 @@
 	"github.com/aspenseam/aspenseam/machine"
 )
 
-// Limits of the tests; they end as soon as what they wait for is there.
+// testTimeout bounds how long a test waits for a condition, testPollInterval is how often it checks the condition.
 const (
 	testTimeout      = 60 * time.Second
 	testPollInterval = 10 * time.Millisecond
 )
 
-// memory is a store in memory, shared by all nodes of a test.
+// memStore is an in-memory store, shared by all nodes of a test.
 type memStore struct {
 	mu      sync.Mutex
 	version int64
@@ -110,30 +110,30 @@
 	}
 }
 
-// storeWay is one node's way to the store, with its faults.
+// faultyStore is one node's access to the store. It can inject faults.
 type faultyStore struct {
 	mem *memStore
 	mu  sync.Mutex
-	// refuse makes every call refused, silent unanswered without effect.
+	// refuse makes the store refuse every call, unresponsive leaves every call unanswered and without effect.
 	refuse, unresponsive bool
-	// hang tells which tables' feeds never answer.
+	// hangFeed selects the tables whose feed calls are never answered.
 	hangFeed func(table string) bool
-	// onePart has transactions over several parts refused.
+	// singlePartTx makes the store refuse transactions over several parts.
 	singlePartTx bool
-	// lose tells which transactions are done and not answered.
+	// dropAnswer selects the transactions that are carried out but not answered.
 	dropAnswer func(Tx) bool
-	// feeds counts the calls for each table's changes, reads those for rows of each table.
+	// feeds counts the feed calls for each table, reads the reads of each table's rows.
 	feeds, reads map[string]int
 }
 
-// readOf is how often rows of a table were read this way.
+// readCalls returns how often rows of a table were read.
 func (fs *faultyStore) readCalls(table string) int {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
 	return fs.reads[table]
 }
 
-// fed is how often a table's changes were asked for this way.
+// feedCalls returns how often the changes of a table were requested.
 func (fs *faultyStore) feedCalls(table string) int {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
@@ -146,7 +146,7 @@
 	change(fs)
 }
 
-// fault returns the error that a call meets, after the time that it takes to find out.
+// fault returns the error that the injected faults cause. An unresponsive store blocks until the context ends.
 func (fs *faultyStore) fault(ctx context.Context) error {
 	fs.mu.Lock()
 	refuse, silent := fs.refuse, fs.unresponsive
@@ -181,7 +181,7 @@
 	return version, err
 }
 
-// parts counts the parts in which the rows of a transaction lie.
+// parts returns the number of parts that hold the rows of a transaction.
 func (tx Tx) parts() int {
 	parts := map[string]bool{}
 	for _, ex := range tx.Expect {
@@ -244,7 +244,7 @@
 	return parts, nil
 }
 
-// fakeWorkers run tasks for a fixed time each, and count the starts of each task.
+// fakeWorkers run each task for a fixed time and count the starts of each task.
 type fakeWorkers struct {
 	mu        sync.Mutex
 	startedAt time.Time
@@ -254,7 +254,7 @@
 	ends      map[cell.WorkerID][]cell.End
 	lastEnd   map[cell.WorkerID]int64
 	starts    map[job.Task]int
-	// most is how many tasks ran at once at the most.
+	// maxRunning is the greatest number of tasks that ran at the same time.
 	maxRunning int
 }
 
@@ -267,7 +267,7 @@
 	return &fakeWorkers{startedAt: time.Now(), taskTime: takes, tokens: map[cell.WorkerID]cell.Token{}, runs: map[cell.WorkerID]map[job.Task]fakeRun{}, ends: map[cell.WorkerID][]cell.End{}, lastEnd: map[cell.WorkerID]int64{}, starts: map[job.Task]int{}}
 }
 
-// note keeps how many tasks ran at once at the most.
+// recordRunning updates maxRunning.
 func (fw *fakeWorkers) recordRunning() {
 	running := 0
 	for id := range fw.runs {
@@ -277,7 +277,7 @@
 	fw.maxRunning = max(fw.maxRunning, running)
 }
 
-// mostAtOnce is how many tasks ran at once at the most.
+// peakRunning returns the greatest number of tasks that ran at the same time.
 func (fw *fakeWorkers) peakRunning() int {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
@@ -347,14 +347,14 @@
 	return result
 }
 
-// count is how often a task was started.
+// startCount returns how often a task was started.
 func (fw *fakeWorkers) startCount(tk job.Task) int {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
 	return fw.starts[tk]
 }
 
-// noMachines lists nothing and moves nothing.
+// noMachines lists no machines and refuses to service or move any.
 type noMachines struct{}
 
 func (noMachines) List(context.Context) ([]machine.Machine, error) { return nil, nil }
@@ -365,10 +365,10 @@
 	return machine.Refused
 }
 
-// foreignEntry is a registration that cannot be read.
+// unreadableRegistration is the value of a registration that cannot be decoded.
 const unreadableRegistration = "foreign"
 
-// plainFormat has one queue and three workers, whatever the rows hold.
+// testFormat returns one queue, and a worker for each registration, whatever the rows hold.
 type testFormat struct{}
 
 func (testFormat) OperatorTable() string { return "operator" }
@@ -382,7 +382,7 @@
 func (testFormat) Wave(Row) (*machine.Wave, error) { return nil, nil }
 func (testFormat) Worker(rw Row) (cell.Worker, error) {
 	if string(rw.Value) == unreadableRegistration {
-		return cell.Worker{}, errors.New("no registration")
+		return cell.Worker{}, errors.New("registration cannot be decoded")
 	}
 	return cell.Worker{ID: cell.WorkerID(rw.Key), Pool: "pool", Address: rw.Key, Room: job.Size{CPUMillis: 4000, MemoryMB: 4000}}, nil
 }
@@ -392,22 +392,22 @@
 
 var testQueue = job.Queue{ID: "q", Host: "h", PathPrefix: "/q/", Pool: "pool", MaxAttempts: 2, Stretch: 2, Slack: time.Second}
 
-// site is a number of nodes over one store and the same workers.
+// cluster is a group of nodes that share a store and workers.
 type cluster struct {
 	t       *testing.T
 	mm      *memStore
 	workers *fakeWorkers
-	// workersAt are the workers as a node calls them; nil for the same ones everywhere.
+	// workersFor returns the workers as a node calls them. If it is nil, all nodes use the same fake workers.
 	workersFor func(name string) Workers
-	// format reads rows; plainFormat if it is nil.
+	// format decodes rows, testFormat if it is nil.
 	format Format
-	// halls are those of nodes; h unless one is named.
+	// halls are the data halls of nodes. The default is h.
 	halls map[string]string
-	// retention is how long the state of an ended job is kept.
+	// retention is the retention period of ended jobs.
 	retention time.Duration
 }
 
-// testNode is one node of a site.
+// testNode is one node of a cluster.
 type testNode struct {
 	*Fleet
 	faultyStore *faultyStore
@@ -432,7 +432,7 @@
 	}
 }
 
-// start runs a node until the test ends or it is stopped.
+// start runs a node until it is stopped or the test ends.
 func (cl *cluster) start(name string, faults ...func(*faultyStore)) *testNode {
 	cl.t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -458,7 +458,7 @@
 	fl := New(Options{Name: name, Hall: hall, Address: ln.Addr().String(), Store: way, Workers: workers, Machines: noMachines{}, Format: format, SinglePartTx: way.singlePartTx})
 	srv := &http.Server{Handler: fl.Handler()}
 	go func() {
-		// It ends when the test closes it.
+		// Serve returns when the test closes the server.
 		_ = srv.Serve(ln)
 	}()
 	fl.opts.Cell.Retention = cl.retention
@@ -476,17 +476,17 @@
 	return nd
 }
 
-// eventually waits for a condition.
+// eventually waits until a condition holds.
 func (cl *cluster) eventually(what string, holds func() bool) {
 	cl.t.Helper()
 	for until := time.Now().Add(testTimeout); !holds(); time.Sleep(testPollInterval) {
 		if time.Now().After(until) {
-			cl.t.Fatalf("never: %s", what)
+			cl.t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// owner waits until a node works on the cell.
+// waitOwner waits until a node's owner of the cell has planned, and returns the node.
 func (cl *cluster) waitOwner(nodes ...*testNode) *testNode {
 	cl.t.Helper()
 	var found *testNode
@@ -507,7 +507,7 @@
 	return ow.planned && !ow.lost.Load()
 }
 
-// spec is a job of two steps of two tasks.
+// testSpec returns a job of two steps with two tasks each.
 func testSpec(id job.ID) *job.Spec {
 	st := job.Step{Count: 2, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}}
 	next := st
@@ -522,29 +522,29 @@
 	return result
 }
 
-// completed waits for a job's end as a node tells it.
+// waitCompleted waits until a node returns that the job is completed.
 func (cl *cluster) waitCompleted(nd *testNode, id job.ID) {
 	cl.t.Helper()
-	cl.eventually("the end of "+string(id), func() bool {
+	cl.eventually("completion of "+string(id), func() bool {
 		state, err := nd.State(context.Background(), "", &testQueue, id)
 		return err == nil && state == job.Completed
 	})
 }
 
-// once checks that every task of a job was started exactly once.
+// checkRanOnce checks that every task of a job was started exactly once.
 func (cl *cluster) checkRanOnce(id job.ID) {
 	cl.t.Helper()
 	for step := range 2 {
 		for index := range 2 {
 			tk := job.Task{Job: id, Step: step, Index: index}
 			if got := cl.workers.startCount(tk); got != 1 {
-				cl.t.Errorf("%v was started %d times", tk, got)
+				cl.t.Errorf("%v was started %d times, want 1", tk, got)
 			}
 		}
 	}
 }
 
-// usedBy names workers as a cell's row does.
+// workerRefs returns workers as a cell's row lists them.
 func workerRefs(ids ...cell.WorkerID) []cell.WorkerRef {
 	var refs []cell.WorkerRef
 	for _, id := range ids {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -11,28 +11,29 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// TestJobRunsThroughAnyNode: accepted at one node, run by another, told by both.
+// A job that one node accepts runs under another node's owner, and both nodes return its state.
 func TestJobRunsThroughAnyNode(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	one, two := cl.start("one"), cl.start("two")
 	cl.waitOwner(one, two)
-	cl.eventually("both are ready", func() bool { return one.Ready() && two.Ready() })
+	cl.eventually("both nodes to be ready", func() bool { return one.Ready() && two.Ready() })
 	if result := cl.submit(two, "a1"); result != Accepted {
-		t.Fatalf("verdict %d", result)
+		t.Fatalf("submit: result %d", result)
 	}
-	// A second try at another node is the same job.
+	// A second submission at another node refers to the same job.
 	if result := cl.submit(one, "a1"); result != Accepted {
-		t.Fatalf("verdict %d of the second try", result)
+		t.Fatalf("second submit: result %d", result)
 	}
 	cl.waitCompleted(one, "a1")
 	cl.waitCompleted(two, "a1")
 	cl.checkRanOnce("a1")
 	if _, err := one.State(context.Background(), "", &testQueue, "none"); !errors.Is(err, ErrJobNotFound) {
-		t.Errorf("a job that nobody handed in: %v", err)
+		t.Errorf("state of a job that was never submitted: %v", err)
 	}
 }
 
-// TestSecondTryDoesNotMakeAJobFresh: its epoch would tell a new owner that nobody else can have started it.
+// A repeated submission of a stored job must not pass the job to the owner: its newer epoch would make a new owner assume that
+// no earlier owner can have started the job.
 func TestResubmitDoesNotReachOwner(t *testing.T) {
 	cl := newCluster(t, time.Hour)
 	one := cl.start("one")
@@ -43,23 +44,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The job lies in the store with its home, but this owner has not heard of it.
+	// The home row of the job is in the store, but its job row is not, so the owner does not know it.
 	part := partName(homePart("b1"))
 	cl.write(Row{Table: tableHome, Part: part, Key: "b1", Value: []byte(`{"cell":"pool","queue":"q"}`)})
 	if result := cl.submit(one, "b1"); result != Accepted {
-		t.Fatalf("verdict %d", result)
+		t.Fatalf("submit: result %d", result)
 	}
 	if _, known := one.ownerOf("pool").jobStatus("b1"); known {
-		t.Fatal("the owner was told by the second try")
+		t.Fatal("the repeated submission reached the owner")
 	}
 	cl.write(Row{Table: jobTable("pool"), Part: part, Key: "b1", Value: raw})
-	cl.eventually("the owner knows the job from the store", func() bool {
+	cl.eventually("the owner to read the job from the store", func() bool {
 		_, known := one.ownerOf("pool").jobStatus("b1")
 		return known
 	})
 }
 
-// TestClaimWhoseAnswerIsLostIsTakenUp: the row names an instance that would otherwise not work on the cell.
+// A claim whose answer is lost still names this instance in the cell's row. Without a second claim no instance would work on
+// the cell.
 func TestClaimWithLostAnswerIsUsed(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	lost := 0
@@ -75,15 +77,15 @@
 	})
 	cl.waitOwner(one)
 	if lost != 1 {
-		t.Fatalf("%d claims were lost", lost)
+		t.Fatalf("%d answers to claims were lost, want 1", lost)
 	}
 	if result := cl.submit(one, "c1"); result != Accepted {
-		t.Fatalf("verdict %d", result)
+		t.Fatalf("submit: result %d", result)
 	}
 	cl.waitCompleted(one, "c1")
 }
 
-// TestTakeoverRunsNothingTwice: the owner's process ends in the middle of a job.
+// The owner's process ends in the middle of a job. The next owner must not start a task a second time.
 func TestTakeoverRunsNothingTwice(t *testing.T) {
 	cl := newCluster(t, 800*time.Millisecond)
 	one, two := cl.start("one"), cl.start("two")
@@ -92,11 +94,11 @@
 	if first == one {
 		next = two
 	}
-	cl.eventually("the other is ready", next.Ready)
+	cl.eventually("the other node to be ready", next.Ready)
 	if result := cl.submit(next, "d1"); result != Accepted {
-		t.Fatalf("verdict %d", result)
+		t.Fatalf("submit: result %d", result)
 	}
-	cl.eventually("a task runs", func() bool { return cl.workers.startCount(job.Task{Job: "d1"}) == 1 })
+	cl.eventually("a task to run", func() bool { return cl.workers.startCount(job.Task{Job: "d1"}) == 1 })
 	first.stop()
 	<-first.done
 	cl.waitOwner(next)
@@ -104,7 +106,7 @@
 	cl.checkRanOnce("d1")
 }
 
-// TestHandOverRunsNothingTwice: a planned stop, in which the instance goes on accepting.
+// An instance that hands over its cells continues to accept jobs, and no task is started twice.
 func TestHandOverRunsNothingTwice(t *testing.T) {
 	cl := newCluster(t, 300*time.Millisecond)
 	one, two := cl.start("one"), cl.start("two")
@@ -113,16 +115,16 @@
 	if first == one {
 		next = two
 	}
-	cl.eventually("the other is ready", next.Ready)
+	cl.eventually("the other node to be ready", next.Ready)
 	if result := cl.submit(first, "e1"); result != Accepted {
-		t.Fatalf("verdict %d", result)
+		t.Fatalf("submit: result %d", result)
 	}
 	first.HandOver(context.Background())
 	if first.Ready() {
-		t.Error("an instance that stops calls itself ready")
+		t.Error("an instance that is stopping is ready")
 	}
 	if result := cl.submit(first, "e2"); result != Accepted {
-		t.Fatalf("verdict %d after the handover", result)
+		t.Fatalf("submit after the handover: result %d", result)
 	}
 	cl.waitOwner(next)
 	cl.waitCompleted(next, "e1")
@@ -131,22 +133,22 @@
 	cl.checkRanOnce("e2")
 }
 
-// TestTurnedAwayNodeWorksThroughPeers: the store refuses one instance alone.
+// A node whose calls the store refuses, unlike its peers' calls, accepts jobs through a peer.
 func TestNodeRefusedByStoreUsesPeers(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	one, two := cl.start("one"), cl.start("two")
-	cl.eventually("both are ready", func() bool { return one.Ready() && two.Ready() })
+	cl.eventually("both nodes to be ready", func() bool { return one.Ready() && two.Ready() })
 	cl.waitOwner(one, two)
-	cl.eventually("they know each other", func() bool { return len(two.members.others("two")) == 1 })
+	cl.eventually("the nodes to know each other", func() bool { return len(two.members.others("two")) == 1 })
 	two.faultyStore.set(func(fs *faultyStore) { fs.refuse = true })
 	if result := cl.submit(two, "f1"); result != Accepted {
-		t.Fatalf("verdict %d", result)
+		t.Fatalf("submit: result %d", result)
 	}
 	cl.waitCompleted(two, "f1")
 	cl.checkRanOnce("f1")
 }
 
-// TestUnknownIsNotRefused: a refusal promises that the job never runs.
+// A job whose transaction was not answered may run later, so its result must not be Refused.
 func TestUnansweredCommitIsNotRefused(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	one := cl.start("one")
@@ -156,14 +158,14 @@
 	defer cancel()
 	result, _ := one.Submit(ctx, testSpec("g1"))
 	if result == Refused {
-		t.Fatal("a job that may be kept was called refused")
+		t.Fatal("Submit returned Refused for a job that may have been stored")
 	}
 	one.faultyStore.set(func(fs *faultyStore) { fs.dropAnswer = nil })
 	cl.waitCompleted(one, "g1")
 	cl.checkRanOnce("g1")
 }
 
-// TestRefusedWhileTheStoreIsDown: at once, with a time to come back; nothing of it runs later.
+// While the store is down, a job is refused soon, with a time after which to retry, and does not run later.
 func TestSubmitRefusedWhileStoreIsDown(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	one := cl.start("one")
@@ -173,27 +175,27 @@
 	defer cancel()
 	result, wait := one.Submit(ctx, testSpec("h1"))
 	if result != Refused || wait <= 0 {
-		t.Fatalf("verdict %d, come back after %v", result, wait)
+		t.Fatalf("submit: result %d, retry after %v", result, wait)
 	}
 	one.faultyStore.set(func(fs *faultyStore) { fs.refuse = false })
 	if _, err := one.State(ctx, "", &testQueue, "h1"); err == nil {
-		t.Error("a refused job is known")
+		t.Error("a refused job was stored")
 	}
 }
 
-// TestCancelIsKeptAndStops: and the state is told by the other node, too.
+// A cancellation stops the job's tasks, and both nodes return it.
 func TestCancelIsStoredAndStopsTasks(t *testing.T) {
 	cl := newCluster(t, time.Hour)
 	one, two := cl.start("one"), cl.start("two")
 	cl.waitOwner(one, two)
 	if result := cl.submit(two, "i1"); result != Accepted {
-		t.Fatalf("verdict %d", result)
+		t.Fatalf("submit: result %d", result)
 	}
-	cl.eventually("a task runs", func() bool { return cl.workers.startCount(job.Task{Job: "i1"}) == 1 })
+	cl.eventually("a task to run", func() bool { return cl.workers.startCount(job.Task{Job: "i1"}) == 1 })
 	if err := two.Cancel(context.Background(), "", "i1"); err != nil {
 		t.Fatal(err)
 	}
-	cl.eventually("both say so", func() bool {
+	cl.eventually("both nodes to return the cancellation", func() bool {
 		for _, nd := range []*testNode{one, two} {
 			if state, err := nd.State(context.Background(), "", &testQueue, "i1"); err != nil || state != job.Cancelled {
 				return false
@@ -201,7 +203,7 @@
 		}
 		return true
 	})
-	cl.eventually("nothing runs", func() bool {
+	cl.eventually("all tasks to stop", func() bool {
 		cl.workers.mu.Lock()
 		defer cl.workers.mu.Unlock()
 		for _, runs := range cl.workers.runs {
@@ -212,11 +214,11 @@
 		return true
 	})
 	if err := one.Cancel(context.Background(), "", "none"); !errors.Is(err, ErrJobNotFound) {
-		t.Errorf("cancelling what is not there: %v", err)
+		t.Errorf("cancelling an unknown job: %v", err)
 	}
 }
 
-// TestReleaseBeforeTakingOverPassesWorkersOn: a cell that is given up at once keeps the workers that its row named.
+// An owner that releases the cell before its takeover is complete keeps the workers that the cell's row lists.
 func TestReleaseBeforeTakeoverKeepsWorkers(t *testing.T) {
 	ow := &owner{claimRow: ownerRow{Workers: workerRefs("w7"), UnseenLossEpoch: 6}}
 	if row := ow.handoverRow(); len(row.Workers) != 1 || row.UnseenLossEpoch != 6 || row.Released {
@@ -224,16 +226,16 @@
 	}
 }
 
-// TestEndedJobsLeaveNothingBehind: after their retention no row is left of them, and nobody knows them.
+// After the retention period all rows of a job are deleted, and its state is not found.
 func TestExpiredJobsAreDeleted(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	cl.retention = 100 * time.Millisecond
 	one := cl.start("one")
 	cl.waitOwner(one)
 	if result := cl.submit(one, "k1"); result != Accepted {
-		t.Fatalf("verdict %d", result)
+		t.Fatalf("submit: result %d", result)
 	}
-	cl.eventually("nothing is left in the store", func() bool {
+	cl.eventually("the job's rows to be deleted", func() bool {
 		cl.mm.mu.Lock()
 		defer cl.mm.mu.Unlock()
 		for at := range cl.mm.rows {
@@ -244,12 +246,12 @@
 		return true
 	})
 	if _, err := one.State(context.Background(), "", &testQueue, "k1"); !errors.Is(err, ErrJobNotFound) {
-		t.Errorf("after its retention: %v", err)
+		t.Errorf("state after the retention period: %v", err)
 	}
 	cl.checkRanOnce("k1")
 }
 
-// TestFeedThatHangsIsGivenUp: a call that the store forgot does not keep a configuration from coming into force.
+// A feed call that the store never answers must not keep a new configuration from taking effect.
 func TestHangingFeedTimesOut(t *testing.T) {
 	cl := newCluster(t, time.Hour)
 	hung := 0
@@ -267,25 +269,26 @@
 	cl.write(Row{Table: "operator", Key: "configuration", Value: []byte("{}")})
 	cl.eventually("the newer configuration", func() bool { return one.Configuration().Version > before })
 	if hung != 1 {
-		t.Fatalf("%d calls hung", hung)
+		t.Fatalf("%d feed calls hung, want 1", hung)
 	}
 }
 
-// TestWaitingJobsAreNotCountedBeforeTheyAreKnown: an owner that has not loaded its cell says nothing, rather than 0.
+// An owner that has not loaded its cell returns no count of waiting jobs, rather than 0.
 func TestPendingUnknownBeforeLoad(t *testing.T) {
 	cl := newCluster(t, time.Hour)
 	one := cl.start("one")
 	ow := &owner{fl: one.Fleet, name: "pool"}
 	ow.jobs = newTableWatch(one.Fleet, jobTable("pool"), fixedInterval(jobsInterval), jobsWait, func([]Row, time.Time) {})
 	if count, ok := ow.pending("q"); ok {
-		t.Fatalf("%d jobs told by an owner that knows none yet", count)
+		t.Fatalf("an owner that has not loaded its jobs returned a count of %d", count)
 	}
 	if _, ok := ow.load(nil, false); ok {
-		t.Fatal("a load told by an owner that has not planned yet")
+		t.Fatal("an owner that has not planned returned a load")
 	}
 }
 
-// TestFeedsAreReadLessOftenInALargeFleet: each call has its price, and with more instances each answer carries more rows.
+// In a large fleet the control table is polled less often: each call is expensive, and with more instances each answer has more
+// rows.
 func TestControlPollIntervalGrowsWithFleet(t *testing.T) {
 	fl := New(Options{Name: "one", Store: &faultyStore{mem: newMemStore()}, Machines: noMachines{}, Format: testFormat{}})
 	last := time.Duration(0)
@@ -295,25 +298,25 @@
 		}
 		pause := fl.controlPollInterval()
 		if pause < last || pause > controlIntervalMax || nodes < controlNodesPerInterval && pause != controlInterval {
-			t.Errorf("%d instances: a gap of %v after one of %v", nodes, pause, last)
+			t.Errorf("%d instances: interval %v after %v", nodes, pause, last)
 		}
 		last = pause
 	}
 	if last != controlIntervalMax || 2*last >= maxDeadTimeout {
-		t.Errorf("the longest gap is %v; an instance counts as dead after %v", last, maxDeadTimeout)
+		t.Errorf("the longest interval is %v, the dead timeout %v", last, maxDeadTimeout)
 	}
 }
 
-// TestOnlyOwnersReadRegistrations: an instance without cells knows no workers and beats seldom; one that takes a cell knows all of them, also
-// those that came and went meanwhile.
+// An instance without cells reads no registrations and sends heartbeats less often. One that claims a cell knows all workers,
+// including changes made while it had no cell.
 func TestOnlyOwnersReadRegistrations(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	one := cl.start("one")
 	cl.waitOwner(one)
 	two := cl.start("two")
-	cl.eventually("it is ready and knows no workers", func() bool { return two.Ready() && len(two.workerCache.inPool("pool")) == 0 })
+	cl.eventually("the node to be ready without registrations", func() bool { return two.Ready() && len(two.workerCache.inPool("pool")) == 0 })
 	if two.heartbeatDelay() != idleHeartbeatInterval || one.heartbeatDelay() != heartbeatInterval {
-		t.Errorf("beats each %v and %v", two.heartbeatDelay(), one.heartbeatDelay())
+		t.Errorf("heartbeat intervals of %v and %v", two.heartbeatDelay(), one.heartbeatDelay())
 	}
 	cl.write(Row{Table: "registry", Key: "w3", Value: []byte("{}")})
 	if _, err := cl.mm.commit(Tx{Remove: []Place{{Table: "registry", Key: "w0"}}}); err != nil {
@@ -321,7 +324,7 @@
 	}
 	one.stop()
 	cl.waitOwner(two)
-	cl.eventually("the new owner knows the workers", func() bool {
+	cl.eventually("the new owner to know the workers", func() bool {
 		var ids []string
 		for _, wk := range two.workerCache.inPool("pool") {
 			ids = append(ids, string(wk.ID))
@@ -330,16 +333,16 @@
 		return slices.Equal(ids, []string{"w1", "w2", "w3"})
 	})
 	if two.heartbeatDelay() != heartbeatInterval {
-		t.Errorf("an owner beats each %v", two.heartbeatDelay())
+		t.Errorf("heartbeat interval of an owner: %v", two.heartbeatDelay())
 	}
 	if result := cl.submit(two, "a1"); result != Accepted {
-		t.Fatalf("verdict %d", result)
+		t.Fatalf("submit: result %d", result)
 	}
 	cl.waitCompleted(two, "a1")
 }
 
-// TestOwnersThatAreGoneAreToldAsSoonAsBefore: instances without cells may be silent for longer, and one that has just taken a cell has yet
-// to beat as an owner does.
+// Instances without cells may go longer without a heartbeat. An instance that has just claimed a cell gets the shorter timeout
+// from the time of the claim.
 func TestDeadOwnerIsDetectedSoonerThanIdleNode(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	fl := New(Options{Name: "one", Store: &faultyStore{mem: newMemStore()}, Machines: noMachines{}, Format: testFormat{}, Now: func() time.Time { return now }})
@@ -355,7 +358,7 @@
 	}{{minDeadTimeout - 1, 3}, {minDeadTimeout + 1, 2}, {idleHeartbeatInterval + minDeadTimeout + 1, 1}, {idleDeadTimeout(3) + 1, 0}} {
 		fl.control.recordSuccess(now.Add(want.after))
 		if got := len(fl.liveNodes()); got != want.live {
-			t.Errorf("%d live %v after their last beat, want %d", got, want.after, want.live)
+			t.Errorf("%d instances are live %v after their last heartbeat, want %d", got, want.after, want.live)
 		}
 	}
 }
--- a/fleet/keys_test.go
+++ b/fleet/keys_test.go
@@ -9,8 +9,8 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// TestJobsAreTheirOrganisations: through both instances, from the owner and from the store, a job is seen, sent again and cancelled by callers of
-// its own organisation alone; one without an organisation by all.
+// Only callers of a job's organisation can read, resubmit or cancel it, at either instance and whether the owner or the store
+// answers. A job without an organisation is open to all callers.
 func TestJobAccessIsLimitedToItsOrganisation(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	one, two := cl.start("one"), cl.start("two")
@@ -24,42 +24,43 @@
 		return result
 	}
 	if result := submit(one, "m1", "mill"); result != Accepted {
-		t.Fatalf("handed in: %v", result)
+		t.Fatalf("submit: %v", result)
 	}
 	if result := submit(one, "n1", ""); result != Accepted {
-		t.Fatalf("handed in by nobody: %v", result)
+		t.Fatalf("submit without an organisation: %v", result)
 	}
 	for i, nd := range []*testNode{one, two} {
 		if result := submit(nd, "m1", "mill"); result != Accepted {
-			t.Errorf("%d: second try of the same organisation: %v", i, result)
+			t.Errorf("%d: second submit by the same organisation: %v", i, result)
 		}
 		if result := submit(nd, "m1", "yard"); result != Foreign {
-			t.Errorf("%d: second try of another organisation: %v", i, result)
+			t.Errorf("%d: second submit by another organisation: %v", i, result)
 		}
 		if _, err := nd.State(ctx, "yard", &testQueue, "m1"); !errors.Is(err, job.ErrOtherOrganisation) {
-			t.Errorf("%d: seen by another: %v", i, err)
+			t.Errorf("%d: state read by another organisation: %v", i, err)
 		}
 		if err := nd.Cancel(ctx, "yard", "m1"); !errors.Is(err, job.ErrOtherOrganisation) {
-			t.Errorf("%d: cancelled by another: %v", i, err)
+			t.Errorf("%d: cancelled by another organisation: %v", i, err)
 		}
 		if _, err := nd.State(ctx, "yard", &testQueue, "n1"); err != nil {
-			t.Errorf("%d: nobody's job: %v", i, err)
+			t.Errorf("%d: state of a job without an organisation: %v", i, err)
 		}
 	}
-	cl.eventually("the end as its organisation sees it", func() bool {
+	cl.eventually("completion as its organisation sees it", func() bool {
 		state, err := two.State(ctx, "mill", &testQueue, "m1")
 		return err == nil && state == job.Completed
 	})
 	cl.checkRanOnce("m1")
-	// Without the owner the store tells whose it is.
+	// Without the job in memory, its organisation is read from the store.
 	three := cl.start("three")
-	cl.eventually("an answer of an instance that knows nothing of the job", func() bool {
+	cl.eventually("an answer from an instance that has not seen the job", func() bool {
 		_, err := three.State(ctx, "yard", &testQueue, "m1")
 		return errors.Is(err, job.ErrOtherOrganisation)
 	})
 }
 
-// TestOrganisationThatGoesLosesNoJob: a newer configuration without the organisation, while its job waits for a worker.
+// A newer configuration removes an organisation while its job waits for a worker. The job still completes, and an older
+// configuration does not replace the newer one.
 func TestRemovedOrganisationKeepsItsJobs(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	one := cl.start("one")
@@ -73,7 +74,7 @@
 	sp := testSpec("g1")
 	sp.Organisation = "mill"
 	if result, _ := one.Submit(ctx, sp); result != Accepted {
-		t.Fatalf("handed in: %v", result)
+		t.Fatalf("submit: %v", result)
 	}
 	next := cf
 	next.Version++
@@ -82,9 +83,9 @@
 	older := cf
 	one.applyConfiguration(&older)
 	if _, err := one.Configuration().CallerOrganisation(&testQueue, "k"); !errors.Is(err, job.ErrNoKey) {
-		t.Errorf("a key that was taken away: %v", err)
+		t.Errorf("a key that was removed: %v", err)
 	}
-	cl.eventually("the end of a job whose organisation is gone", func() bool {
+	cl.eventually("completion of a job whose organisation was removed", func() bool {
 		state, err := one.State(ctx, "mill", &testQueue, "g1")
 		return err == nil && state == job.Completed
 	})
--- a/fleet/pause_test.go
+++ b/fleet/pause_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A queue that an operator pauses at the store takes no jobs at any instance, nothing of it is started, and it goes on where it was once it is
-// resumed, also under another owner.
+// An operator pauses a queue in the store. No instance accepts its jobs or starts its tasks. After the queue is resumed, its
+// jobs run again, also under another owner.
 func TestQueueIsPausedEverywhere(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	one, two := cl.start("one"), cl.start("two")
@@ -16,15 +16,15 @@
 	if first == one {
 		next = two
 	}
-	cl.eventually("the other is ready", next.Ready)
+	cl.eventually("the other node to be ready", next.Ready)
 	ctx := t.Context()
 	if err := PauseQueue(ctx, one.faultyStore, Pause{Queue: "q", By: "op", Why: "crashes", At: time.Now()}); err != nil {
 		t.Fatal(err)
 	}
 	for _, nd := range []*testNode{one, two} {
-		cl.eventually("the queue is paused", func() bool { return nd.pausedQueues()["q"] })
+		cl.eventually("the queue to be paused", func() bool { return nd.pausedQueues()["q"] })
 		if result := cl.submit(nd, "p1"); result != Refused {
-			t.Errorf("verdict %d of a job of a paused queue", result)
+			t.Errorf("submit to a paused queue: result %d", result)
 		}
 	}
 	list, err := PausedQueues(ctx, one.faultyStore)
@@ -35,17 +35,17 @@
 	<-first.done
 	cl.waitOwner(next)
 	if !next.pausedQueues()["q"] {
-		t.Error("the next owner does not know of the pause")
+		t.Error("the next owner does not know that the queue is paused")
 	}
 	if err := ResumeQueue(ctx, next.faultyStore, "q"); err != nil {
 		t.Fatal(err)
 	}
-	cl.eventually("the queue goes on", func() bool { return !next.pausedQueues()["q"] })
+	cl.eventually("the queue to be resumed", func() bool { return !next.pausedQueues()["q"] })
 	if result := cl.submit(next, "p2"); result != Accepted {
-		t.Fatalf("verdict %d after the pause", result)
+		t.Fatalf("submit after the queue was resumed: result %d", result)
 	}
 	cl.waitCompleted(next, "p2")
 	if err := ResumeQueue(ctx, next.faultyStore, "q"); !errors.Is(err, ErrNotPaused) {
-		t.Errorf("resuming twice: %v", err)
+		t.Errorf("resuming a queue that is not paused: %v", err)
 	}
 }
--- a/fleet/payloads_test.go
+++ b/fleet/payloads_test.go
@@ -14,7 +14,7 @@
 	"github.com/aspenseam/aspenseam/peer"
 )
 
-// payloadLog notes with which payload tasks are started.
+// payloadRecorder records the payloads that tasks are started with.
 type payloadRecorder struct {
 	*fakeWorkers
 	mu       sync.Mutex
@@ -30,8 +30,8 @@
 	return pr.fakeWorkers.Send(ctx, od)
 }
 
-// TestPayloadLiesApartFromItsJob: what owners read and are told of a job holds no payload, and its tasks are started with it all the same,
-// also when the instance that accepted it is gone.
+// The job row that owners read has no payload, but its tasks are started with the payload, even if the instance that accepted
+// the job is gone.
 func TestPayloadIsStoredSeparately(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	log := &payloadRecorder{fakeWorkers: cl.workers, payloads: map[job.Task]string{}}
@@ -42,17 +42,17 @@
 	if owner == one {
 		other = two
 	}
-	cl.eventually("all read the new layout", func() bool { return one.separatePayloads.Load() && two.separatePayloads.Load() && other.Ready() })
+	cl.eventually("all nodes to agree on the layout", func() bool { return one.separatePayloads.Load() && two.separatePayloads.Load() && other.Ready() })
 	for i, gone := range []bool{false, true} {
 		sp := testSpec(job.ID(fmt.Sprintf("%016x", i)))
 		sp.Payload = fmt.Sprintf("payload %d", i)
 		if gone {
-			// Its instance remembers nothing, as one that was started anew.
+			// The instance has an empty cache, like one that was restarted.
 			other.payloads = newPayloadCache()
 			sp.FirstDue, sp.Repeats = time.Now().Add(500*time.Millisecond), 1
 		}
 		if result, _ := other.Submit(t.Context(), sp); result != Accepted {
-			t.Fatalf("verdict %d", result)
+			t.Fatalf("submit: result %d", result)
 		}
 		if gone {
 			other.payloads = newPayloadCache()
@@ -71,12 +71,13 @@
 	defer cl.mm.mu.Unlock()
 	for at, rw := range cl.mm.rows {
 		if strings.HasPrefix(at.Table, tableJob) && bytes.Contains(rw.Value, []byte("payload 0")) {
-			t.Error("the job's row holds its payload")
+			t.Error("the job's row contains its payload")
 		}
 	}
 }
 
-// TestPayloadStaysWithItsJobForOlderInstances: an instance that reads only the former layout would start its tasks without it.
+// An instance that only reads the older layout would start the job's tasks without the payload, so the payload stays in the
+// job's row.
 func TestPayloadStaysInJobRowForOlderInstances(t *testing.T) {
 	cl := newCluster(t, time.Hour)
 	fl := cl.start("one").Fleet
@@ -84,15 +85,15 @@
 	sp := testSpec("a")
 	sp.Payload = "text"
 	if kept := fl.specForRow(sp); kept.Payload != "text" || kept.Acceptor != "" {
-		t.Errorf("kept as %+v beside an older instance", kept)
+		t.Errorf("row with an older instance in the fleet: %+v", kept)
 	}
 	fl.updateLayout(map[string]node{"one": {Layout: layoutSeparatePayloads}})
 	if kept := fl.specForRow(sp); kept.Payload != "" || kept.Acceptor == "" || sp.Payload != "text" {
-		t.Errorf("kept as %+v", kept)
+		t.Errorf("row: %+v", kept)
 	}
 }
 
-// TestPayloadsAreBounded: the oldest ones are forgotten.
+// The payload cache evicts the oldest payloads.
 func TestPayloadCacheIsBounded(t *testing.T) {
 	pc := newPayloadCache()
 	text := strings.Repeat("x", job.MaxPayloadBytes)
@@ -101,34 +102,34 @@
 		pc.put(job.ID(fmt.Sprint(i)), text)
 	}
 	if pc.bytes > payloadCacheBytes || len(pc.texts) != len(pc.order) {
-		t.Errorf("%d bytes, %d of %d payloads in order", pc.bytes, len(pc.order), len(pc.texts))
+		t.Errorf("%d bytes, %d payloads in the eviction order, %d in the cache", pc.bytes, len(pc.order), len(pc.texts))
 	}
 	if _, known := pc.get(job.ID(fmt.Sprint(many - 1))); !known {
-		t.Error("the newest is forgotten")
+		t.Error("the newest payload was evicted")
 	}
 }
 
-// TestMorePeersShareStartsThatQueue: whatever makes them queue, and fewer once they do not.
+// More peers share the starts while starts are slow, and fewer once they are fast.
 func TestSlowStartsUseMorePeers(t *testing.T) {
 	breadth := 1.0
 	for range 3 {
 		breadth = nextScale(breadth, 2*slowStart)
 	}
 	if breadth < 3 {
-		t.Errorf("%.1f times as many peers after three slow rounds", breadth)
+		t.Errorf("breadth %.1f after three slow rounds", breadth)
 	}
 	if same := nextScale(breadth, (slowStart+fastStart)/2); same != breadth {
-		t.Errorf("from %.1f to %.1f without a reason", breadth, same)
+		t.Errorf("breadth went from %.1f to %.1f although starts are neither slow nor fast", breadth, same)
 	}
 	for range 200 {
 		breadth = nextScale(breadth, 0)
 	}
 	if breadth != 1 {
-		t.Errorf("%.1f times as many peers after the queue is gone", breadth)
+		t.Errorf("breadth %.1f after starts are fast again", breadth)
 	}
 }
 
-// TestQueueThatIsFullIsRefusedEverywhere: each instance refuses its jobs at once, with the time that it was told, until the word is old.
+// An instance refuses the jobs of a full queue at once, with the reported time after which to retry, until the report expires.
 func TestFullQueueIsRefusedByAllInstances(t *testing.T) {
 	cl := newCluster(t, time.Hour)
 	nd := cl.start("one")
@@ -138,17 +139,17 @@
 	}
 	now := time.Now()
 	if got := nd.fullQueues.retryAfter(now, "other"); got != 0 {
-		t.Errorf("another queue: %v", got)
+		t.Errorf("retry delay of another queue: %v", got)
 	}
 	if got := nd.fullQueues.retryAfter(now.Add(2*fullQueueTTL), "q"); got != 0 {
-		t.Errorf("%v by an old word", got)
+		t.Errorf("retry delay from an expired report: %v", got)
 	}
 	if result, wait := nd.Submit(t.Context(), testSpec("a")); result != Refused || wait != 4*time.Second {
-		t.Errorf("verdict %d, come back after %v", result, wait)
+		t.Errorf("submit: result %d, retry after %v", result, wait)
 	}
 	for at := range nd.faultyStore.mem.rows {
 		if at.Table == tableHome {
-			t.Error("the refused job is kept")
+			t.Error("the refused job was stored")
 		}
 	}
 }
--- a/fleet/release_test.go
+++ b/fleet/release_test.go
@@ -7,7 +7,8 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// TestPressedCellIsNotGivenAway replays a handover in a burst: while a job waits, a cell goes only to an instance that would be far less laden.
+// While a job waits, a cell moves only to an instance that is far less loaded. A handover during a burst of jobs would delay
+// them.
 func TestCellWithWaitingJobsIsNotMoved(t *testing.T) {
 	cl := newCluster(t, 20*time.Millisecond)
 	one := cl.start("one")
@@ -24,19 +25,19 @@
 		ow.claimedAt = time.Time{}
 		return ow.core.Pressed(one.opts.Now())
 	}
-	cl.eventually("a job that waits", waits)
+	cl.eventually("a job to wait", waits)
 	if ow.canMove(one.opts.Now(), false) {
-		t.Error("a pressed cell may be given away")
+		t.Error("a cell with a waiting job can move")
 	}
 	if !ow.canMove(one.opts.Now(), true) {
-		t.Error("a pressed cell may not be given to an instance that is far less laden")
+		t.Error("a cell with a waiting job cannot move to an instance that is far less loaded")
 	}
 	if err := one.Cancel(t.Context(), "", "huge"); err != nil {
 		t.Fatal(err)
 	}
-	cl.eventually("calm", func() bool { return !waits() })
+	cl.eventually("no job to wait", func() bool { return !waits() })
 	if !ow.canMove(one.opts.Now(), false) {
-		t.Error("a calm cell may not be given away")
+		t.Error("a cell without waiting jobs cannot move")
 	}
 }
 
@@ -60,7 +61,7 @@
 	}
 }
 
-// TestLoadsAreAskedOfOwners: instances without cells are called only to be told that a queue is full.
+// Loads are requested from the owners of cells. Other instances are only called to report full queues.
 func TestLoadsAreRequestedFromOwners(t *testing.T) {
 	mb := newMembers(time.Now, nil)
 	for _, name := range []string{"a", "b", "c"} {
--- a/fleet/start_test.go
+++ b/fleet/start_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestStartReadsNoPartForEachInstance replays what an instance meets that starts with 300 others: the reads that it makes of their rows do not
-// grow with their number. With a part for each they were 300 and more.
+// An instance that starts with 300 others must not make more reads of their rows than in a small fleet. With a part for each
+// instance it made 300 reads and more.
 func TestStartupReadsDoNotGrowWithInstances(t *testing.T) {
 	cl := newCluster(t, 20*time.Millisecond)
 	for i := range 300 {
@@ -21,49 +21,49 @@
 		cl.write(Row{Table: place.Table, Part: place.Part, Key: place.Key, Value: raw})
 	}
 	one := cl.start("one")
-	cl.eventually("readiness", one.Ready)
-	// 32 parts of instances, and those of cells; a fixed bound, so that more parts are found.
+	cl.eventually("the node to be ready", one.Ready)
+	// 32 parts of instances, and the parts of cells. The bound is fixed, so that the test fails if parts are added.
 	if got := one.faultyStore.readCalls(tableControl); got > 42 {
-		t.Errorf("%d reads of the control table", got)
+		t.Errorf("%d reads of the control table, want at most 42", got)
 	}
 	if got := one.members.count(); got < 300 {
-		t.Errorf("%d instances are known", got)
+		t.Errorf("%d instances are known, want at least 300", got)
 	}
 }
 
-// TestReadyWithoutRegistrations: at 3,000 workers a reading of all registrations is 1.2 MB, which a link of 2 Mbit/s carries in 4.7 s; an instance
-// is ready without it.
+// An instance must become ready without reading the registrations. At 3,000 workers they are 1.2 MB, which takes 4.7 s on a
+// link of 2 Mbit/s.
 func TestReadyWithoutRegistrations(t *testing.T) {
 	cl := newCluster(t, 20*time.Millisecond)
 	one := cl.start("one")
 	cl.waitOwner(one)
 	two := cl.start("two")
-	cl.eventually("readiness", two.Ready)
+	cl.eventually("the node to be ready", two.Ready)
 	if got := two.faultyStore.readCalls("registry"); got != 0 {
-		t.Errorf("%d reads of registrations by an instance that owns nothing", got)
+		t.Errorf("%d reads of registrations by an instance that owns no cell", got)
 	}
 	if got := one.faultyStore.readCalls("registry"); got == 0 {
-		t.Error("the owner has read none")
+		t.Error("the owner read no registrations")
 	}
 }
 
-// TestBeatsOfManyDoNotGrowWithTheirSquare: each reads what all write, so that idle instances of a large fleet write less often; up to a hundred
-// nothing changes.
+// Every instance reads the heartbeats of all others, so the idle instances of a large fleet send them less often. Fleets of up
+// to 100 instances keep the normal interval.
 func TestIdleHeartbeatRateIsBounded(t *testing.T) {
 	if idleHeartbeatDelay(1) != idleHeartbeatInterval || idleHeartbeatDelay(100) != idleHeartbeatInterval {
-		t.Errorf("small fleets: %v %v", idleHeartbeatDelay(1), idleHeartbeatDelay(100))
+		t.Errorf("intervals of small fleets: %v %v", idleHeartbeatDelay(1), idleHeartbeatDelay(100))
 	}
 	for _, nodes := range []int{100, 300, 1000, 20000} {
 		if perSecond := float64(nodes) / idleHeartbeatDelay(nodes).Seconds(); perSecond > 51 {
-			t.Errorf("%d instances: %.0f rows a second", nodes, perSecond)
+			t.Errorf("%d instances: %.0f heartbeats a second", nodes, perSecond)
 		}
 		if idleDeadTimeout(nodes) < 3*idleHeartbeatDelay(nodes) {
-			t.Errorf("%d instances: dead after %v, beats each %v", nodes, idleDeadTimeout(nodes), idleHeartbeatDelay(nodes))
+			t.Errorf("%d instances: dead timeout %v, heartbeat interval %v", nodes, idleDeadTimeout(nodes), idleHeartbeatDelay(nodes))
 		}
 	}
 }
 
-// TestNewerRowOfAnInstanceCounts: one that ran another version before has a row in another part as well, which may be read after.
+// An instance that ran an older version also has a row in another part. The newer row wins even if the older one is read later.
 func TestNewerNodeRowWins(t *testing.T) {
 	mb := newMembers(time.Now, nil)
 	for _, rw := range []Row{
--- a/fleet/writes.go
+++ b/fleet/writes.go
@@ -25,7 +25,7 @@
 // writeBatch is the content of one transaction.
 type writeBatch struct {
 	save *cell.Save
-	// enlist is the newest list of the workers in use. It includes the workers of the earlier lists.
+	// workers is the newest list of the workers in use. It includes the workers of the earlier lists.
 	workers *cell.RecordWorkers
 	// queuedAt is when the first write of the batch was queued.
 	queuedAt time.Time
--- a/fleet/writes_test.go
+++ b/fleet/writes_test.go
@@ -11,20 +11,20 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// TestProgressDoesNotWaitForEachNewWorker: workers come to a cell one after the other while the store is sixty times slower. The owner
-// goes on deciding, and an end is kept, and so can be told, after a transaction or two.
+// Workers join a cell one after another while the store is sixty times slower. The owner must not block on the writes of the
+// worker list, and an ended attempt must be saved within a few transactions.
 func TestSaveIsNotDelayedByWorkerUpdates(t *testing.T) {
 	const (
-		come   = 60
-		gap    = 50 * time.Millisecond
-		saveAt = 40
+		workerCount = 60
+		gap         = 50 * time.Millisecond
+		saveAt      = 40
 	)
 	withFakeClock(t, func(ctx context.Context, t *testing.T) {
 		ow, store := startWriter(ctx, t)
 		var refs []cell.WorkerRef
 		var asked int
 		stalls := 0
-		for i := range come {
+		for i := range workerCount {
 			refs = append(refs, workerRefs(cell.WorkerID(fmt.Sprintf("w%d", i)))...)
 			began := time.Now()
 			if i == saveAt {
@@ -38,27 +38,28 @@
 			time.Sleep(gap)
 		}
 		if stalls > 0 {
-			t.Errorf("the owner stood still at %d of %d orders", stalls, come)
+			t.Errorf("the owner blocked on %d of %d orders", stalls, workerCount)
 		}
 		transactions := 0
-		for transactions == 0 && store.count() < asked+come {
+		for transactions == 0 && store.count() < asked+workerCount {
 			time.Sleep(gap)
 			if len(store.mm.read(Query{Table: tableProgress, Part: "pool"}).Rows) > 0 {
 				transactions = store.count() - asked
 			}
 		}
 		if transactions > 3 {
-			t.Errorf("the end was kept after %d transactions", transactions)
+			t.Errorf("the end was saved after %d transactions", transactions)
 		}
 		time.Sleep(time.Minute)
-		if got := len(cellRow(t, store).Workers); got != come {
-			t.Errorf("the cell's row names %d of %d workers", got, come)
+		if got := len(cellRow(t, store).Workers); got != workerCount {
+			t.Errorf("the cell's row lists %d of %d workers", got, workerCount)
 		}
-		t.Logf("%d transactions, the end kept after %d", store.count(), transactions)
+		t.Logf("%d transactions, the end saved after %d", store.count(), transactions)
 	})
 }
 
-// TestLostAnswersHoldUpProgressBriefly: a third of the transactions are done and not answered; progress comes five times a second.
+// A third of the transactions are carried out but not answered, with five saves a second. Most saves must still finish within a
+// second.
 func TestLostAnswersDelaySavesBriefly(t *testing.T) {
 	const saves = 100
 	withFakeClock(t, func(ctx context.Context, t *testing.T) {
@@ -86,7 +87,7 @@
 	})
 }
 
-// takeEvents takes what the core would be told.
+// drainEvents removes and returns the queued events of the core.
 func (ow *owner) drainEvents() []func(*cell.Core, time.Time) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -95,7 +96,7 @@
 	return events
 }
 
-// startWriter starts what writes for the owner of a cell, over a slow store.
+// startWriter starts the writes of a cell's owner on a slow store.
 func startWriter(ctx context.Context, t *testing.T) (*owner, *serialStore) {
 	t.Helper()
 	store := newSerialStore(60)
@@ -110,7 +111,7 @@
 	return ow, store
 }
 
-// cellRow is the row of the cell as the store has it.
+// cellRow reads the row of the cell from the store.
 func cellRow(t *testing.T, store *serialStore) ownerRow {
 	t.Helper()
 	var or ownerRow
@@ -124,18 +125,18 @@
 	return or
 }
 
-// While jobs end faster than a round every three seconds takes out of the table of open ones, it goes on at once: a new owner read more than two
-// megabytes of ended jobs over a link of 250 KB/s, and lost the cell before it had done so.
+// If jobs end faster than a round every three seconds can archive them, the next round starts soon. Otherwise a new owner had
+// to read more than two megabytes of ended jobs over a link of 250 KB/s, and lost the cell before it had finished.
 func TestArchiveKeepsUpWithEndedJobs(t *testing.T) {
 	if got := archiveDelay(archiveBatchSize); got != archiveBacklogInterval {
-		t.Errorf("%v after a full round", got)
+		t.Errorf("delay of %v after a full round", got)
 	}
 	for _, taken := range []int{0, 1, archiveBatchSize - 1} {
 		if got := archiveDelay(taken); got != archiveInterval {
-			t.Errorf("%v after a round that took %d", got, taken)
+			t.Errorf("delay of %v after a round of %d jobs", got, taken)
 		}
 	}
 	if perSecond := float64(archiveBatchSize) / archiveBacklogInterval.Seconds(); perSecond < 100 {
-		t.Errorf("%.0f jobs a second", perSecond)
+		t.Errorf("%.0f jobs a second archived", perSecond)
 	}
 }
