--- a/fleet/machinecontroller.go
+++ b/fleet/machinecontroller.go
@@ -115,8 +115,8 @@
 	ct.pendingRows, ct.drained = nil, nil
 	// Cooldowns inherited from the previous leader also apply to the next one.
 	ct.lease = machineLease{version: row.version, ordered: map[cell.MachineID]*machineOrders{}}
-	for id, left := range previous.Ordered {
-		ct.lease.ordersFor(id).lastDone = previous.seenAt.Add(left - machineCooldown)
+	for id, remaining := range previous.Ordered {
+		ct.lease.ordersFor(id).lastDone = previous.seenAt.Add(remaining - machineCooldown)
 	}
 	tasks := &sync.WaitGroup{}
 	ct.tasks = tasks
--- a/fleet/machinelease.go
+++ b/fleet/machinelease.go
@@ -66,15 +66,15 @@
 func (ml *machineLease) cooldowns(now time.Time, term time.Duration) map[cell.MachineID]time.Duration {
 	list := map[cell.MachineID]time.Duration{}
 	for id, mo := range ml.ordered {
-		left := machineCooldown - now.Sub(mo.lastDone)
+		remaining := machineCooldown - now.Sub(mo.lastDone)
 		if mo.announced || mo.inFlight > 0 {
-			left = machineCooldown + term
+			remaining = machineCooldown + term
 		}
-		if left <= 0 {
+		if remaining <= 0 {
 			delete(ml.ordered, id)
 			continue
 		}
-		list[id] = left
+		list[id] = remaining
 	}
 	return list
 }
@@ -269,6 +269,6 @@
 // coolingDown reports whether the previous leader may have sent an order for a machine so recently that the machine must wait.
 // The caller holds the lock.
 func (ct *machineController) coolingDown(now time.Time, id cell.MachineID) bool {
-	left, published := ct.previous.Ordered[id]
-	return published && now.Before(ct.previous.seenAt.Add(left))
+	remaining, listed := ct.previous.Ordered[id]
+	return listed && now.Before(ct.previous.seenAt.Add(remaining))
 }
--- a/fleet/machinelease_test.go
+++ b/fleet/machinelease_test.go
@@ -88,8 +88,8 @@
 	fl.controller.waveRunner = machine.NewKeeper(now, 0)
 	fl.controller.lease = machineLease{expires: now.Add(machineLeaseTermMax), ordered: map[cell.MachineID]*machineOrders{}}
 	fl.controller.renewOnce(context.Background(), nil)
-	if left := fl.controller.lease.expires.Sub(now); left > machineLeaseTermMin {
-		t.Fatalf("orders may be sent for %v, but the row states %v", left, machineLeaseTermMin)
+	if remaining := fl.controller.lease.expires.Sub(now); remaining > machineLeaseTermMin {
+		t.Fatalf("orders may be sent for %v, but the row states %v", remaining, machineLeaseTermMin)
 	}
 }
 
@@ -252,7 +252,7 @@
 	two.controller.mu.Lock()
 	previous := two.controller.previous
 	two.controller.mu.Unlock()
-	if left := previous.Ordered["m1"]; left <= 0 || left > machineCooldown || len(previous.Ordered) != 1 {
+	if remaining := previous.Ordered["m1"]; remaining <= 0 || remaining > machineCooldown || len(previous.Ordered) != 1 {
 		t.Fatalf("the row lists %v", previous.Ordered)
 	}
 	if _, listed := cl.leaseRow().Ordered["m1"]; !listed && time.Since(previous.seenAt) < machineCooldown/2 {
@@ -337,12 +337,12 @@
 // lost, so that the orders can be sent.
 func TestAnnouncementIsRepeatedAfterLostAnswer(t *testing.T) {
 	cl := newCluster(t, time.Millisecond)
-	lost := 0
+	lostAnswers := 0
 	one := cl.start("one", func(fs *faultyStore) {
 		fs.dropAnswer = func(tx Tx) bool {
 			listsMachine := len(tx.Write) > 0 && tx.Write[0].Part == machinesCell && bytes.Contains(tx.Write[0].Value, []byte("m1"))
-			if listsMachine && lost == 0 {
-				lost++
+			if listsMachine && lostAnswers == 0 {
+				lostAnswers++
 				return true
 			}
 			return false
@@ -350,8 +350,8 @@
 	})
 	cl.leader(one)
 	one.controller.announce(context.Background(), []cell.MachineID{"m1"})
-	if lost != 1 {
-		t.Fatalf("%d answers were lost", lost)
+	if lostAnswers != 1 {
+		t.Fatalf("%d answers were lost", lostAnswers)
 	}
 	if !one.controller.isPublished([]cell.MachineID{"m1"}) {
 		t.Fatal("the machine is not listed after the answer to its announcement was lost")
--- a/fleet/partition.go
+++ b/fleet/partition.go
@@ -21,7 +21,7 @@
 	// partitionProbeTimeout bounds a probe; an answer takes about 5 ms.
 	partitionProbeTimeout = 250 * time.Millisecond
 	// partitionProbes is the number of instances in other data halls that are probed at once. Instances that own nothing count as
-	// live for some seconds after they have died: if half of them are dead, all the probed ones are dead in one of 32 checks.
+	// live for some seconds after they have died: if half of them are dead, all the probed ones are dead one of 32 times.
 	partitionProbes = 5
 )
 
--- a/fleet/poolsizes.go
+++ b/fleet/poolsizes.go
@@ -195,14 +195,14 @@
 
 // moveMachines reserves the workers of the planned moves, and moves the machines whose workers were granted.
 func (ct *machineController) moveMachines(ctx context.Context, machines map[cell.MachineID]machine.Machine, moves []machine.Shift) {
-	wanted := map[job.PoolID][]cell.WorkerName{}
+	requested := map[job.PoolID][]cell.WorkerName{}
 	for _, mv := range moves {
 		if mv.Worker != "" {
-			wanted[mv.From] = append(wanted[mv.From], mv.Worker)
+			requested[mv.From] = append(requested[mv.From], mv.Worker)
 		}
 	}
 	granted := map[cell.WorkerName]bool{"": true}
-	for pool, ids := range wanted {
+	for pool, ids := range requested {
 		for _, id := range ct.fl.reserve(ctx, cellName(pool), ids) {
 			granted[id] = true
 		}
--- a/fleet/relay_test.go
+++ b/fleet/relay_test.go
@@ -125,11 +125,11 @@
 // relayed to that peer.
 func TestOrdersAreSettledWhenPeerFails(t *testing.T) {
 	for name, call := range map[string]func(*peer.RelayRequest) (*peer.RelayResponse, error){
-		"unreachable": func(*peer.RelayRequest) (*peer.RelayResponse, error) {
+		"peer unreachable": func(*peer.RelayRequest) (*peer.RelayResponse, error) {
 			return nil, &net.OpError{Op: "dial", Err: errors.New("refused")}
 		},
-		"no answer": func(*peer.RelayRequest) (*peer.RelayResponse, error) { return nil, errors.New("no answer") },
-		"restarted": func(*peer.RelayRequest) (*peer.RelayResponse, error) {
+		"silent": func(*peer.RelayRequest) (*peer.RelayResponse, error) { return nil, errors.New("no answer") },
+		"peer restarted": func(*peer.RelayRequest) (*peer.RelayResponse, error) {
 			return &peer.RelayResponse{Incarnation: "i3"}, nil
 		},
 	} {
@@ -196,7 +196,7 @@
 		earlier.send(t.Context(), cell.Poll{Worker: "one"})
 	}
 	waitEvents(t, ow, int(ow.fl.relayIDs.Load()))
-	before := int(ow.fl.relayIDs.Load())
+	earlierOrders := int(ow.fl.relayIDs.Load())
 	later := &relayLink{rs: ow.relays, node: node{Name: "two", Incarnation: "i3"}, peer: relayPeer{call: func(rq *peer.RelayRequest) (*peer.RelayResponse, error) {
 		rp, err := call(rq)
 		mu.Lock()
@@ -211,8 +211,8 @@
 	time.Sleep(50 * time.Millisecond)
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	if got := len(ow.events); got != before {
-		t.Errorf("%d results of an earlier link were taken for those of another worker", got-before)
+	if got := len(ow.events); got != earlierOrders {
+		t.Errorf("%d results of an earlier link were taken for those of another worker", got-earlierOrders)
 	}
 }
 
--- a/fleet/workercache.go
+++ b/fleet/workercache.go
@@ -151,15 +151,15 @@
 	case rd.err != nil:
 		fl.opts.Log.Emit(event.RegistrationRejected, zap.String("worker", rd.row.Key), zap.Error(rd.err))
 		fl.metrics.registrationsRejected.Inc(1)
-		fl.withhold(name)
+		fl.markUnschedulable(name)
 	default:
 		fl.register(rd.worker)
 	}
 }
 
-// withhold stops giving new tasks to a worker whose registration can't be read any more: whoever wrote it, it names no usable
-// worker.
-func (fl *Fleet) withhold(name cell.WorkerName) {
+// markUnschedulable stops giving new tasks to a worker whose registration can't be read any more: whoever wrote it, it names no
+// usable worker.
+func (fl *Fleet) markUnschedulable(name cell.WorkerName) {
 	if wk, known := fl.workerCache.get(name); known {
 		wk.Unschedulable = true
 		fl.register(wk)
