--- a/cell/answer.go
+++ b/cell/answer.go
@@ -24,7 +24,7 @@
 	case Stop:
 		cr.stopped(now, order, od)
 	case Throttle:
-		cr.paced(now, order, od)
+		cr.throttled(now, order, od)
 	}
 }
 
--- a/cell/cell.go
+++ b/cell/cell.go
@@ -110,7 +110,7 @@
 	hearing  hearing
 	// outdated means that the cell's row names workers that are gone; tidiedAt is when such were last taken from it.
 	outdated bool
-	tidiedAt time.Time
+	prunedAt time.Time
 	// strays are the starts without an answer that the next lives of their workers may carry out.
 	strays []*stray
 	// departed are those of them whose lives have ended. What was ordered there may still be carried out by the next life.
@@ -129,20 +129,20 @@
 	shelterRoom job.Size
 	// broken are the newest breaks of workers' connections.
 	broken []breakOff
-	// yieldTo is how many machines the pool is to have while others lack some, until yieldUntil.
-	yieldTo    int
-	yieldFirm  bool
-	yieldUntil time.Time
-	run        runtimes
+	// machineLimit is how many machines the pool is to have while others lack some, until yieldUntil.
+	machineLimit      int
+	machineLimitFirm  bool
+	machineLimitUntil time.Time
+	runTimes          runTimes
 	// ledger holds what the cell may have running of organisations.
 	ledger *Ledger
 	// weights are the organisations' shares.
 	weights map[job.OrganisationID]float64
 	// shareBuckets say how many more of their jobs are within them.
 	shareBuckets map[job.OrganisationID]*tokenBucket
-	// neededSum is what the open jobs wanted at neededAt.
-	neededSum float64
-	neededAt  time.Time
+	// demand is what the open jobs wanted at neededAt.
+	demand   float64
+	demandAt time.Time
 }
 
 // saveMark remembers which state of a job a save holds.
@@ -157,7 +157,7 @@
 	return &Core{
 		opts: options.WithDefaults(), pool: pool, epoch: epoch,
 		queues: map[job.QueueID]job.Queue{}, jobs: map[job.ID]*jobState{}, workers: map[WorkerID]*worker{}, counters: map[WorkerName]*Token{},
-		unresolved: map[WorkerID]time.Time{}, departed: map[WorkerID]WorkerRef{}, vacated: map[WorkerID]bool{}, dirty: map[job.ID]*jobState{}, cordons: map[WorkerName]bool{}, grabbed: map[WorkerName]time.Time{}, plagues: map[job.QueueID]time.Time{}, run: runtimes{}, ledger: NewLedger(string(pool), epoch), shareBuckets: map[job.OrganisationID]*tokenBucket{},
+		unresolved: map[WorkerID]time.Time{}, departed: map[WorkerID]WorkerRef{}, vacated: map[WorkerID]bool{}, dirty: map[job.ID]*jobState{}, cordons: map[WorkerName]bool{}, grabbed: map[WorkerName]time.Time{}, plagues: map[job.QueueID]time.Time{}, runTimes: runTimes{}, ledger: NewLedger(string(pool), epoch), shareBuckets: map[job.OrganisationID]*tokenBucket{},
 	}
 }
 
@@ -334,7 +334,7 @@
 	if !ok {
 		return "", false
 	}
-	return js.shown(), true
+	return js.visibleState(), true
 }
 
 // Organisation returns whose job it is; empty if it is not known, or nobody's.
@@ -350,7 +350,7 @@
 func (cr *Core) Pending(queue job.QueueID) int {
 	count := 0
 	for _, js := range cr.open {
-		if js.spec.Queue == queue && !js.begun && !js.cancelled && !js.state.Ended() {
+		if js.spec.Queue == queue && !js.started && !js.cancelled && !js.state.Ended() {
 			count++
 		}
 	}
@@ -361,7 +361,7 @@
 func (cr *Core) Archivable(most int) []job.ID {
 	var ids []job.ID
 	for id, js := range cr.jobs {
-		if js.kept.Ended() && !js.archived && !js.placed() && len(ids) < most {
+		if js.savedState.Ended() && !js.archived && !js.hasPlacements() && len(ids) < most {
 			ids = append(ids, id)
 		}
 	}
--- a/cell/cell_test.go
+++ b/cell/cell_test.go
@@ -106,8 +106,8 @@
 			pl := &placement{task: job.Task{Job: "s", Index: 100*short + at}, step: &step{job: &jobState{spec: &job.Spec{Queue: "q"}}, spec: &job.Step{}}, worker: wk, phase: running}
 			wk.put(pl)
 		}
-		got := bd.core.waitFor(wk)
-		if want := min(bd.core.opts.PollWait, max(waitLeast, waitTimes*firstGuess/time.Duration(len(wk.placed)-wk.lasting))); got != want {
+		got := bd.core.lookWait(wk)
+		if want := min(bd.core.opts.PollWait, max(lookWaitMin, lookWaitFactor*defaultRunTime/time.Duration(len(wk.placed)-wk.lasting))); got != want {
 			t.Errorf("%d short tasks: the answer is waited for %v, want %v", short, got, want)
 		}
 	}
@@ -115,22 +115,22 @@
 
 // TestObjectiveGrowsWithTaskCount: the longest of many tasks takes longer than that of few, by what was learned of the queue.
 func TestObjectiveGrowsWithTaskCount(t *testing.T) {
-	rt := runtimes{}
+	rt := runTimes{}
 	spec := &job.Spec{Queue: "q"}
 	for range 200 {
 		st := &step{job: &jobState{spec: spec}, spec: &job.Step{Count: 4}, tasks: make([]taskState, 4)}
 		for _, took := range []time.Duration{600, 800, 1000, 1600} {
 			pl := &placement{acked: time.Unix(100, 0)}
-			rt.learn(st, pl, pl.acked.Add(took*time.Millisecond))
+			rt.observeTask(st, pl, pl.acked.Add(took*time.Millisecond))
 		}
-		rt.learnStep(st)
+		rt.observeStep(st)
 	}
-	known := rt.of("q")
-	if off := known.longest(4) - 1600*time.Millisecond; off.Abs() > 160*time.Millisecond {
-		t.Errorf("the longest of 4 tasks is taken for %v, it is 1.6 s", known.longest(4))
+	known := rt.get("q")
+	if off := known.longestOf(4) - 1600*time.Millisecond; off.Abs() > 160*time.Millisecond {
+		t.Errorf("the longest of 4 tasks is taken for %v, it is 1.6 s", known.longestOf(4))
 	}
-	if one, two, many := known.longest(1), known.longest(2), known.longest(16); one != known.task || one >= two || two >= many {
-		t.Errorf("the longest of 1, 2 and 16 tasks: %v, %v, %v; the mean is %v", one, two, many, known.task)
+	if one, two, many := known.longestOf(1), known.longestOf(2), known.longestOf(16); one != known.mean || one >= two || two >= many {
+		t.Errorf("the longest of 1, 2 and 16 tasks: %v, %v, %v; the mean is %v", one, two, many, known.mean)
 	}
 }
 
@@ -195,8 +195,8 @@
 			saved += len(sv.Rows)
 		}
 	}
-	if saved != 80-saveMost {
-		t.Fatalf("the second save has %d jobs, want the %d left", saved, 80-saveMost)
+	if saved != 80-maxRowsPerSave {
+		t.Fatalf("the second save has %d jobs, want the %d left", saved, 80-maxRowsPerSave)
 	}
 }
 
@@ -253,8 +253,8 @@
 		pace  int
 		worst float64
 		want  int
-	}{{100, 0.3, 100}, {100, 0.9, 50}, {50, 1.2, 0}, {0, 0.4, 10}, {50, 0.7, 50}, {paceUnknown, 0.4, paceStart}, {paceUnknown, 0, 100}} {
-		if got := nextPace(tc.pace, tc.worst); got != tc.want {
+	}{{100, 0.3, 100}, {100, 0.9, 50}, {50, 1.2, 0}, {0, 0.4, 10}, {50, 0.7, 50}, {throttleUnknown, 0.4, throttleInitial}, {throttleUnknown, 0, 100}} {
+		if got := nextThrottle(tc.pace, tc.worst); got != tc.want {
 			t.Errorf("throttle after %d at %.1f of the objective: %d, want %d", tc.pace, tc.worst, got, tc.want)
 		}
 	}
@@ -263,21 +263,21 @@
 // TestOnlySeveralFailingJobsQuarantineWorker: several jobs must fail there, and one that fails everywhere condemns nobody.
 func TestOnlySeveralFailingJobsQuarantineWorker(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	var jd judge
+	var jd failureTracker
 	for range 10 {
 		jd.failed(now, "same")
 	}
-	if jd.bad(now) {
+	if jd.ejected(now) {
 		t.Fatal("one bad job condemned a worker")
 	}
 	for _, id := range []job.ID{"a", "b"} {
 		jd.failed(now, id)
 	}
-	if !jd.bad(now) || jd.bad(now.Add(badFor)) {
+	if !jd.ejected(now) || jd.ejected(now.Add(ejectMin)) {
 		t.Fatal("failing jobs of three kinds leave a worker alone for a while")
 	}
-	jd.failed(now.Add(badFor), "d")
-	if !jd.bad(now.Add(badFor + badFor)) {
+	jd.failed(now.Add(ejectMin), "d")
+	if !jd.ejected(now.Add(ejectMin + ejectMin)) {
 		t.Fatal("a failure after the pause condemns it again, for longer")
 	}
 }
--- a/cell/crash.go
+++ b/cell/crash.go
@@ -213,7 +213,7 @@
 	if pl.settledIn(ev.seen) {
 		if ran := ev.seen.Sub(pl.acked); ran < lastingProved && ran > ts.lost.ran {
 			ts.lost.ran = ran
-			cr.change(js)
+			cr.markDirty(js)
 		}
 		return
 	}
@@ -221,7 +221,7 @@
 	if ev.strong && ev.fresh && !pl.step.spec.LongRunning {
 		cr.plague(now, js.spec.Queue)
 	}
-	cr.change(js)
+	cr.markDirty(js)
 	cr.urgentSave = true
 	if pl.step.spec.Gang {
 		// Which of its members ended the worker is not known, and they start together only.
--- a/cell/crash_test.go
+++ b/cell/crash_test.go
@@ -189,7 +189,7 @@
 // breakGangs ends the members that others of a gang had on a worker that ended.
 func (cs *crashes) breakGangs(fr *fragile) {
 	for tk := range fr.runs {
-		if st := cs.core.find(tk); st == nil || !st.spec.Gang {
+		if st := cs.core.findStep(tk); st == nil || !st.spec.Gang {
 			continue
 		}
 		for _, other := range cs.workers {
@@ -245,7 +245,7 @@
 		cs.started(fr, order)
 		cs.answerOrder(order, Done)
 	case Stop:
-		if st := cs.core.find(order.Task); st != nil && st.spec.LongRunning {
+		if st := cs.core.findStep(order.Task); st != nil && st.spec.LongRunning {
 			cs.stopped = append(cs.stopped, order.Task)
 		}
 		if fr := cs.workers[order.Worker]; fr != nil {
@@ -266,7 +266,7 @@
 			cs.again++
 		}
 	}
-	if st := cs.core.find(order.Task); st != nil && st.spec.LongRunning && !guilty {
+	if st := cs.core.findStep(order.Task); st != nil && st.spec.LongRunning && !guilty {
 		after = time.Hour
 	}
 	fr.runs[order.Task] = &fragileRun{start: order, since: cs.now, ends: cs.now.Add(after), how: EndDone, crashes: guilty}
--- a/cell/exposure_test.go
+++ b/cell/exposure_test.go
@@ -139,7 +139,7 @@
 				named = slices.ContainsFunc(en.Workers, func(rf WorkerRef) bool { return rf.ID == "gone" })
 			}
 		}
-		bd.advance(2 * tidyEvery)
+		bd.advance(2 * minPruneInterval)
 	}
 	if named {
 		t.Error("the row still names the worker after it was resolved")
--- a/cell/gang.go
+++ b/cell/gang.go
@@ -12,7 +12,7 @@
 func (cr *Core) placeGang(rd *round, st *step, waiting []int) {
 	if len(waiting) < len(st.tasks)-st.done {
 		// Members that are left from before end first; then all start again together.
-		cr.disband(rd.now, st)
+		cr.stopPartialGang(rd.now, st)
 		return
 	}
 	if !cr.mayStart(st, len(waiting)) {
@@ -21,15 +21,15 @@
 	for _, at := range waiting {
 		rd.reopen(st.tasks[at].intent)
 	}
-	for _, group := range racks(st.spec.RackLocal, rd.usable) {
+	for _, group := range rackGroups(st.spec.RackLocal, rd.usable) {
 		if cr.startGang(rd, st, waiting, group) {
 			return
 		}
 	}
 }
 
-// racks returns the groups of workers that a gang may take: each rack first where that makes it faster, then all.
-func racks(local bool, usable []*candidate) [][]*candidate {
+// rackGroups returns the groups of workers that a gang may take: each rack first where that makes it faster, then all.
+func rackGroups(local bool, usable []*candidate) [][]*candidate {
 	var groups [][]*candidate
 	if local {
 		byRack := map[string][]*candidate{}
@@ -47,18 +47,18 @@
 // startGang finds room for every member and only then starts them. It reports whether there was room.
 func (cr *Core) startGang(rd *round, st *step, waiting []int, group []*candidate) bool {
 	now := rd.now
-	trial := make([]*candidate, len(group))
+	scratch := make([]*candidate, len(group))
 	for at, cd := range group {
 		copied := *cd
-		trial[at] = &copied
+		scratch[at] = &copied
 	}
 	chosen := make([]*candidate, 0, len(waiting))
-	held := map[WorkerID]int{}
+	assigned := map[WorkerID]int{}
 	for _, at := range waiting {
 		var best *candidate
 		bestAt := -1
-		for slot, cd := range trial {
-			if !cr.allowed(now, st, cd) || !st.tasks[at].suits(now, st, cd) || st.spec.SpreadLimit > 0 && st.on(cd.worker)+held[cd.info.ID] >= st.spec.SpreadLimit {
+		for slot, cd := range scratch {
+			if !cr.feasible(now, st, cd) || !st.tasks[at].suits(now, st, cd) || st.spec.SpreadLimit > 0 && st.tasksOn(cd.worker)+assigned[cd.info.ID] >= st.spec.SpreadLimit {
 				continue
 			}
 			intended := st.tasks[at].intent != nil && st.tasks[at].intent.worker == cd.info.ID
@@ -73,7 +73,7 @@
 			return false
 		}
 		best.free = best.free.Sub(st.spec.ResourceRequest())
-		held[best.info.ID]++
+		assigned[best.info.ID]++
 		chosen = append(chosen, group[bestAt])
 	}
 	if !cr.keptGang(rd, st, waiting, chosen) {
@@ -86,7 +86,7 @@
 	point := st.gangCheckpoint()
 	for order, at := range waiting {
 		st.tasks[at].checkpoint = point
-		cr.start(now, st, at, chosen[order], attempt+1)
+		cr.startTask(now, st, at, chosen[order], attempt+1)
 	}
 	return true
 }
@@ -101,10 +101,10 @@
 	return ""
 }
 
-// disband stops the members of a gang that is not whole, once it cannot become whole any more.
-func (cr *Core) disband(now time.Time, st *step) {
+// stopPartialGang stops the members of a gang that is not whole, once it cannot become whole any more.
+func (cr *Core) stopPartialGang(now time.Time, st *step) {
 	for at := range st.tasks {
-		pl := st.tasks[at].place
+		pl := st.tasks[at].placement
 		if pl != nil && !pl.stopping && now.Sub(pl.ordered) > cr.opts.PollWait {
 			pl.stopping, pl.why = true, "its gang is not whole"
 		}
--- a/cell/intent.go
+++ b/cell/intent.go
@@ -66,7 +66,7 @@
 
 // intend has it kept that a task is to be started on a worker.
 func (cr *Core) intend(now time.Time, st *step, at int, cd *candidate) {
-	cr.change(st.job)
+	cr.markDirty(st.job)
 	// What is not known to have lost a worker shares a save with the ends of others: there are many of them after a takeover.
 	ts := &st.tasks[at]
 	cr.urgentSave = cr.urgentSave || ts.lost.total()+len(ts.lost.open) > 0
@@ -87,7 +87,7 @@
 	var cd *candidate
 	for _, at := range members {
 		ts := &st.tasks[at]
-		if ts.place != nil || ts.intent != nil || ts.lost.total()+len(ts.lost.open) > 0 || !cr.cautious(st.job, ts) {
+		if ts.placement != nil || ts.intent != nil || ts.lost.total()+len(ts.lost.open) > 0 || !cr.cautious(st.job, ts) {
 			continue
 		}
 		// The tasks of a step stay together, so that its job's row names few workers.
@@ -99,13 +99,13 @@
 		}
 		cr.intend(rd.now, st, at, cd)
 		ts.intent.ahead = true
-		cd.ahead = cd.ahead.Add(st.spec.ResourceRequest())
+		cd.plannedRoom = cd.plannedRoom.Add(st.spec.ResourceRequest())
 	}
 }
 
 // fitsAhead reports whether one more task of a step may be planned ahead for a worker.
 func (cd *candidate) fitsAhead(st *job.Step) bool {
-	return cd.ahead.Add(st.ResourceRequest()).Mul(aheadShare).Fits(cd.info.Room)
+	return cd.plannedRoom.Add(st.ResourceRequest()).Mul(aheadShare).Fits(cd.info.Room)
 }
 
 // leastAhead is the worker for which the least is planned ahead of those that may run one more task of a step; nil if there is none.
@@ -116,7 +116,7 @@
 		if sp.Label != "" && !hasLabel(cd.info.Labels, sp.Label) || sp.DataRack != "" && cd.info.Rack != sp.DataRack || sp.SpreadLimit > 0 {
 			continue
 		}
-		if cd.fitsAhead(sp) && (best == nil || cd.ahead.CPUMillis < best.ahead.CPUMillis) {
+		if cd.fitsAhead(sp) && (best == nil || cd.plannedRoom.CPUMillis < best.plannedRoom.CPUMillis) {
 			best = cd
 		}
 	}
@@ -136,7 +136,7 @@
 func (cr *Core) drop(st *step, at int) {
 	if st.tasks[at].intent != nil {
 		cr.forgo(&st.tasks[at])
-		cr.change(st.job)
+		cr.markDirty(st.job)
 	}
 }
 
@@ -150,7 +150,7 @@
 		in.held, in.took = false, job.Size{}
 		if in.ahead {
 			if cd := rd.candidate(in.worker); cd != nil {
-				cd.ahead = cd.ahead.Add(in.step.spec.ResourceRequest())
+				cd.plannedRoom = cd.plannedRoom.Add(in.step.spec.ResourceRequest())
 			}
 			continue
 		}
@@ -202,7 +202,7 @@
 	if in := ts.intent; in != nil {
 		rd.reopen(in)
 		cd := rd.candidate(in.worker)
-		if cd != nil && cr.allowed(rd.now, st, cd) && ts.suits(rd.now, st, cd) {
+		if cd != nil && cr.feasible(rd.now, st, cd) && ts.suits(rd.now, st, cd) {
 			return cd
 		}
 		if cd != nil && in.ahead && rd.now.Sub(in.since) < aheadFor {
@@ -211,7 +211,7 @@
 		}
 		cr.drop(st, at)
 	}
-	return cr.choose(rd.now, st, at, rd.usable)
+	return cr.bestCandidate(rd.now, st, at, rd.usable)
 }
 
 // keptGang reports whether all members of a gang may be started on the workers chosen; if that is to be kept first, it sees to it.
--- a/cell/keep.go
+++ b/cell/keep.go
@@ -34,7 +34,7 @@
 			bits.Set(at)
 			continue
 		}
-		key := job.TaskKey(job.Task{Run: st.run, Step: st.at, Index: at})
+		key := job.TaskKey(job.Task{Run: st.run, Step: st.index, Index: at})
 		if len(ts.failed) > 0 {
 			if pg.FailedAttempts == nil {
 				pg.FailedAttempts = map[string][]string{}
@@ -59,13 +59,13 @@
 		if pg.DoneTasks == nil {
 			pg.DoneTasks = map[string]job.Bitset{}
 		}
-		pg.DoneTasks[job.StepKey(st.run, st.at)] = bits
+		pg.DoneTasks[job.StepKey(st.run, st.index)] = bits
 	}
 }
 
 // keepOpen adds the workers on which a next owner may find a task gone.
 func (st *step) keepOpen(pg *job.Progress, at int) {
-	key := job.StepKey(st.run, st.at)
+	key := job.StepKey(st.run, st.index)
 	for _, id := range st.tasks[at].left().open {
 		if pg.Unresolved == nil {
 			pg.Unresolved = map[string]map[string]job.Bitset{}
@@ -83,13 +83,13 @@
 
 // restoreOpen takes the workers of which it is not known what became of tasks there.
 func (st *step) restoreOpen(pg *job.Progress) {
-	key := job.StepKey(st.run, st.at)
+	key := job.StepKey(st.run, st.index)
 	for _, id := range slices.Sorted(maps.Keys(pg.Unresolved)) {
 		bits := pg.Unresolved[id][key]
 		for at := range st.tasks {
 			if bits.Has(at) {
 				st.tasks[at].lost.leave(WorkerID(id))
-				st.job.abandoned = true
+				st.job.hasOpenLosses = true
 			}
 		}
 	}
--- a/cell/left.go
+++ b/cell/left.go
@@ -23,14 +23,14 @@
 
 // chargeOn charges a task that is not placed here with the end of a worker.
 func (cr *Core) chargeOn(now time.Time, st *step, at int, id WorkerID, ev evidence) {
-	tk := job.Task{Job: st.job.spec.ID, Run: st.run, Step: st.at, Index: at}
+	tk := job.Task{Job: st.job.spec.ID, Run: st.run, Step: st.index, Index: at}
 	cr.charge(now, &placement{task: tk, step: st, worker: &worker{info: Worker{ID: id}}, attempt: st.tasks[at].attempt}, ev)
 }
 
 // openOn goes through the tasks of a job of which it is not known what became of an attempt on a worker.
 func (js *jobState) openOn(id WorkerID) iter.Seq2[*step, int] {
 	return func(yield func(*step, int) bool) {
-		if !js.abandoned {
+		if !js.hasOpenLosses {
 			return
 		}
 		for _, rn := range js.runs {
@@ -50,7 +50,7 @@
 	for _, js := range cr.open {
 		for st, at := range js.openOn(id) {
 			st.tasks[at].lost.close(id)
-			cr.change(js)
+			cr.markDirty(js)
 		}
 	}
 }
@@ -64,7 +64,7 @@
 					// One that no owner names any more is one whose end was kept as far as it concerned the job.
 					if wk := cr.workers[id]; wk == nil || wk.fenced && wk.fails == 0 {
 						st.tasks[at].lost.close(id)
-						cr.change(js)
+						cr.markDirty(js)
 					}
 				}
 			}
@@ -91,7 +91,7 @@
 		return
 	}
 	for _, pl := range wk.placed {
-		cr.change(pl.step.job)
+		cr.markDirty(pl.step.job)
 	}
 	cr.urgentSave = true
 }
@@ -102,7 +102,7 @@
 	if in := ts.intent; in != nil {
 		lo.leave(in.worker)
 	}
-	if pl := ts.place; pl != nil && (pl.noted || pl.trial || pl.worker.fails >= leftAfter && pl.worker.abrupt) {
+	if pl := ts.placement; pl != nil && (pl.noted || pl.trial || pl.worker.fails >= leftAfter && pl.worker.abrupt) {
 		lo.leave(pl.worker.info.ID)
 	}
 	return lo
--- a/cell/life.go
+++ b/cell/life.go
@@ -128,7 +128,7 @@
 		if sy.name != name || sy.token >= seen {
 			return false
 		}
-		sy.task.stray, sy.job.settled = nil, false
+		sy.task.stray, sy.job.fullyPlaced = nil, false
 		cr.outdated = true
 		return true
 	})
@@ -157,7 +157,7 @@
 			return false
 		}
 		if sy.task.stray == sy {
-			sy.task.stray, sy.job.settled = nil, false
+			sy.task.stray, sy.job.fullyPlaced = nil, false
 		}
 		cr.outdated = true
 		return true
--- a/cell/load.go
+++ b/cell/load.go
@@ -22,46 +22,46 @@
 	Pool job.PoolID `json:"pool"`
 	// Epoch is that of the owner who tells it.
 	Epoch job.Epoch `json:"epoch,omitempty"`
-	// Lasting is taken by tasks that last, Placed by all tasks.
-	Lasting float64 `json:"lasting"`
-	Placed  float64 `json:"placed"`
-	// Needed is what would end all open jobs by their objectives.
-	Needed float64 `json:"needed"`
-	// Pressing is the part of it for jobs that can still be in time, and for tasks that last.
-	Pressing float64 `json:"pressing,omitempty"`
-	// Least is how many workers the spread limits of open steps want.
-	Least int `json:"least,omitempty"`
+	// LongRunning is taken by tasks that last, Placed by all tasks.
+	LongRunning float64 `json:"lasting"`
+	Placed      float64 `json:"placed"`
+	// Demand is what would end all open jobs by their objectives.
+	Demand float64 `json:"needed"`
+	// UrgentDemand is the part of it for jobs that can still be in time, and for tasks that last.
+	UrgentDemand float64 `json:"pressing,omitempty"`
+	// MinWorkers is how many workers the spread limits of open steps want.
+	MinWorkers int `json:"least,omitempty"`
 	// Slack is the time that the jobs of the queue with the shortest objective can wait.
 	Slack   time.Duration `json:"slack"`
 	Workers []WorkerLoad  `json:"workers,omitempty"`
-	// Full are the queues whose jobs cannot be served at this time, with when callers are to come back.
-	Full map[job.QueueID]time.Duration `json:"full,omitempty"`
-	Open int                           `json:"open"`
-	// Clear are the wanted workers on which nothing runs any more, and nothing will be started; whoever knows what is wanted adds them.
-	Clear []WorkerName `json:"clear,omitempty"`
+	// FullQueues are the queues whose jobs cannot be served at this time, with when callers are to come back.
+	FullQueues map[job.QueueID]time.Duration `json:"full,omitempty"`
+	OpenJobs   int                           `json:"open"`
+	// Drained are the wanted workers on which nothing runs any more, and nothing will be started; whoever knows what is wanted adds them.
+	Drained []WorkerName `json:"clear,omitempty"`
 }
 
 // Windows within which the work of jobs is to be done, for the size of the pool.
 const (
-	// windowLeast bounds the window of a job that is nearly due.
-	windowLeast = 800 * time.Millisecond
-	// windowShare is the part of a job's spare time that is used up before more machines are wanted. All of it would keep every
+	// demandWindowMin bounds the window of a job that is nearly due.
+	demandWindowMin = 800 * time.Millisecond
+	// demandWindowShare is the part of a job's spare time that is used up before more machines are wanted. All of it would keep every
 	// job waiting until the last moment.
-	windowShare = 0.25
-	// windowOverdue is the time within which a job of no worth any more is to end.
-	windowOverdue = 8 * time.Second
+	demandWindowShare = 0.25
+	// demandWindowExpired is the time within which a job of no worth any more is to end.
+	demandWindowExpired = 8 * time.Second
 )
 
 // Load returns what the cell has to do.
 func (cr *Core) Load(now time.Time) Load {
-	ld := Load{Pool: cr.pool, Epoch: cr.epoch, Open: len(cr.open), Slack: cr.leastSlack()}
+	ld := Load{Pool: cr.pool, Epoch: cr.epoch, OpenJobs: len(cr.open), Slack: cr.minSlack()}
 	unit := cr.unit()
 	for _, wk := range cr.list {
 		for _, pl := range wk.placed {
-			part := unit.part(pl.room)
+			part := unit.shareOf(pl.room)
 			ld.Placed += part
 			if pl.step.spec.LongRunning {
-				ld.Lasting += part
+				ld.LongRunning += part
 			}
 		}
 		if !wk.listed || cr.cordoned(now, wk) {
@@ -73,25 +73,25 @@
 		}
 		ld.Workers = append(ld.Workers, load)
 	}
-	ld.Full = cr.full(now, unit)
+	ld.FullQueues = cr.fullQueues(now, unit)
 	for _, js := range cr.open {
 		if !js.ended() && !cr.paused[js.spec.Queue] {
-			needed := cr.needed(now, js, unit)
-			ld.Needed += needed
+			needed := cr.jobDemand(now, js, unit)
+			ld.Demand += needed
 			if js.spec.Steps[0].LongRunning || cr.laxity(now, js) >= 0 {
-				ld.Pressing += needed
+				ld.UrgentDemand += needed
 			}
-			ld.Least = max(ld.Least, js.least())
+			ld.MinWorkers = max(ld.MinWorkers, js.minWorkers())
 		}
 	}
 	return ld
 }
 
-// size is a machine's, as the unit of loads.
-type size job.Size
+// machineSize is a machine's, as the unit of loads.
+type machineSize job.Size
 
 // unit is the mean size of the cell's workers.
-func (cr *Core) unit() size {
+func (cr *Core) unit() machineSize {
 	var sum job.Size
 	count := 0
 	for _, wk := range cr.list {
@@ -100,24 +100,24 @@
 		}
 	}
 	if count == 0 {
-		return size{}
+		return machineSize{}
 	}
-	return size{sum.CPUMillis / count, sum.MemoryMB / count, sum.Accelerators / count}
+	return machineSize{sum.CPUMillis / count, sum.MemoryMB / count, sum.Accelerators / count}
 }
 
-// part is the share of a machine that a room takes of its scarcest resource.
-func (sz size) part(room job.Size) float64 {
-	return max(share(room.CPUMillis, sz.CPUMillis), share(room.MemoryMB, sz.MemoryMB), share(room.Accelerators, sz.Accelerators))
+// shareOf is the share of a machine that a room takes of its scarcest resource.
+func (sz machineSize) shareOf(room job.Size) float64 {
+	return max(fraction(room.CPUMillis, sz.CPUMillis), fraction(room.MemoryMB, sz.MemoryMB), fraction(room.Accelerators, sz.Accelerators))
 }
 
-// needed is how many machines would end a job by its objective.
-func (cr *Core) needed(now time.Time, js *jobState, unit size) float64 {
-	known := cr.run.of(js.spec.Queue)
-	mean := known.task.Seconds()
+// jobDemand is how many machines would end a job by its objective.
+func (cr *Core) jobDemand(now time.Time, js *jobState, unit machineSize) float64 {
+	known := cr.runTimes.get(js.spec.Queue)
+	mean := known.mean.Seconds()
 	sum, work := 0.0, 0.0
 	for at := range js.spec.Steps {
 		sp := &js.spec.Steps[at]
-		part := unit.part(sp.ResourceRequest())
+		part := unit.shareOf(sp.ResourceRequest())
 		if sp.LongRunning {
 			sum += part * float64(sp.Count)
 			continue
@@ -131,24 +131,24 @@
 	if work > 0 && cr.plagued(now, js.spec.Queue) {
 		sum += turnTime.Seconds() / turnWithin.Seconds()
 	}
-	chain := time.Duration(max(1, js.stepsLeft)) * known.task
-	return sum + work/max(windowLeast, chain+cr.leisure(now, js)).Seconds()
+	chain := time.Duration(max(1, js.criticalStepsLeft)) * known.mean
+	return sum + work/max(demandWindowMin, chain+cr.demandWindow(now, js)).Seconds()
 }
 
-// leisure is how much of its waiting time a job may use up. A late job may use what is left until it is of no worth; one of no worth presses
+// demandWindow is how much of its waiting time a job may use up. A late job may use what is left until it is of no worth; one of no worth presses
 // least, since machines that end it soon are taken from jobs that can still be in time.
-func (cr *Core) leisure(now time.Time, js *jobState) time.Duration {
+func (cr *Core) demandWindow(now time.Time, js *jobState) time.Duration {
 	if left := cr.laxity(now, js); left >= 0 {
-		return time.Duration(windowShare * float64(left))
+		return time.Duration(demandWindowShare * float64(left))
 	}
-	if left := cr.worth(now, js); left >= 0 {
-		return time.Duration(windowShare * float64(left))
+	if left := cr.expiryLaxity(now, js); left >= 0 {
+		return time.Duration(demandWindowShare * float64(left))
 	}
-	return windowOverdue
+	return demandWindowExpired
 }
 
-// least is how many workers the spread limits of a job's steps that are not done want.
-func (js *jobState) least() int {
+// minWorkers is how many workers the spread limits of a job's steps that are not done want.
+func (js *jobState) minWorkers() int {
 	most := 0
 	rn := js.runs[max(0, js.nextRun-1)]
 	for at := range js.spec.Steps {
@@ -163,15 +163,15 @@
 // typicalTasks is the number of tasks of a step by which the slack of a queue's jobs is judged.
 const typicalTasks = 8
 
-// leastSlack is how long the jobs of the hastiest queue with open or past jobs can wait.
-func (cr *Core) leastSlack() time.Duration {
+// minSlack is how long the jobs of the hastiest queue with open or past jobs can wait.
+func (cr *Core) minSlack() time.Duration {
 	least := time.Duration(0)
-	for id, known := range cr.run {
+	for id, known := range cr.runTimes {
 		qu, ok := cr.queues[id]
 		if !ok {
 			continue
 		}
-		slack := time.Duration((qu.Stretch-1)*float64(known.longest(typicalTasks))) + qu.Slack
+		slack := time.Duration((qu.Stretch-1)*float64(known.longestOf(typicalTasks))) + qu.Slack
 		if least == 0 || slack < least {
 			least = slack
 		}
--- a/cell/look.go
+++ b/cell/look.go
@@ -124,7 +124,7 @@
 		pl.acked = now
 	}
 	cr.proved(pl, wk.livedAt)
-	cr.paceOf(pl, wk.lookedAt, rn.Progress)
+	cr.recordProgress(pl, wk.lookedAt, rn.Progress)
 	pl.progress = rn.Progress
 	pl.figure = rn.Metric
 	if rn.Checkpoint != "" {
@@ -134,12 +134,12 @@
 
 // adopt takes over an attempt that an earlier owner started, or returns nil if the task has no use for it.
 func (cr *Core) adopt(now time.Time, wk *worker, rn Running) *placement {
-	st := cr.find(rn.Task)
+	st := cr.findStep(rn.Task)
 	if st == nil || st.job.ended() {
 		return nil
 	}
 	ts := &st.tasks[rn.Task.Index]
-	if ts.done || ts.place != nil {
+	if ts.done || ts.placement != nil {
 		return nil
 	}
 	ts.attempt = max(ts.attempt, rn.Attempt)
@@ -148,11 +148,11 @@
 	ts.lost.close(wk.info.ID)
 	if st.spec.BestEffort {
 		// How far an earlier owner throttled it is not known.
-		pl.pace = paceUnknown
+		pl.pace = throttleUnknown
 	}
-	ts.place = pl
+	ts.placement = pl
 	wk.put(pl)
-	st.job.begun = true
+	st.job.started = true
 	return pl
 }
 
@@ -164,8 +164,8 @@
 		}
 		wk.read = en.Number
 		he := heldEnd{number: en.Number, end: en}
-		if st := cr.find(en.Task); st != nil {
-			cr.ended(now, wk, st, en)
+		if st := cr.findStep(en.Task); st != nil {
+			cr.handleEnd(now, wk, st, en)
 			he.js, he.gen = st.job, st.job.gen
 		} else if js := cr.jobs[en.Task.Job]; js != nil {
 			// Its run is over already, which is to be kept first.
--- a/cell/model_check_test.go
+++ b/cell/model_check_test.go
@@ -81,12 +81,12 @@
 		for _, st := range rn.steps {
 			for at := range st.tasks {
 				ts := &st.tasks[at]
-				md.note("step %d %+v task %d done %t attempt %d lost %+v intent %+v placed %+v", st.at, *st.spec, at, ts.done, ts.attempt, ts.lost, ts.intent, ts.place)
+				md.note("step %d %+v task %d done %t attempt %d lost %+v intent %+v placed %+v", st.index, *st.spec, at, ts.done, ts.attempt, ts.lost, ts.intent, ts.placement)
 			}
 		}
 	}
 	for id, wk := range cr.workers {
-		md.note("%s listed %t fenced %t enlisted %t fails %d taken %+v unwell %t bad %t", id, wk.listed, wk.fenced, wk.enlisted, wk.fails, wk.used, md.now.Before(wk.unwellUntil), wk.judge.bad(md.now))
+		md.note("%s listed %t fenced %t enlisted %t fails %d taken %+v unwell %t bad %t", id, wk.listed, wk.fenced, wk.enlisted, wk.fails, wk.used, md.now.Before(wk.unwellUntil), wk.failures.ejected(md.now))
 	}
 }
 
--- a/cell/organisation.go
+++ b/cell/organisation.go
@@ -64,7 +64,7 @@
 func (cr *Core) demandByOrganisation() map[job.OrganisationID]Demand {
 	waiting := map[job.OrganisationID]Demand{}
 	for _, js := range cr.open {
-		if id := js.spec.Organisation; id != "" && !js.ended() && !js.settled && !cr.paused[js.spec.Queue] {
+		if id := js.spec.Organisation; id != "" && !js.ended() && !js.fullyPlaced && !cr.paused[js.spec.Queue] {
 			waiting[id] = js.addDemand(waiting[id])
 		}
 	}
@@ -74,7 +74,7 @@
 // addDemand adds a job's tasks whose turn has come and that are not placed.
 func (js *jobState) addDemand(dm Demand) Demand {
 	if len(js.runs) == 0 && !js.spec.HasSchedule() {
-		js.begin(0)
+		js.openRun(0)
 	}
 	for _, rn := range js.runs {
 		for _, st := range rn.steps {
@@ -90,7 +90,7 @@
 func (dm Demand) addStep(st *step) Demand {
 	count := 0
 	for at := range st.tasks {
-		if ts := &st.tasks[at]; !ts.done && ts.place == nil {
+		if ts := &st.tasks[at]; !ts.done && ts.placement == nil {
 			count++
 		}
 	}
@@ -141,11 +141,11 @@
 	for id, dm := range cr.demandByOrganisation() {
 		load(id).AtLimit = dm.Unit != job.Size{} && !cr.ledger.AllowsTask(id, dm.Unit)
 	}
-	for _, js := range cr.waiting(now) {
+	for _, js := range cr.pendingJobs(now) {
 		if id := js.spec.Organisation; id != "" {
 			ol := load(id)
 			ol.Waiting++
-			ol.Oldest = max(ol.Oldest, now.Sub(js.seen))
+			ol.Oldest = max(ol.Oldest, now.Sub(js.loadedAt))
 		}
 	}
 	list := make([]OrganisationLoad, 0, len(found))
--- a/cell/place.go
+++ b/cell/place.go
@@ -16,21 +16,21 @@
 	weightRemote = 10.0
 	// weightAvoid keeps a task from where it failed.
 	weightAvoid = 100.0
-	// weightLasting keeps tasks that last together, so that the other machines can be lent to other pools.
-	weightLasting = 20.0
-	// weightRack keeps more than half of a lasting step out of one rack.
-	weightRack = 40.0
-	// weightMix keeps tasks that take what is left from those that serve.
-	weightMix = 50.0
+	// weightLongRunning keeps tasks that last together, so that the other machines can be lent to other pools.
+	weightLongRunning = 20.0
+	// weightRackSpread keeps more than half of a lasting step out of one rack.
+	weightRackSpread = 40.0
+	// weightColocation keeps tasks that take what is left from those that serve.
+	weightColocation = 50.0
 )
 
-// place starts tasks, the most pressing jobs first.
-func (cr *Core) place(now time.Time) {
+// placeTasks starts tasks, the most pressing jobs first.
+func (cr *Core) placeTasks(now time.Time) {
 	if !cr.window.open() {
 		// The next answer brings the next round; until then nothing is sorted.
 		return
 	}
-	waiting := cr.waiting(now)
+	waiting := cr.pendingJobs(now)
 	if len(waiting) == 0 {
 		return
 	}
@@ -38,18 +38,18 @@
 	if len(rd.usable) == 0 {
 		return
 	}
-	sorted := cr.sorted(now, waiting, len(rd.usable))
+	sorted := cr.sortJobs(now, waiting, len(rd.usable))
 	cr.placeJobs(rd, sorted)
-	if rd.untried && len(rd.full) == 0 {
+	if rd.trialsDeferred && len(rd.noRoomFor) == 0 {
 		// Nothing else waits for room.
-		rd.spare = true
+		rd.trialLimitRaised = true
 		cr.placeJobs(rd, sorted)
 	}
 }
 
 func (cr *Core) placeJobs(rd *round, jobs []*jobState) {
 	for _, js := range jobs {
-		if js.carried && len(cr.unresolved) > 0 {
+		if js.inherited && len(cr.unresolved) > 0 {
 			continue
 		}
 		if !cr.window.open() {
@@ -59,70 +59,70 @@
 	}
 }
 
-// waiting lists the open jobs some of whose tasks may have to be started.
-func (cr *Core) waiting(now time.Time) []*jobState {
+// pendingJobs lists the open jobs some of whose tasks may have to be started.
+func (cr *Core) pendingJobs(now time.Time) []*jobState {
 	var list []*jobState
 	for _, js := range cr.open {
-		if !js.ended() && !cr.paused[js.spec.Queue] && (!js.settled || js.spec.HasSchedule() && js.nextRun < js.spec.RunCount()) {
+		if !js.ended() && !cr.paused[js.spec.Queue] && (!js.fullyPlaced || js.spec.HasSchedule() && js.nextRun < js.spec.RunCount()) {
 			list = append(list, js)
 		}
 	}
 	return list
 }
 
-// Pressed reports whether tasks of a job wait to be started.
-func (cr *Core) Pressed(now time.Time) bool { return len(cr.waiting(now)) > 0 }
+// HasPending reports whether tasks of a job wait to be started.
+func (cr *Core) HasPending(now time.Time) bool { return len(cr.pendingJobs(now)) > 0 }
 
 // placeJob starts the tasks of a job that wait, as far as there is room. A job all of whose tasks that can start have been started is
 // settled until something of it ends.
 func (cr *Core) placeJob(rd *round, js *jobState) {
 	settled := true
-	for _, rn := range cr.due(rd.now, js) {
+	for _, rn := range cr.dueRuns(rd.now, js) {
 		for _, st := range rn.steps {
 			if st.done < len(st.tasks) && rn.ready(st) && !cr.placeStep(rd, st) {
 				settled = false
 			}
 		}
 	}
-	js.settled = settled
+	js.fullyPlaced = settled
 }
 
 // candidate is a worker that takes tasks, with its room at this moment.
 type candidate struct {
 	*worker
 	free job.Size
-	// untold means that its registration is too old to count on all of its room.
-	untold bool
-	// ahead is the room of what is to be started there once there is some.
-	ahead job.Size
-	// newcomers are the tasks that were started there just now, where some queue crashes workers.
-	newcomers newcomers
-	// only is the job whose suspects have the worker to themselves; nil for none.
-	only *jobState
-	// shelter means that it is for tasks that last, given that its machine is wanted elsewhere: tasks of queues that crash workers stay away.
-	shelter, given bool
+	// roomUncertain means that its registration is too old to count on all of its room.
+	roomUncertain bool
+	// plannedRoom is the room of what is to be started there once there is some.
+	plannedRoom job.Size
+	// recent are the tasks that were started there just now, where some queue crashes workers.
+	recent newcomers
+	// exclusiveTo is the job whose suspects have the worker to themselves; nil for none.
+	exclusiveTo *jobState
+	// longRunningOnly means that it is for tasks that last, toRelease that its machine is wanted elsewhere: tasks of queues that crash workers stay away.
+	longRunningOnly, toRelease bool
 }
 
 // round is what one pass of placing knows.
 type round struct {
 	now    time.Time
 	usable []*candidate
-	// full holds rooms for which no worker has enough left, whatever else a task asks for.
-	full []job.Size
-	// lowest is the lowest priority of what runs, once it is known; preempted counts the steps for which tasks were to be stopped.
-	lowest      int
-	lowestKnown bool
-	preempted   int
+	// noRoomFor holds rooms for which no worker has enough left, whatever else a task asks for.
+	noRoomFor []job.Size
+	// lowestPriority is the lowestPriority priority of what runs, once it is known; preempted counts the steps for which tasks were to be stopped.
+	lowestPriority  int
+	lowestKnown     bool
+	preemptingSteps int
 	// reserved counts the workers that are kept for tasks that last.
 	reserved int
 	// trials counts the workers that suspects have to themselves, untried tells that some were left waiting by their bound, spare that it is
 	// the higher one.
-	trials         int
-	untried, spare bool
-	// taken counts those that they had before the round.
-	taken int
+	trials                           int
+	trialsDeferred, trialLimitRaised bool
+	// trialsBefore counts those that they had before the round.
+	trialsBefore int
 	// free and room are the sums of the usable workers.
-	free, room size
+	free, room machineSize
 	// byID finds the usable workers by name, once it is asked for.
 	byID map[WorkerID]*candidate
 }
@@ -130,20 +130,20 @@
 // newRound looks at the workers that may get tasks now.
 func (cr *Core) newRound(now time.Time) *round {
 	taken := cr.trials()
-	rd := &round{now: now, usable: cr.usable(now), trials: taken, taken: taken}
+	rd := &round{now: now, usable: cr.usable(now), trials: taken, trialsBefore: taken}
 	for _, cd := range rd.usable {
 		// A room that has shrunk below what runs in it takes nothing from the others.
-		rd.free = size(job.Size(rd.free).Add(cd.free.NonNegative()))
-		rd.room = size(job.Size(rd.room).Add(cd.info.Room))
+		rd.free = machineSize(job.Size(rd.free).Add(cd.free.NonNegative()))
+		rd.room = machineSize(job.Size(rd.room).Add(cd.info.Room))
 	}
 	cr.findNewcomers(rd)
 	cr.holdIntents(rd)
 	return rd
 }
 
-// hopeless reports whether no worker can have room for a task.
-func (rd *round) hopeless(room job.Size) bool {
-	for _, sz := range rd.full {
+// cannotFit reports whether no worker can have room for a task.
+func (rd *round) cannotFit(room job.Size) bool {
+	for _, sz := range rd.noRoomFor {
 		if sz.Fits(room) {
 			return true
 		}
@@ -151,21 +151,21 @@
 	return false
 }
 
-// filled notes that no worker has room for a task, if that is why none was chosen.
-func (rd *round) filled(room job.Size) {
+// recordNoRoom notes that no worker has room for a task, if that is why none was chosen.
+func (rd *round) recordNoRoom(room job.Size) {
 	for _, cd := range rd.usable {
 		if room.Fits(cd.free) {
 			return
 		}
 	}
-	rd.full = append(rd.full, room)
+	rd.noRoomFor = append(rd.noRoomFor, room)
 }
 
 // usable lists the workers that may get tasks now.
 func (cr *Core) usable(now time.Time) []*candidate {
 	var list []*candidate
 	for _, wk := range cr.list {
-		if !cr.takes(now, wk) {
+		if !cr.acceptsTasks(now, wk) {
 			continue
 		}
 		if len(wk.foreign) > 0 {
@@ -173,19 +173,19 @@
 			continue
 		}
 		room := cr.roomOf(now, wk)
-		list = append(list, &candidate{worker: wk, free: room.Sub(wk.used), untold: room != wk.info.Room})
+		list = append(list, &candidate{worker: wk, free: room.Sub(wk.used), roomUncertain: room != wk.info.Room})
 	}
-	return dropSlow(now, list)
+	return withoutSlow(now, list)
 }
 
-// takes reports whether a worker may get new tasks.
-func (cr *Core) takes(now time.Time, wk *worker) bool {
+// acceptsTasks reports whether a worker may get new tasks.
+func (cr *Core) acceptsTasks(now time.Time, wk *worker) bool {
 	switch {
 	case cr.leaves(now, wk) || cr.cordoned(now, wk) || wk.info.Unschedulable:
 		return false
 	case !wk.fenced || !wk.enlisted || wk.clockAt.IsZero() || wk.fails > 0 || wk.doubtful:
 		return false
-	case now.Before(wk.unwellUntil) || wk.judge.bad(now) || wk.onTrial():
+	case now.Before(wk.unwellUntil) || wk.failures.ejected(now) || wk.onTrial():
 		return false
 	case !wk.listed:
 		return now.Sub(wk.unlistedAt) < unlistedFor && now.Sub(wk.lookedAt) < freshLook
@@ -193,10 +193,10 @@
 	return true
 }
 
-// due returns the runs of a job whose time has come, in order.
-func (cr *Core) due(now time.Time, js *jobState) []*run {
-	if !js.spec.HasSchedule() && js.only != nil && !js.runsDone.Has(0) {
-		return js.only
+// dueRuns returns the runs of a job whose time has come, in order.
+func (cr *Core) dueRuns(now time.Time, js *jobState) []*run {
+	if !js.spec.HasSchedule() && js.singleRun != nil && !js.runsDone.Has(0) {
+		return js.singleRun
 	}
 	for js.nextRun < js.spec.RunCount() {
 		if at := js.dueAt(js.nextRun); !at.IsZero() && at.After(now) {
@@ -204,14 +204,14 @@
 			break
 		}
 		if !js.runsDone.Has(js.nextRun) {
-			js.begin(js.nextRun)
+			js.openRun(js.nextRun)
 		}
 		js.nextRun++
 	}
 	var runs []*run
 	for at, rn := range js.runs {
 		if js.runsDone.Has(at) {
-			if !js.placed() {
+			if !js.hasPlacements() {
 				delete(js.runs, at)
 			}
 			continue
@@ -222,7 +222,7 @@
 	}
 	slices.SortFunc(runs, func(one, other *run) int { return cmp.Compare(one.steps[0].run, other.steps[0].run) })
 	if !js.spec.HasSchedule() {
-		js.only = runs
+		js.singleRun = runs
 	}
 	return runs
 }
@@ -234,7 +234,7 @@
 	held, intended := false, false
 	for at := range st.tasks {
 		ts := &st.tasks[at]
-		if ts.done || ts.place != nil {
+		if ts.done || ts.placement != nil {
 			continue
 		}
 		intended = intended || ts.intent != nil
@@ -269,17 +269,17 @@
 	if !cr.mayStart(st, 1) {
 		return false
 	}
-	if st.since.IsZero() {
-		st.since = now
+	if st.waitingSince.IsZero() {
+		st.waitingSince = now
 	}
-	if !intended && rd.hopeless(room) {
+	if !intended && rd.cannotFit(room) {
 		cr.intendAhead(rd, st, waiting)
 		cr.preempt(rd, st, len(waiting))
 		cr.reserve(rd, st, len(waiting))
 		cr.empty(rd, st, len(suspects))
 		return false
 	}
-	if cr.queues[st.job.spec.Queue].Advice != nil && !cr.advised(now, st, rd.usable) {
+	if cr.queues[st.job.spec.Queue].Advice != nil && !cr.ensureTickets(now, st, rd.usable) {
 		return false
 	}
 	if st.spec.Gang {
@@ -289,7 +289,7 @@
 	held = !cr.placeSuspects(rd, st, suspects) || held
 	without := 0
 	for _, at := range waiting {
-		if !cr.window.open() || cr.yields(rd, st.job) || !cr.mayStart(st, 1) {
+		if !cr.window.open() || cr.deferred(rd, st.job) || !cr.mayStart(st, 1) {
 			return false
 		}
 		if without > 0 && st.tasks[at].intent == nil {
@@ -307,26 +307,26 @@
 			held = true
 			continue
 		}
-		cr.start(now, st, at, cd, st.tasks[at].attempt+1)
-		rd.free = size(job.Size(rd.free).Sub(room))
+		cr.startTask(now, st, at, cd, st.tasks[at].attempt+1)
+		rd.free = machineSize(job.Size(rd.free).Sub(room))
 	}
 	if without > 0 {
-		rd.filled(room)
+		rd.recordNoRoom(room)
 		cr.intendAhead(rd, st, waiting)
 		cr.preempt(rd, st, without)
 		cr.reserve(rd, st, without)
 		return false
 	}
-	st.since = time.Time{}
+	st.waitingSince = time.Time{}
 	return !held
 }
 
-// choose returns the best worker for a task, nil if none has room.
-func (cr *Core) choose(now time.Time, st *step, at int, usable []*candidate) *candidate {
+// bestCandidate returns the best worker for a task, nil if none has room.
+func (cr *Core) bestCandidate(now time.Time, st *step, at int, usable []*candidate) *candidate {
 	var best *candidate
 	var bestCost float64
 	for _, cd := range usable {
-		if !cr.allowed(now, st, cd) || !st.tasks[at].suits(now, st, cd) {
+		if !cr.feasible(now, st, cd) || !st.tasks[at].suits(now, st, cd) {
 			continue
 		}
 		if cost := cr.cost(st, at, cd); best == nil || cost < bestCost {
@@ -336,16 +336,16 @@
 	return best
 }
 
-// allowed reports whether a worker may run a task of the step.
-func (cr *Core) allowed(now time.Time, st *step, cd *candidate) bool {
+// feasible reports whether a worker may run a task of the step.
+func (cr *Core) feasible(now time.Time, st *step, cd *candidate) bool {
 	sp := st.spec
-	if !sp.ResourceRequest().Fits(cd.free) || cd.only != nil && cd.only != st.job || !cr.apart(now, st, cd) {
+	if !sp.ResourceRequest().Fits(cd.free) || cd.exclusiveTo != nil && cd.exclusiveTo != st.job || !cr.apart(now, st, cd) {
 		return false
 	}
 	if sp.Label != "" && !hasLabel(cd.info.Labels, sp.Label) {
 		return false
 	}
-	if sp.SpreadLimit > 0 && st.on(cd.worker) >= sp.SpreadLimit {
+	if sp.SpreadLimit > 0 && st.tasksOn(cd.worker) >= sp.SpreadLimit {
 		return false
 	}
 	if cr.queues[st.job.spec.Queue].Advice != nil && st.tickets[cd.info.ID] == "" {
@@ -354,8 +354,8 @@
 	return true
 }
 
-// on counts the tasks of a step on a worker.
-func (st *step) on(wk *worker) int {
+// tasksOn counts the tasks of a step tasksOn a worker.
+func (st *step) tasksOn(wk *worker) int {
 	count := 0
 	for _, pl := range wk.placed {
 		if pl.step == st {
@@ -363,7 +363,7 @@
 		}
 	}
 	for tk := range wk.foreign {
-		if tk.Job == st.job.spec.ID && tk.Run == st.run && tk.Step == st.at {
+		if tk.Job == st.job.spec.ID && tk.Run == st.run && tk.Step == st.index {
 			count++
 		}
 	}
@@ -373,7 +373,7 @@
 // cost ranks a worker for a task.
 func (cr *Core) cost(st *step, at int, cd *candidate) float64 {
 	sp := st.spec
-	cost := weightFree * share(cd.free.CPUMillis, cd.info.Room.CPUMillis)
+	cost := weightFree * fraction(cd.free.CPUMillis, cd.info.Room.CPUMillis)
 	if sp.DataRack != "" && cd.info.Rack != sp.DataRack {
 		cost += weightRemote
 	}
@@ -382,59 +382,59 @@
 	}
 	if st.tasks[at].lost.suspected() {
 		// Those of its own job are under the same suspicion.
-		cost += weightCompany * float64(len(cd.placed)-2*st.job.on(cd.worker))
+		cost += weightCompany * float64(len(cd.placed)-2*st.job.tasksOn(cd.worker))
 	}
 	if sp.LongRunning {
 		if cd.lasting > 0 {
-			cost -= weightLasting
+			cost -= weightLongRunning
 		}
-		if 2*cr.onRack(st, cd.info.Rack) >= len(st.tasks) {
-			cost += weightRack
+		if 2*cr.tasksOnRack(st, cd.info.Rack) >= len(st.tasks) {
+			cost += weightRackSpread
 		}
 	}
 	if sp.BestEffort {
-		cost += weightMix * float64(cd.serving)
+		cost += weightColocation * float64(cd.serving)
 	}
 	if sp.LatencyObjective > 0 {
-		cost += weightMix * float64(cd.filling)
+		cost += weightColocation * float64(cd.filling)
 	}
 	return cost
 }
 
-// onRack counts the tasks of a step in a rack.
-func (cr *Core) onRack(st *step, rack string) int {
+// tasksOnRack counts the tasks of a step in a rack.
+func (cr *Core) tasksOnRack(st *step, rack string) int {
 	count := 0
 	for at := range st.tasks {
-		if pl := st.tasks[at].place; pl != nil && pl.worker.info.Rack == rack {
+		if pl := st.tasks[at].placement; pl != nil && pl.worker.info.Rack == rack {
 			count++
 		}
 	}
 	return count
 }
 
-func share(part, whole int) float64 {
+func fraction(part, whole int) float64 {
 	if whole == 0 {
 		return 0
 	}
 	return float64(part) / float64(whole)
 }
 
-// start orders an attempt.
-func (cr *Core) start(now time.Time, st *step, at int, cd *candidate, attempt job.Attempt) {
+// startTask orders an attempt.
+func (cr *Core) startTask(now time.Time, st *step, at int, cd *candidate, attempt job.Attempt) {
 	ts := &st.tasks[at]
 	wk := cd.worker
 	ts.attempt = attempt
-	tk := job.Task{Job: st.job.spec.ID, Run: st.run, Step: st.at, Index: at}
+	tk := job.Task{Job: st.job.spec.ID, Run: st.run, Step: st.index, Index: at}
 	pl := &placement{task: tk, step: st, worker: wk, attempt: attempt, phase: starting, token: cr.token(wk), room: st.spec.ResourceRequest(), ordered: now, pace: 100, trial: ts.lost.suspected(), noted: ts.intent != nil}
 	cr.forgo(ts)
-	ts.place = pl
+	ts.placement = pl
 	wk.put(pl)
 	cr.window.underWay++
 	if len(cr.plagues) > 0 {
-		cd.newcomers.join(cr, now, now, st.job)
+		cd.recent.join(cr, now, now, st.job)
 	}
 	cd.free = cd.free.Sub(pl.room)
-	st.job.begun = true
+	st.job.started = true
 	wk.busyAt = now
 	until := cr.until(wk, now)
 	cr.gave(wk, until)
--- a/cell/plague.go
+++ b/cell/plague.go
@@ -69,7 +69,7 @@
 	for _, cd := range rd.usable {
 		for _, pl := range cd.placed {
 			if rd.now.Sub(pl.ordered) <= suspectWindow {
-				cd.newcomers.join(cr, rd.now, pl.ordered, pl.step.job)
+				cd.recent.join(cr, rd.now, pl.ordered, pl.step.job)
 			}
 		}
 	}
@@ -82,14 +82,14 @@
 // findGiven chooses the workers that are to become idle, since other pools lack machines: those with the least on them. One job at a time on each
 // keeps all of them half empty otherwise, and none idle.
 func (cr *Core) findGiven(rd *round) {
-	keep := max(givenLeast, cr.yieldTo)
-	if !rd.now.Before(cr.yieldUntil) || len(rd.usable) <= keep {
+	keep := max(givenLeast, cr.machineLimit)
+	if !rd.now.Before(cr.machineLimitUntil) || len(rd.usable) <= keep {
 		return
 	}
 	list := slices.Clone(rd.usable)
 	slices.SortStableFunc(list, func(one, other *candidate) int { return -cmp.Compare(len(one.placed), len(other.placed)) })
 	for _, cd := range list[keep:] {
-		cd.given = true
+		cd.toRelease = true
 	}
 }
 
@@ -110,7 +110,7 @@
 	}
 	// One worker alone is for all.
 	for _, cd := range list[:min(len(list)-1, max(1, min(lasting, int(shelterShare*float64(len(list))))))] {
-		cd.shelter = true
+		cd.longRunningOnly = true
 		room := cd.info.Room
 		for _, pl := range cd.placed {
 			if pl.step.spec.LongRunning {
@@ -130,14 +130,14 @@
 		return true
 	}
 	plagued := cr.plagued(now, st.job.spec.Queue) && !st.spec.LongRunning
-	if plagued && (cd.shelter || cd.given) {
+	if plagued && (cd.longRunningOnly || cd.toRelease) {
 		return false
 	}
-	if sp := st.spec; sp.LongRunning && !cd.shelter && sp.SpreadLimit == 0 && sp.ResourceRequest().Fits(cr.shelterRoom) {
+	if sp := st.spec; sp.LongRunning && !cd.longRunningOnly && sp.SpreadLimit == 0 && sp.ResourceRequest().Fits(cr.shelterRoom) {
 		// It waits for what is short and ends there.
 		return false
 	}
-	if nc := &cd.newcomers; nc.job != nil && (nc.mixed || nc.job != st.job) && (plagued || nc.plagued) {
+	if nc := &cd.recent; nc.job != nil && (nc.mixed || nc.job != st.job) && (plagued || nc.plagued) {
 		cr.wakeAt(nc.until)
 		return false
 	}
--- a/cell/plague_test.go
+++ b/cell/plague_test.go
@@ -96,8 +96,8 @@
 		bd.answerOrder(st, Done)
 	}
 	js := bd.core.jobs["j"]
-	bd.core.giveUp(bd.now, js.runs[0].steps[0].tasks[0].place, nil)
-	bd.core.change(js)
+	bd.core.giveUp(bd.now, js.runs[0].steps[0].tasks[0].placement, nil)
+	bd.core.markDirty(js)
 	var save *Save
 	for _, od := range bd.plan() {
 		switch order := od.(type) {
@@ -134,15 +134,15 @@
 		}
 		return count
 	}
-	cs.core.Yield(cs.now, 3, false)
+	cs.core.LimitMachines(cs.now, 3, false)
 	cs.run(crashTick)
 	if got := used(); got == 0 || got > givenLeast {
 		t.Errorf("%d workers have tasks while other pools lack machines, want %d at most", got, givenLeast)
 	}
-	if got, least := cs.core.Load(cs.now).Needed, 40*turnTime.Seconds()/turnWithin.Seconds(); got < least {
+	if got, least := cs.core.Load(cs.now).Demand, 40*turnTime.Seconds()/turnWithin.Seconds(); got < least {
 		t.Errorf("the pool wants %.1f machines for 40 jobs, want %.1f at least", got, least)
 	}
-	cs.run(yieldFor)
+	cs.run(machineLimitTTL)
 	for at := range 40 {
 		cs.add(job.ID(fmt.Sprintf("k%02d", at)), testEpoch, taskStep(4))
 	}
--- a/cell/plan.go
+++ b/cell/plan.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// saveMost is how many progress rows one save holds: each has a condition, one more is the cell's row's, and a transaction
+	// maxRowsPerSave is how many progress rows one save holds: each has a condition, one more is the cell's row's, and a transaction
 	// takes 100 entries in all.
-	saveMost = 45
-	// idleWake is how often a cell plans without an event.
-	idleWake = 250 * time.Millisecond
+	maxRowsPerSave = 45
+	// idlePlanInterval is how often a cell plans without an event.
+	idlePlanInterval = 250 * time.Millisecond
 )
 
 // Plan returns the orders that are due. The shell carries them out and hands the results back.
@@ -22,21 +22,21 @@
 		return nil
 	}
 	cr.noteStall(now)
-	cr.orders, cr.wake, cr.planned = nil, now.Add(idleWake), now
+	cr.orders, cr.wake, cr.planned = nil, now.Add(idlePlanInterval), now
 	cr.expire(now)
 	cr.expireStrays(now)
 	for _, wk := range cr.list {
 		cr.advance(now, wk)
 	}
-	cr.forget()
+	cr.removeEnded()
 	cr.enlist()
-	cr.stops(now)
+	cr.planStops(now)
 	if cr.mayRenew(now) && cr.awake() {
-		cr.place(now)
-		cr.rescue(now)
-		cr.share(now)
+		cr.placeTasks(now)
+		cr.moveStragglers(now)
+		cr.throttleBestEffort(now)
 	}
-	cr.looks(now)
+	cr.planLooks(now)
 	cr.save(now)
 	return cr.orders
 }
@@ -52,17 +52,17 @@
 
 func (cr *Core) order(od Order) { cr.orders = append(cr.orders, od) }
 
-// forget takes ended jobs out of the list of open ones.
-func (cr *Core) forget() {
-	cr.open = slices.DeleteFunc(cr.open, func(js *jobState) bool { return js.ended() && !js.placed() })
+// removeEnded takes ended jobs out of the list of open ones.
+func (cr *Core) removeEnded() {
+	cr.open = slices.DeleteFunc(cr.open, func(js *jobState) bool { return js.ended() && !js.hasPlacements() })
 }
 
-// placed reports whether anything of the job is on a worker.
-func (js *jobState) placed() bool {
+// hasPlacements reports whether anything of the job is on a worker.
+func (js *jobState) hasPlacements() bool {
 	for _, rn := range js.runs {
 		for _, st := range rn.steps {
 			for at := range st.tasks {
-				if st.tasks[at].place != nil {
+				if st.tasks[at].placement != nil {
 					return true
 				}
 			}
@@ -92,13 +92,13 @@
 	cr.order(RecordWorkers{Workers: cr.UsedWorkers(), UnseenLossEpoch: cr.UnseenLossEpoch()})
 }
 
-// tidyEvery is the least time between two writes that only take workers from the cell's row.
-const tidyEvery = time.Second
+// minPruneInterval is the least time between two writes that only take workers from the cell's row.
+const minPruneInterval = time.Second
 
-// tidy takes workers that are gone from the cell's row along with a save. A next owner would have to take it that something was lost with them.
-func (cr *Core) tidy(now time.Time) {
-	if cr.outdated && now.Sub(cr.tidiedAt) >= tidyEvery {
-		cr.tidiedAt = now
+// pruneEnlisted takes workers that are gone from the cell's row along with a save. A next owner would have to take it that something was lost with them.
+func (cr *Core) pruneEnlisted(now time.Time) {
+	if cr.outdated && now.Sub(cr.prunedAt) >= minPruneInterval {
+		cr.prunedAt = now
 		cr.orderEnlist()
 	}
 }
@@ -110,8 +110,8 @@
 	}
 }
 
-// stops ends what is not to run any more, and counts the starts that are under way.
-func (cr *Core) stops(now time.Time) {
+// planStops ends what is not to run any more, and counts the starts that are under way.
+func (cr *Core) planStops(now time.Time) {
 	cr.window.underWay, cr.window.workers = 0, len(cr.list)
 	for _, wk := range cr.list {
 		for _, pl := range wk.placed {
@@ -127,7 +127,7 @@
 			cr.stopForeign(now, wk, tk, wk.foreign[tk])
 		}
 	}
-	cr.vacate(now)
+	cr.evictLongRunning(now)
 }
 
 // stopReason says why an attempt is to end; empty if it is not.
@@ -136,7 +136,7 @@
 	switch {
 	case js.cancelled:
 		return "cancelled"
-	case js.kept.Ended():
+	case js.savedState.Ended():
 		// Not before its callers see it: until then what runs is at work for them.
 		return "its job has ended"
 	case pl.step.tasks[pl.task.Index].done:
@@ -172,8 +172,8 @@
 	cr.order(Stop{Worker: wk.info.ID, Address: wk.info.Address, Token: cr.token(wk), Task: tk, Attempt: fr.attempt})
 }
 
-// looks orders the looks that are due.
-func (cr *Core) looks(now time.Time) {
+// planLooks orders the planLooks that are due.
+func (cr *Core) planLooks(now time.Time) {
 	wantsWord := cr.wantsWord(now)
 	for _, wk := range cr.list {
 		due, wait, wanted := cr.lookDue(now, wk, wantsWord)
@@ -203,7 +203,7 @@
 	case !wk.fenced || open:
 		return due, 0, true
 	case len(wk.places) > 0:
-		return due, cr.waitFor(wk), true
+		return due, cr.lookWait(wk), true
 	case len(wk.foreign) > 0:
 		return due, cr.opts.PollInterval, true
 	case wk.observed > wk.told:
@@ -215,14 +215,14 @@
 }
 
 const (
-	// waitTimes is how many times the mean time between two ends an answer may be held back, so that one that is lost is missed soon.
-	waitTimes = 4
-	// waitLeast bounds it: each look has its price.
-	waitLeast = 200 * time.Millisecond
+	// lookWaitFactor is how many times the mean time between two ends an answer may be held back, so that one that is lost is missed soon.
+	lookWaitFactor = 4
+	// lookWaitMin bounds it: each look has its price.
+	lookWaitMin = 200 * time.Millisecond
 )
 
-// waitFor is how long an answer may be held back: not at all where something is to be settled.
-func (cr *Core) waitFor(wk *worker) time.Duration {
+// lookWait is how long an answer may be held back: not at all where something is to be settled.
+func (cr *Core) lookWait(wk *worker) time.Duration {
 	// ends is how many a second are to be expected.
 	ends := 0.0
 	for _, pl := range wk.placed {
@@ -234,13 +234,13 @@
 			return probation / 2
 		}
 		if !pl.step.spec.LongRunning {
-			ends += 1 / max(waitLeast, cr.run.of(pl.step.job.spec.Queue).task).Seconds()
+			ends += 1 / max(lookWaitMin, cr.runTimes.get(pl.step.job.spec.Queue).mean).Seconds()
 		}
 	}
 	if ends == 0 {
 		return cr.opts.PollWait
 	}
-	return min(cr.opts.PollWait, max(waitLeast, time.Duration(waitTimes/ends*float64(time.Second))))
+	return min(cr.opts.PollWait, max(lookWaitMin, time.Duration(lookWaitFactor/ends*float64(time.Second))))
 }
 
 func latest(one, other time.Time) time.Time {
@@ -274,7 +274,7 @@
 	var sv Save
 	for _, id := range slices.Sorted(maps.Keys(cr.dirty)) {
 		js := cr.dirty[id]
-		if len(sv.Rows) == saveMost {
+		if len(sv.Rows) == maxRowsPerSave {
 			cr.urgentSave = true
 			break
 		}
@@ -283,14 +283,14 @@
 		delete(cr.dirty, id)
 	}
 	cr.savedAt = now
-	cr.tidy(now)
+	cr.pruneEnlisted(now)
 	cr.order(sv)
 }
 
 // Saved tells that the last save is kept, under the version given.
 func (cr *Core) Saved(now time.Time, version int64) {
 	for _, sm := range cr.saving {
-		sm.js.version, sm.js.savedGen, sm.js.kept = version, sm.gen, sm.state
+		sm.js.version, sm.js.savedGen, sm.js.savedState = version, sm.gen, sm.state
 	}
 	cr.saving = nil
 }
--- a/cell/preempt.go
+++ b/cell/preempt.go
@@ -10,64 +10,64 @@
 	// preemptAfter is how long a task waits for room before one of a lower priority is stopped for it: most tasks end within a second, and
 	// urgent work is to begin within 1.1 s, which leaves time for the stop.
 	preemptAfter = 300 * time.Millisecond
-	// preemptMost is how many tasks of a step get room in this way at once, preemptSteps how many steps in one round of placing: the
+	// preemptMaxTasks is how many tasks of a step get room in this way at once, preemptSteps how many steps in one round of placing: the
 	// search goes through all workers.
-	preemptMost  = 16
-	preemptSteps = 4
+	preemptMaxTasks  = 16
+	preemptMaxSteps = 4
 )
 
-// lowest is the lowest priority of the tasks that run, as a number that is higher the lower it is. It is looked for once a round.
-func (cr *Core) lowest(rd *round) int {
+// lowestPriority is the lowestPriority priority of the tasks that run, as a number that is higher the lower it is. It is looked for once a round.
+func (cr *Core) lowestPriority(rd *round) int {
 	if rd.lowestKnown {
-		return rd.lowest
+		return rd.lowestPriority
 	}
-	rd.lowestKnown, rd.lowest = true, 0
+	rd.lowestKnown, rd.lowestPriority = true, 0
 	for _, cd := range rd.usable {
 		for _, pl := range cd.placed {
 			if !pl.step.spec.LongRunning {
-				rd.lowest = max(rd.lowest, cr.queues[pl.step.job.spec.Queue].Priority)
+				rd.lowestPriority = max(rd.lowestPriority, cr.queues[pl.step.job.spec.Queue].Priority)
 			}
 		}
 	}
-	return rd.lowest
+	return rd.lowestPriority
 }
 
 // preempt stops tasks of lower priorities so that waiting tasks of a step find room. Tasks that last and members of gangs stay: the
 // first have budgets, of the others all would have to start again.
 func (cr *Core) preempt(rd *round, st *step, waiting int) {
 	priority := cr.queues[st.job.spec.Queue].Priority
-	if rd.preempted == preemptSteps || cr.lowest(rd) <= priority || !st.spec.LongRunning && cr.laxity(rd.now, st.job) < 0 {
+	if rd.preemptingSteps == preemptMaxSteps || cr.lowestPriority(rd) <= priority || !st.spec.LongRunning && cr.laxity(rd.now, st.job) < 0 {
 		return
 	}
-	if rd.now.Sub(st.since) < preemptAfter {
-		cr.wakeAt(st.since.Add(preemptAfter))
+	if rd.now.Sub(st.waitingSince) < preemptAfter {
+		cr.wakeAt(st.waitingSince.Add(preemptAfter))
 		return
 	}
-	if st.yields() {
+	if st.preemptionPending() {
 		return
 	}
-	rd.preempted++
-	for range min(waiting, preemptMost) {
-		victims := cr.cheapest(rd, st, priority)
+	rd.preemptingSteps++
+	for range min(waiting, preemptMaxTasks) {
+		victims := cr.cheapestVictims(rd, st, priority)
 		if len(victims) == 0 {
 			return
 		}
 		for _, pl := range victims {
 			pl.stopping, pl.why = true, "makes room for a queue that goes first"
-			st.yielding = append(st.yielding, pl)
+			st.preempting = append(st.preempting, pl)
 			cr.stop(rd.now, pl.worker, pl)
 		}
 	}
 }
 
-// yields reports whether tasks are being stopped for the step.
-func (st *step) yields() bool {
-	st.yielding = slices.DeleteFunc(st.yielding, func(pl *placement) bool { return pl.worker.places[pl.task] != pl })
-	return len(st.yielding) > 0
+// preemptionPending reports whether tasks are being stopped for the step.
+func (st *step) preemptionPending() bool {
+	st.preempting = slices.DeleteFunc(st.preempting, func(pl *placement) bool { return pl.worker.places[pl.task] != pl })
+	return len(st.preempting) > 0
 }
 
-// cheapest returns the tasks whose stop makes room for one task of a step and costs the least work; nil if there are none.
-func (cr *Core) cheapest(rd *round, st *step, priority int) []*placement {
+// cheapestVictims returns the tasks whose stop makes room for one task of a step and costs the least work; nil if there are none.
+func (cr *Core) cheapestVictims(rd *round, st *step, priority int) []*placement {
 	var best []*placement
 	var bestCost float64
 	for _, cd := range rd.usable {
@@ -82,11 +82,11 @@
 // victims are the tasks of lower priorities on a worker that have to be stopped for one task of a step, the lowest priority and the
 // least work first, and the work that is lost with them.
 func (cr *Core) victims(cd *candidate, st *step, priority int) (list []*placement, cost float64, ok bool) {
-	if cd.untold {
+	if cd.roomUncertain {
 		// Its room is most likely what it was.
 		return nil, 0, false
 	}
-	if st.spec.Label != "" && !hasLabel(cd.info.Labels, st.spec.Label) || st.spec.SpreadLimit > 0 && st.on(cd.worker) >= st.spec.SpreadLimit {
+	if st.spec.Label != "" && !hasLabel(cd.info.Labels, st.spec.Label) || st.spec.SpreadLimit > 0 && st.tasksOn(cd.worker) >= st.spec.SpreadLimit {
 		return nil, 0, false
 	}
 	lower := make([]*placement, 0, len(cd.placed))
--- a/cell/preempt_test.go
+++ b/cell/preempt_test.go
@@ -99,8 +99,8 @@
 	bd.plan()
 	bd.advance(preemptAfter - 100*time.Millisecond)
 	bd.plan()
-	if early := bd.core.Wake().Sub(bd.now); early < idleWake {
-		t.Errorf("the cell is to plan again after %v, %v is the longest", early, idleWake)
+	if early := bd.core.Wake().Sub(bd.now); early < idlePlanInterval {
+		t.Errorf("the cell is to plan again after %v, %v is the longest", early, idlePlanInterval)
 	}
 }
 
@@ -110,7 +110,7 @@
 	bd.core.SetPausedQueues(map[job.QueueID]bool{"q": true})
 	bd.addJob("a", testEpoch, taskStep(3))
 	bd.wantStarts(bd.plan(), 0)
-	if needed := bd.core.Load(bd.now).Needed; needed != 0 {
+	if needed := bd.core.Load(bd.now).Demand; needed != 0 {
 		t.Errorf("%v machines are asked for", needed)
 	}
 	bd.core.SetPausedQueues(map[job.QueueID]bool{})
--- a/cell/reserve.go
+++ b/cell/reserve.go
@@ -5,8 +5,8 @@
 const (
 	// reserveShare bounds the part of the workers that is kept for tasks that last.
 	reserveShare = 0.25
-	// reserveMost is how many a step keeps in one round, each of which is a look at all workers.
-	reserveMost = 4
+	// reserveMaxPerStep is how many a step keeps in one round, each of which is a look at all workers.
+	reserveMaxPerStep = 4
 )
 
 // reserve keeps the workers with the most room free of other tasks until those of a step that last fit there. Short tasks are smaller: as
@@ -16,7 +16,7 @@
 		return
 	}
 	most := max(1, int(reserveShare*float64(len(rd.usable))))
-	for range min(count, reserveMost) {
+	for range min(count, reserveMaxPerStep) {
 		if rd.reserved >= most {
 			return
 		}
@@ -33,19 +33,19 @@
 func (cr *Core) roomiest(rd *round, st *step) *candidate {
 	var best *candidate
 	for _, cd := range rd.usable {
-		if cd.free == (job.Size{}) || best != nil && best.spare() >= cd.spare() {
+		if cd.free == (job.Size{}) || best != nil && best.freeShare() >= cd.freeShare() {
 			continue
 		}
 		empty := *cd
 		empty.free = cd.info.Room
-		if cr.allowed(rd.now, st, &empty) {
+		if cr.feasible(rd.now, st, &empty) {
 			best = cd
 		}
 	}
 	return best
 }
 
-// spare is the free share of a worker's scarcest resource.
-func (cd *candidate) spare() float64 {
-	return min(share(cd.free.CPUMillis, cd.info.Room.CPUMillis), share(cd.free.MemoryMB, cd.info.Room.MemoryMB))
+// freeShare is the free share of a worker's scarcest resource.
+func (cd *candidate) freeShare() float64 {
+	return min(fraction(cd.free.CPUMillis, cd.info.Room.CPUMillis), fraction(cd.free.MemoryMB, cd.info.Room.MemoryMB))
 }
--- a/cell/reserve_test.go
+++ b/cell/reserve_test.go
@@ -58,9 +58,9 @@
 func TestLateJobsGoByWhatCanStillBeSaved(t *testing.T) {
 	bd := newTestBed(t, 1)
 	// Run times of 1 s are known; the objective of a short chain is then some 2.5 s.
-	bd.core.run["q"] = runtime{task: time.Second, spread: firstSpread}
-	for _, known := range bd.core.run {
-		if known.task != time.Second {
+	bd.core.runTimes["q"] = runTimeStats{mean: time.Second, spread: defaultSpread}
+	for _, known := range bd.core.runTimes {
+		if known.mean != time.Second {
 			t.Fatal("the run time is not known")
 		}
 	}
@@ -73,14 +73,14 @@
 	bd.addJob("small", testEpoch, taskStep(2))
 	bd.advance(2 * time.Second)
 	var order []job.ID
-	for _, js := range bd.core.sorted(bd.now, bd.core.open, 1) {
+	for _, js := range bd.core.sortJobs(bd.now, bd.core.open, 1) {
 		order = append(order, js.spec.ID)
 	}
 	if fmt.Sprint(order) != "[small large hopeless overdue]" {
 		t.Errorf("in the order %v", order)
 	}
 	unit := bd.core.unit()
-	late, overdue := bd.core.needed(bd.now, bd.core.jobs["small"], unit)/2, bd.core.needed(bd.now, bd.core.jobs["overdue"], unit)
+	late, overdue := bd.core.jobDemand(bd.now, bd.core.jobs["small"], unit)/2, bd.core.jobDemand(bd.now, bd.core.jobs["overdue"], unit)
 	if overdue*3 > late {
 		t.Errorf("an overdue task asks for %.3f machines, a late one for %.3f", overdue, late)
 	}
--- a/cell/share.go
+++ b/cell/share.go
@@ -55,7 +55,7 @@
 // jobs of a small organisation are more than its part of a pool: mean worth 0.455 against 0.487 without shares.
 func (cr *Core) exceedsShare(now time.Time, js *jobState) bool {
 	id := js.spec.Organisation
-	if _, known := cr.weights[id]; !known || js.carried {
+	if _, known := cr.weights[id]; !known || js.inherited {
 		return false
 	}
 	am := cr.shareBuckets[id]
--- a/cell/speed.go
+++ b/cell/speed.go
@@ -9,74 +9,74 @@
 
 // Telling slow workers by how far their tasks come between looks.
 const (
-	// speedMemory is after which time what was seen of a worker counts a third.
-	speedMemory = 1500 * time.Millisecond
-	// speedLeast is how much work, in mean run times of tasks, must have been due before a worker is judged.
-	speedLeast = 0.6
-	// speedSlow is the share of the usual speed below which a worker is slow. Run times that vary by half rarely make a sound one seem
+	// speedDecay is after which time what was seen of a worker counts a third.
+	speedDecay = 1500 * time.Millisecond
+	// speedMinWork is how much work, in mean run times of tasks, must have been due before a worker is judged.
+	speedMinWork = 0.6
+	// slowThreshold is the share of the usual speed below which a worker is slow. Run times that vary by half rarely make a sound one seem
 	// slower than 0.4.
-	speedSlow = 0.33
+	slowThreshold = 0.33
 	// speedFloor is taken for the speed of a worker on which everything stands still.
 	speedFloor = 0.03
-	// rescueTimes is how many times longer a task must need where it is than elsewhere before it is stopped there: its work is lost.
-	rescueTimes = 2
-	// rescueMost is how often a task is moved from slow workers.
-	rescueMost = 2
+	// moveFactor is how many times longer a task must need where it is than elsewhere before it is stopped there: its work is lost.
+	moveFactor = 2
+	// maxMovesPerTask is how often a task is moved from slow workers.
+	maxMovesPerTask = 2
 )
 
 // speed is what was seen of a worker's speed of late, in mean run times of tasks.
 type speed struct {
-	due, done float64
+	expected, actual float64
 	at        time.Time
 }
 
 // add notes that a task came so far, a share of its whole, in a time in which the mean task does due of its own.
 func (sp *speed) add(now time.Time, due, done float64) {
-	sp.fade(now)
-	sp.due += due
-	sp.done += done
+	sp.decay(now)
+	sp.expected += due
+	sp.actual += done
 }
 
-// fade lets what was seen count less with time.
-func (sp *speed) fade(now time.Time) {
+// decay lets what was seen count less with time.
+func (sp *speed) decay(now time.Time) {
 	if !sp.at.IsZero() && now.After(sp.at) {
-		left := math.Exp(-now.Sub(sp.at).Seconds() / speedMemory.Seconds())
-		sp.due, sp.done = sp.due*left, sp.done*left
+		left := math.Exp(-now.Sub(sp.at).Seconds() / speedDecay.Seconds())
+		sp.expected, sp.actual = sp.expected*left, sp.actual*left
 	}
 	sp.at = now
 }
 
 // ratio is the worker's speed as a share of the usual one; 1 as long as too little was seen.
 func (sp *speed) ratio(now time.Time) float64 {
-	sp.fade(now)
-	if sp.due < speedLeast {
+	sp.decay(now)
+	if sp.expected < speedMinWork {
 		return 1
 	}
-	return sp.done / sp.due
+	return sp.actual / sp.expected
 }
 
 // slow reports whether tasks on a worker hardly come forward.
 func (wk *worker) slow(now time.Time) bool {
 	sp := &wk.speed
-	if sp.due < speedLeast || sp.done >= speedSlow*sp.due {
+	if sp.expected < speedMinWork || sp.actual >= slowThreshold*sp.expected {
 		return false
 	}
-	return sp.ratio(now) < speedSlow
+	return sp.ratio(now) < slowThreshold
 }
 
-// paceOf notes how far a short task has come since it was seen last.
-func (cr *Core) paceOf(pl *placement, at time.Time, progress int) {
-	known := cr.run.of(pl.step.job.spec.Queue)
-	if !known.trusted(at) || pl.step.spec.LongRunning || pl.step.spec.BestEffort || pl.seenAt.IsZero() || known.task <= 0 || !at.After(pl.seenAt) {
+// recordProgress notes how far a short task has come since it was seen last.
+func (cr *Core) recordProgress(pl *placement, at time.Time, progress int) {
+	known := cr.runTimes.get(pl.step.job.spec.Queue)
+	if !known.trusted(at) || pl.step.spec.LongRunning || pl.step.spec.BestEffort || pl.seenAt.IsZero() || known.mean <= 0 || !at.After(pl.seenAt) {
 		pl.seenAt = at
 		return
 	}
-	pl.worker.speed.add(at, at.Sub(pl.seenAt).Seconds()/known.task.Seconds(), float64(max(0, progress-pl.progress))/100)
+	pl.worker.speed.add(at, at.Sub(pl.seenAt).Seconds()/known.mean.Seconds(), float64(max(0, progress-pl.progress))/100)
 	pl.seenAt = at
 }
 
-// dropSlow leaves out slow workers, unless they are so many that the measure is to be doubted.
-func dropSlow(now time.Time, list []*candidate) []*candidate {
+// withoutSlow leaves out slow workers, unless they are so many that the measure is to be doubted.
+func withoutSlow(now time.Time, list []*candidate) []*candidate {
 	quick := make([]*candidate, 0, len(list))
 	for _, cd := range list {
 		if !cd.slow(now) {
@@ -89,8 +89,8 @@
 	return quick
 }
 
-// rescue stops short tasks on slow workers that would be done sooner elsewhere.
-func (cr *Core) rescue(now time.Time) {
+// moveStragglers stops short tasks on slow workers that would be done sooner elsewhere.
+func (cr *Core) moveStragglers(now time.Time) {
 	var usable []*candidate
 	for _, wk := range cr.list {
 		if len(wk.placed) == 0 || wk.fails > 0 || !wk.slow(now) {
@@ -100,7 +100,7 @@
 			usable = cr.usable(now)
 		}
 		for _, pl := range wk.placed {
-			if !cr.rescuable(now, pl) {
+			if !cr.worthMoving(now, pl) {
 				continue
 			}
 			cd := roomFor(pl.room, usable, wk)
@@ -109,7 +109,7 @@
 			}
 			cd.free = cd.free.Sub(pl.room)
 			ts := &pl.step.tasks[pl.task.Index]
-			ts.rescues++
+			ts.moves++
 			ts.avoid = wk.info.ID
 			pl.stopping, pl.why = true, "its worker is slow"
 			cr.stop(now, wk, pl)
@@ -117,26 +117,26 @@
 	}
 }
 
-// rescuable reports whether a task on a slow worker would be done sooner if it were started elsewhere. Members of a gang stay, since
+// worthMoving reports whether a task on a slow worker would be done sooner if it were started elsewhere. Members of a gang stay, since
 // all would have to start again.
-func (cr *Core) rescuable(now time.Time, pl *placement) bool {
+func (cr *Core) worthMoving(now time.Time, pl *placement) bool {
 	sp := pl.step.spec
-	if pl.phase != running || pl.stopping || sp.LongRunning || sp.BestEffort || sp.Gang || pl.spared() || pl.step.tasks[pl.task.Index].rescues >= rescueMost {
+	if pl.phase != running || pl.stopping || sp.LongRunning || sp.BestEffort || sp.Gang || pl.spared() || pl.step.tasks[pl.task.Index].moves >= maxMovesPerTask {
 		return false
 	}
-	mean := cr.run.of(pl.step.job.spec.Queue).task.Seconds()
+	mean := cr.runTimes.get(pl.step.job.spec.Queue).mean.Seconds()
 	here := mean * float64(100-pl.progress) / 100 / max(speedFloor, pl.worker.speed.ratio(now))
 	elsewhere := cr.opts.StopTimeout.Seconds() + mean
 	if sp.Checkpointing && pl.step.tasks[pl.task.Index].checkpoint != "" {
 		elsewhere -= mean * float64(pl.progress) / 100
 	}
-	return here > rescueTimes*elsewhere
+	return here > moveFactor*elsewhere
 }
 
 // roomFor returns a worker with room, other than the one named; nil if there is none.
-func roomFor(room job.Size, usable []*candidate, but *worker) *candidate {
+func roomFor(room job.Size, usable []*candidate, except *worker) *candidate {
 	for _, cd := range usable {
-		if cd.worker != but && room.Fits(cd.free) {
+		if cd.worker != except && room.Fits(cd.free) {
 			return cd
 		}
 	}
--- a/cell/speed_test.go
+++ b/cell/speed_test.go
@@ -13,7 +13,7 @@
 // speedBed is a bed whose queue's run times are known.
 func speedBed(t *testing.T, workers int) *testBed {
 	bd := newTestBed(t, workers)
-	bd.core.run["q"] = runtime{task: time.Second, spread: firstSpread, ends: trustEnds, first: bd.now.Add(-time.Minute)}
+	bd.core.runTimes["q"] = runTimeStats{mean: time.Second, spread: defaultSpread, samples: trustedSamples, firstSample: bd.now.Add(-time.Minute)}
 	return bd
 }
 
@@ -83,7 +83,7 @@
 			left -= came
 			sp.add(now, 0.1, came/takes)
 		}
-		if sp.ratio(now) < speedSlow {
+		if sp.ratio(now) < slowThreshold {
 			slow++
 		}
 	}
@@ -99,7 +99,7 @@
 	for at := range 10 {
 		now = now.Add(100 * time.Millisecond)
 		sp.add(now, 0.1, 0)
-		if sp.ratio(now) < speedSlow {
+		if sp.ratio(now) < slowThreshold {
 			if at > 7 {
 				t.Errorf("seen after %d tenths of a run time", at+1)
 			}
@@ -125,7 +125,7 @@
 		if slow > 4 {
 			want = 8
 		}
-		if got := len(dropSlow(now, list)); got != want {
+		if got := len(withoutSlow(now, list)); got != want {
 			t.Errorf("%d of 8 workers seem slow: %d are used, want %d", slow, got, want)
 		}
 	}
@@ -139,24 +139,24 @@
 	if !wk.slow(now) {
 		t.Fatal("not slow")
 	}
-	if wk.slow(now.Add(3 * speedMemory)) {
+	if wk.slow(now.Add(3 * speedDecay)) {
 		t.Error("slow for ever")
 	}
 }
 
 // TestFirstEndsTellNothingOfWorkers: of tasks that were begun together the shortest end first, beside which the others seem slow.
 func TestFirstEndsTellNothingOfWorkers(t *testing.T) {
-	rt := runtimes{}
+	rt := runTimes{}
 	now := time.Unix(100, 0)
 	st := &step{job: &jobState{spec: &job.Spec{Queue: "q"}}, spec: &job.Step{Count: 2}, tasks: make([]taskState, 2)}
-	for at := range 2 * trustEnds {
+	for at := range 2 * trustedSamples {
 		took := time.Duration(200+10*at) * time.Millisecond
-		rt.learn(st, &placement{acked: now}, now.Add(took))
-		if known := rt.of("q"); known.trusted(now.Add(took)) && now.Add(took).Sub(known.first) <= trustTimes*known.task {
+		rt.observeTask(st, &placement{acked: now}, now.Add(took))
+		if known := rt.get("q"); known.trusted(now.Add(took)) && now.Add(took).Sub(known.firstSample) <= trustedRunTimes*known.mean {
 			t.Fatalf("trusted after %d ends within %v", at+1, took)
 		}
 	}
-	if !rt.of("q").trusted(now.Add(time.Minute)) {
+	if !rt.get("q").trusted(now.Add(time.Minute)) {
 		t.Error("never trusted")
 	}
 }
--- a/cell/trial.go
+++ b/cell/trial.go
@@ -57,7 +57,7 @@
 	if ran >= ts.lost.settles() && ts.lost.suspected() {
 		// What lasts sees many workers end in its time, so that old losses do not count against it.
 		ts.lost = losses{ran: ts.lost.ran, open: ts.lost.open}
-		cr.change(pl.step.job)
+		cr.markDirty(pl.step.job)
 	}
 }
 
@@ -97,11 +97,11 @@
 func (cr *Core) placeSuspects(rd *round, st *step, waiting []int) bool {
 	all := true
 	for count, at := range waiting {
-		if !cr.window.open() || cr.yields(rd, st.job) || !cr.mayStart(st, 1) {
+		if !cr.window.open() || cr.deferred(rd, st.job) || !cr.mayStart(st, 1) {
 			return false
 		}
 		if in := st.tasks[at].intent; (in == nil || !in.held) && (rd.trials >= rd.trialsMost(st.tasks[at].lost) || st.onTrial() >= trialsStep) && !rd.keeps(st.job) {
-			rd.untried = rd.untried || st.onTrial() < trialsStep
+			rd.trialsDeferred = rd.trialsDeferred || st.onTrial() < trialsStep
 			all = false
 			continue
 		}
@@ -116,36 +116,36 @@
 			all = false
 			continue
 		}
-		cr.start(rd.now, st, at, cd, st.tasks[at].attempt+1)
-		rd.free = size(job.Size(rd.free).Sub(st.spec.ResourceRequest()))
+		cr.startTask(rd.now, st, at, cd, st.tasks[at].attempt+1)
+		rd.free = machineSize(job.Size(rd.free).Sub(st.spec.ResourceRequest()))
 	}
 	return all
 }
 
 // keepFor keeps a worker from tasks of all jobs but one, for the rest of the round.
 func (rd *round) keepFor(cd *candidate, js *jobState) {
-	if cd.only != js {
-		cd.only = js
+	if cd.exclusiveTo != js {
+		cd.exclusiveTo = js
 		rd.trials++
 	}
 }
 
 // keeps reports whether a worker is kept for a job that has room for one more of its suspects.
 func (rd *round) keeps(js *jobState) bool {
-	return slices.ContainsFunc(rd.usable, func(cd *candidate) bool { return cd.only == js })
+	return slices.ContainsFunc(rd.usable, func(cd *candidate) bool { return cd.exclusiveTo == js })
 }
 
 // trialsMost is how many suspects may have a worker to themselves at once.
 func (rd *round) trialsMost(lo losses) int {
 	share := trialShare
 	switch {
-	case rd.spare:
+	case rd.trialLimitRaised:
 		share = trialSpare
 	case lo.sole:
 		share = trialSole
 	}
 	// Those that suspects have are not among the usable ones.
-	return max(1, int(share*float64(len(rd.usable)+rd.taken)))
+	return max(1, int(share*float64(len(rd.usable)+rd.trialsBefore)))
 }
 
 // onTrial counts the workers on which tasks of a step are on trial, or about to be.
@@ -154,7 +154,7 @@
 	for at := range st.tasks {
 		ts := &st.tasks[at]
 		id := WorkerID("")
-		if pl := ts.place; pl != nil && pl.onTrial() {
+		if pl := ts.placement; pl != nil && pl.onTrial() {
 			id = pl.worker.info.ID
 		} else if ts.intent != nil && ts.intent.held && ts.lost.suspected() {
 			id = ts.intent.worker
@@ -217,9 +217,9 @@
 		}
 		if slices.Contains(ts.lost.open, wk.info.ID) {
 			ts.lost.close(wk.info.ID)
-			cr.change(pl.step.job)
+			cr.markDirty(pl.step.job)
 		}
-		pl.step.job.settled = false
+		pl.step.job.fullyPlaced = false
 	}
 	wk.lapsed = nil
 }
--- a/cell/worker.go
+++ b/cell/worker.go
@@ -137,7 +137,7 @@
 	// told is the newest acknowledgement that the worker has confirmed.
 	told        int64
 	unwellUntil time.Time
-	judge       judge
+	failures       failureTracker
 	speed       speed
 	// busyAt is when something last ran there.
 	busyAt time.Time
@@ -263,14 +263,14 @@
 func (cr *Core) release(now time.Time, pl *placement, why string) {
 	pl.worker.drop(pl)
 	pl.worker.busyAt = now
-	pl.step.job.settled = false
+	pl.step.job.fullyPlaced = false
 	ts := &pl.step.tasks[pl.task.Index]
-	if ts.place == pl {
-		ts.place = nil
+	if ts.placement == pl {
+		ts.placement = nil
 	}
 	if pl.noted {
 		// A next owner is not to look for it there.
-		cr.change(pl.step.job)
+		cr.markDirty(pl.step.job)
 	}
 	cr.opts.Log(Decision{What: "attempt over", Task: pl.task, Attempt: pl.attempt, Worker: pl.worker.info.ID, Token: pl.token, Why: why, PollAge: now.Sub(pl.worker.lookedAt)})
 }
@@ -353,8 +353,8 @@
 		cr.release(now, pl, "its lease has run out")
 		cr.astray(now, pl)
 		pl.step.tasks[pl.task.Index].lost.leave(wk.info.ID)
-		pl.step.job.abandoned = true
-		cr.change(pl.step.job)
+		pl.step.job.hasOpenLosses = true
+		cr.markDirty(pl.step.job)
 		cr.hold(now, pl)
 	}
 	wk.raise()
--- a/cell/yield_test.go
+++ b/cell/yield_test.go
@@ -12,10 +12,10 @@
 // can be in time, and tasks that last, do not wait, and late ones get on.
 func TestLateJobsYieldMachines(t *testing.T) {
 	bd := newTestBed(t, 4)
-	bd.core.run["q"] = runtime{task: time.Second, spread: firstSpread}
+	bd.core.runTimes["q"] = runTimeStats{mean: time.Second, spread: defaultSpread}
 	bd.addJob("late", testEpoch, job.Step{Count: 100, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}})
 	bd.advance(20 * time.Second)
-	bd.core.Yield(bd.now, 1, false)
+	bd.core.LimitMachines(bd.now, 1, false)
 	// Sixteen tasks fit.
 	late := startsIn(bd.plan())
 	if len(late) < 9 || len(late) > 11 {
@@ -31,7 +31,7 @@
 	}
 	bd.addJob("fresh", testEpoch, taskStep(3))
 	bd.addJob("lasting", testEpoch, job.Step{Count: 1, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true})
-	bd.core.Yield(bd.now, 1, false)
+	bd.core.LimitMachines(bd.now, 1, false)
 	fresh := bd.wantStarts(bd.plan(), 4)
 	for _, st := range fresh {
 		if st.Task.Job == "late" {
@@ -39,7 +39,7 @@
 		}
 		bd.answerOrder(st, Done)
 	}
-	bd.advance(2 * yieldFor)
+	bd.advance(2 * machineLimitTTL)
 	if rest := startsIn(bd.plan()); len(rest) != 16-len(late)-len(fresh) {
 		t.Errorf("%d starts once nobody lacks machines", len(rest))
 	}
@@ -49,19 +49,19 @@
 // queue is full, with a time to come back; it is not while there are machines for all, and tasks that last are never refused.
 func TestFullQueueIsRefused(t *testing.T) {
 	bd := newTestBed(t, 4)
-	bd.core.run["q"] = runtime{task: time.Second, spread: firstSpread}
+	bd.core.runTimes["q"] = runTimeStats{mean: time.Second, spread: defaultSpread}
 	for at := range 10 {
 		bd.addJob(job.ID(fmt.Sprintf("j%d", at)), testEpoch, taskStep(40))
 	}
-	if full := bd.core.Load(bd.now).Full; len(full) != 0 {
+	if full := bd.core.Load(bd.now).FullQueues; len(full) != 0 {
 		t.Errorf("full %v while the pool may grow", full)
 	}
-	bd.core.Yield(bd.now, 2, false)
-	if full := bd.core.Load(bd.now).Full; full["q"] < 10*time.Second || full["q"] > 50*time.Second {
+	bd.core.LimitMachines(bd.now, 2, false)
+	if full := bd.core.Load(bd.now).FullQueues; full["q"] < 10*time.Second || full["q"] > 50*time.Second {
 		t.Errorf("full %v: 100 s of a machine are ahead of two", full)
 	}
-	bd.core.Yield(bd.now, 100, false)
-	if full := bd.core.Load(bd.now).Full; len(full) != 0 {
+	bd.core.LimitMachines(bd.now, 100, false)
+	if full := bd.core.Load(bd.now).FullQueues; len(full) != 0 {
 		t.Errorf("full %v with a hundred machines", full)
 	}
 }
@@ -70,7 +70,7 @@
 func TestJobsInTimeYieldToTasksThatLast(t *testing.T) {
 	bd := newTestBed(t, 4)
 	bd.addJob("fresh", testEpoch, taskStep(16))
-	bd.core.Yield(bd.now, 1, true)
+	bd.core.LimitMachines(bd.now, 1, true)
 	if got := len(startsIn(bd.plan())); got < 9 || got > 11 {
 		t.Errorf("%d starts of 16", got)
 	}
--- a/fleet/drain.go
+++ b/fleet/drain.go
@@ -85,7 +85,7 @@
 		if ld.Epoch != ct.fl.members.owner(cellName(pool)).epoch() {
 			continue
 		}
-		for _, id := range ld.Clear {
+		for _, id := range ld.Drained {
 			drained[id] = true
 		}
 	}
--- a/fleet/fullqueues.go
+++ b/fleet/fullqueues.go
@@ -53,7 +53,7 @@
 func collectFullQueues(loads map[job.PoolID]cell.Load) []*peer.FullQueue {
 	var list []*peer.FullQueue
 	for _, ld := range loads {
-		for id, delay := range ld.Full {
+		for id, delay := range ld.FullQueues {
 			list = append(list, &peer.FullQueue{Queue: string(id), ComeBackMillis: delay.Milliseconds()})
 		}
 	}
--- a/fleet/owner.go
+++ b/fleet/owner.go
@@ -395,7 +395,7 @@
 func (ow *owner) canMove(now time.Time, evenIfWaiting bool) bool {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	return ow.planned && ow.core.TakeoverComplete() && now.Sub(ow.claimedAt) > cellMoveInterval && (evenIfWaiting || !ow.core.Pressed(now))
+	return ow.planned && ow.core.TakeoverComplete() && now.Sub(ow.claimedAt) > cellMoveInterval && (evenIfWaiting || !ow.core.HasPending(now))
 }
 
 // jobStatus returns a job's state if this owner has the job in memory.
--- a/fleet/poolsizes.go
+++ b/fleet/poolsizes.go
@@ -78,10 +78,10 @@
 	}
 	now := ow.fl.opts.Now()
 	if machines, limited := limits[ow.pool()]; limited {
-		ow.core.Yield(now, machines, firm)
+		ow.core.LimitMachines(now, machines, firm)
 	}
 	ld := ow.core.Load(now)
-	ld.Clear = ow.drainedWorkers(now)
+	ld.Drained = ow.drainedWorkers(now)
 	return ld, true
 }
 
@@ -183,7 +183,7 @@
 		full = collectFullQueues(loads)
 		ct.recordDrained(loads)
 		for _, ld := range loads {
-			ct.fl.opts.Log.Emit(event.PoolLoad, zap.String("pool", string(ld.Pool)), zap.Float64("needed", ld.Needed), zap.Float64("placed", ld.Placed), zap.Float64("lasting", ld.Lasting), zap.Duration("slack", ld.Slack), zap.Int("workers", len(ld.Workers)), zap.Int("open", ld.Open))
+			ct.fl.opts.Log.Emit(event.PoolLoad, zap.String("pool", string(ld.Pool)), zap.Float64("needed", ld.Demand), zap.Float64("placed", ld.Placed), zap.Float64("lasting", ld.LongRunning), zap.Duration("slack", ld.Slack), zap.Int("workers", len(ld.Workers)), zap.Int("open", ld.OpenJobs))
 		}
 		ct.mu.Lock()
 		machines := maps.Clone(ct.waveRunner.Machines())
--- a/fleet/release_test.go
+++ b/fleet/release_test.go
@@ -23,7 +23,7 @@
 		ow.mu.Lock()
 		defer ow.mu.Unlock()
 		ow.claimedAt = time.Time{}
-		return ow.core.Pressed(one.opts.Now())
+		return ow.core.HasPending(one.opts.Now())
 	}
 	cl.eventually("a job to wait", waits)
 	if ow.canMove(one.opts.Now(), false) {
