--- a/cell/burst_test.go
+++ b/cell/burst_test.go
@@ -15,7 +15,7 @@
 type burst struct {
 	core   *Core
 	now    time.Time
-	agenda agenda
+	agenda eventQueue
 	order  int
 	rnd    *rand.Rand
 	// runs and ends are the state of the simulated workers.
@@ -204,7 +204,7 @@
 		for len(bt.agenda) > 0 && !bt.agenda[0].at.After(tick) {
 			ev := heap.Pop(&bt.agenda).(event)
 			bt.now = ev.at
-			ev.do()
+			ev.run()
 		}
 		bt.now = tick
 		bt.core.OwnershipConfirmed(bt.now)
@@ -240,7 +240,7 @@
 		free[at] = job.Size{CPUMillis: 16000, MemoryMB: 32768}
 	}
 	var line []*open
-	ag, order, now := agenda{}, 0, bt.now
+	ag, order, now := eventQueue{}, 0, bt.now
 	at := func(when time.Time, do func()) {
 		order++
 		heap.Push(&ag, event{when, order, do})
@@ -284,7 +284,7 @@
 	for len(ag) > 0 {
 		ev := heap.Pop(&ag).(event)
 		now = ev.at
-		ev.do()
+		ev.run()
 		if len(ag) == 0 || ag[0].at.After(now) {
 			place()
 		}
--- a/cell/ledger_model_test.go
+++ b/cell/ledger_model_test.go
@@ -19,27 +19,27 @@
 
 // Sizes of the worlds of the model of ledgers.
 const (
-	ledgerEvents  = 2500
-	ledgerCells   = 4
-	ledgerWorkers = 3
-	ledgerOrgs    = 3
-	ledgerTick    = 10 * time.Millisecond
-	// ledgerCalm is for how long nothing fails before it is checked that nobody is left waiting, as the users' rule has it.
-	ledgerCalm = 3 * time.Second
+	ledgerEventCount  = 2500
+	ledgerCellCount   = 4
+	ledgerWorkerCount = 3
+	ledgerOrgCount    = 3
+	ledgerTick        = 10 * time.Millisecond
+	// ledgerMaxWait is for how long nothing fails before it is checked that nobody is left waiting, as the users' rule has it.
+	ledgerMaxWait = 3 * time.Second
 )
 
 // ledgerFault is a rule that is left out on purpose, to see that the checks find it.
 type ledgerFault string
 
 const (
-	soundLedger       ledgerFault = "none"
-	noCondition       ledgerFault = "the store takes writes whose condition does not hold"
-	settledAtOnce     ledgerFault = "a successor counts nothing of what its predecessor may have running"
-	epochIgnored      ledgerFault = "a successor uses its predecessor's part without taking it over"
-	othersIgnored     ledgerFault = "the other cells' parts are not looked at when a maximum is lowered"
-	nothingGivenBack  ledgerFault = "what is not needed is kept"
-	endsNeverCounted  ledgerFault = "ends are not counted"
-	unadoptedOccupant ledgerFault = "what runs already is not counted when a worker is looked at"
+	noFault               ledgerFault = "none"
+	writeConditionIgnored ledgerFault = "the store takes writes whose condition does not hold"
+	reconciledAtOnce      ledgerFault = "a successor counts nothing of what its predecessor may have running"
+	epochIgnored          ledgerFault = "a successor uses its predecessor's part without taking it over"
+	othersIgnored         ledgerFault = "the other cells' parts are not looked at when a maximum is lowered"
+	nothingReturned       ledgerFault = "what is not needed is kept"
+	endsNeverCounted      ledgerFault = "ends are not counted"
+	runningNotAdopted     ledgerFault = "what runs already is not counted when a worker is looked at"
 )
 
 // ledgerTask is a task as it really is.
@@ -49,10 +49,10 @@
 	cell   int
 	worker int
 	// owner counts it, nil once nobody does.
-	owner *ledgerOwner
-	ends  time.Time
-	// most is the maximum that counted when it was ordered: an order that is carried out late cannot know of a lower one.
-	most job.Size
+	owner  *ledgerOwner
+	endsAt time.Time
+	// maximum is the maximum that counted when it was ordered: an order that is carried out late cannot know of a lower one.
+	maximum job.Size
 }
 
 // ledgerOwner is the owner of a cell, with what it knows.
@@ -61,46 +61,46 @@
 	cell  int
 	epoch job.Epoch
 	dead  bool
-	// cut is until when it reaches the store in no way.
-	cut time.Time
+	// storeCutUntil is until when it reaches the store in no way.
+	storeCutUntil time.Time
 	// fenced are the workers that it has looked at.
 	fenced map[int]bool
-	// knows is the newest configuration known to it.
-	knows   int
-	waiting map[job.OrganisationID][]job.Size
-	started map[job.OrganisationID]time.Time
+	// configIndex is the newest configuration known to it.
+	configIndex int
+	waiting     map[job.OrganisationID][]job.Size
+	startedAt   map[job.OrganisationID]time.Time
 }
 
 // ledgerWorld is a world of several cells with one store.
 type ledgerWorld struct {
-	rnd   *rand.Rand
-	fault ledgerFault
-	now   time.Time
-	calm  time.Time
-	rows  map[job.OrganisationID]AccountRow
-	// past are the times at which versions were written.
-	past    map[job.OrganisationID][]AccountRow
-	written map[int64]time.Time
-	version int64
+	rnd            *rand.Rand
+	fault          ledgerFault
+	now            time.Time
+	faultsOffSince time.Time
+	rows           map[job.OrganisationID]AccountRow
+	// history are the times at which versions were written.
+	history   map[job.OrganisationID][]AccountRow
+	writtenAt map[int64]time.Time
+	version   int64
 	// configs are the maxima as they were put in force, at the times.
-	configs []map[job.OrganisationID]job.Size
-	put     []time.Time
-	owners  []*ledgerOwner
-	current [ledgerCells]*ledgerOwner
-	fence   [ledgerCells][ledgerWorkers]job.Epoch
-	running []*ledgerTask
-	late    []func()
-	err     error
+	configs      []map[job.OrganisationID]job.Size
+	configuredAt []time.Time
+	owners       []*ledgerOwner
+	current      [ledgerCellCount]*ledgerOwner
+	workerEpochs [ledgerCellCount][ledgerWorkerCount]job.Epoch
+	running      []*ledgerTask
+	delayed      []func()
+	err          error
 }
 
 func newLedgerWorld(seed int64, fault ledgerFault) *ledgerWorld {
 	lw := &ledgerWorld{
 		rnd: rand.New(rand.NewSource(seed)), fault: fault, now: time.Unix(1_700_000_000, 0),
-		rows: map[job.OrganisationID]AccountRow{}, past: map[job.OrganisationID][]AccountRow{}, written: map[int64]time.Time{},
+		rows: map[job.OrganisationID]AccountRow{}, history: map[job.OrganisationID][]AccountRow{}, writtenAt: map[int64]time.Time{},
 	}
 	lw.configure()
-	for at := range ledgerCells {
-		lw.replace(at)
+	for at := range ledgerCellCount {
+		lw.replaceOwner(at)
 	}
 	return lw
 }
@@ -110,43 +110,43 @@
 // configure puts new maxima in force; owners learn of them by and by.
 func (lw *ledgerWorld) configure() {
 	maxima := map[job.OrganisationID]job.Size{}
-	for at := range ledgerOrgs {
+	for at := range ledgerOrgCount {
 		maxima[ledgerOrg(at)] = job.Size{CPUMillis: 1000 * (4 + lw.rnd.Intn(40)), MemoryMB: 1000 * (10 + lw.rnd.Intn(40))}
 	}
-	lw.configs, lw.put = append(lw.configs, maxima), append(lw.put, lw.now)
+	lw.configs, lw.configuredAt = append(lw.configs, maxima), append(lw.configuredAt, lw.now)
 }
 
-func (lw *ledgerWorld) learn(ow *ledgerOwner) {
-	ow.knows = len(lw.configs) - 1
+func (lw *ledgerWorld) applyConfig(ow *ledgerOwner) {
+	ow.configIndex = len(lw.configs) - 1
 	cf := &job.Configuration{}
-	for at := range ledgerCells {
+	for at := range ledgerCellCount {
 		cf.Queues = append(cf.Queues, job.Queue{Pool: job.PoolID(fmt.Sprint(at))})
 	}
 	var list []job.Organisation
-	for id, most := range lw.configs[ow.knows] {
+	for id, most := range lw.configs[ow.configIndex] {
 		list = append(list, job.Organisation{ID: id, Maximum: most})
 	}
 	cf.Organisations = job.NewDirectory(list)
 	ow.lg.Configure(cf)
 }
 
-// replace gives a cell a new owner, which does not know yet what runs there. The one before may go on for a while.
-func (lw *ledgerWorld) replace(at int) {
+// replaceOwner gives a cell a new owner, which does not know yet what runs there. The one before may go on for a while.
+func (lw *ledgerWorld) replaceOwner(at int) {
 	lw.version++
-	ow := &ledgerOwner{cell: at, epoch: job.Epoch(lw.version), fenced: map[int]bool{}, waiting: map[job.OrganisationID][]job.Size{}, started: map[job.OrganisationID]time.Time{}}
+	ow := &ledgerOwner{cell: at, epoch: job.Epoch(lw.version), fenced: map[int]bool{}, waiting: map[job.OrganisationID][]job.Size{}, startedAt: map[job.OrganisationID]time.Time{}}
 	ow.lg = NewLedger(fmt.Sprint(at), ow.epoch)
 	if before := lw.current[at]; before != nil {
 		// What waits is the cell's; each organisation begins to wait anew for what is checked.
 		ow.waiting = before.waiting
 		before.waiting = map[job.OrganisationID][]job.Size{}
 		if lw.rnd.Intn(3) > 0 {
-			lw.bury(before)
+			lw.stopOwner(before)
 		}
 	}
 	lw.current[at] = ow
 	lw.owners = append(lw.owners, ow)
-	lw.learn(ow)
-	if lw.fault == settledAtOnce {
+	lw.applyConfig(ow)
+	if lw.fault == reconciledAtOnce {
 		ow.lg.MarkReconciled()
 	}
 	if lw.fault == epochIgnored {
@@ -162,8 +162,8 @@
 	}
 }
 
-// bury ends an owner's process.
-func (lw *ledgerWorld) bury(ow *ledgerOwner) {
+// stopOwner ends an owner's process.
+func (lw *ledgerWorld) stopOwner(ow *ledgerOwner) {
 	ow.dead = true
 	lw.owners = slices.DeleteFunc(lw.owners, func(other *ledgerOwner) bool { return other == ow })
 	for _, lt := range lw.running {
@@ -173,50 +173,50 @@
 	}
 }
 
-// look has an owner fence a worker and count what runs there.
-func (lw *ledgerWorld) look(ow *ledgerOwner, worker int) {
-	if ow.fenced[worker] || lw.fence[ow.cell][worker] > ow.epoch {
+// fenceWorker has an owner fence a worker and count what runs there.
+func (lw *ledgerWorld) fenceWorker(ow *ledgerOwner, worker int) {
+	if ow.fenced[worker] || lw.workerEpochs[ow.cell][worker] > ow.epoch {
 		return
 	}
-	lw.fence[ow.cell][worker] = ow.epoch
+	lw.workerEpochs[ow.cell][worker] = ow.epoch
 	ow.fenced[worker] = true
 	for _, lt := range lw.running {
-		if lt.cell == ow.cell && lt.worker == worker && lw.fault != unadoptedOccupant {
+		if lt.cell == ow.cell && lt.worker == worker && lw.fault != runningNotAdopted {
 			lt.owner = ow
 			ow.lg.addRunning(lt.org, lt.size, 1)
 		}
 	}
-	if len(ow.fenced) == ledgerWorkers {
+	if len(ow.fenced) == ledgerWorkerCount {
 		ow.lg.MarkReconciled()
 	}
 }
 
-// start has an owner start what waits, as far as its ledger allows. Some orders are carried out late.
-func (lw *ledgerWorld) start(ow *ledgerOwner) {
-	for at := range ledgerOrgs {
+// startTasks has an owner startTasks what waits, as far as its ledger allows. Some orders are carried out late.
+func (lw *ledgerWorld) startTasks(ow *ledgerOwner) {
+	for at := range ledgerOrgCount {
 		id := ledgerOrg(at)
 		for len(ow.waiting[id]) > 0 {
 			size := ow.waiting[id][0]
-			worker := lw.rnd.Intn(ledgerWorkers)
+			worker := lw.rnd.Intn(ledgerWorkerCount)
 			if !ow.fenced[worker] || !ow.lg.AllowsTask(id, size) {
 				break
 			}
 			ow.waiting[id] = ow.waiting[id][1:]
-			ow.started[id] = lw.now
+			ow.startedAt[id] = lw.now
 			ow.lg.addRunning(id, size, 1)
-			lt := &ledgerTask{org: id, size: size, cell: ow.cell, worker: worker, owner: ow, ends: lw.now.Add(time.Duration(200+lw.rnd.Intn(1500)) * time.Millisecond), most: lw.mayBeInForce(ow, id)}
-			if lw.faulty() && lw.rnd.Intn(5) == 0 {
-				lw.later(func() { lw.begin(lt, ow) })
+			lt := &ledgerTask{org: id, size: size, cell: ow.cell, worker: worker, owner: ow, endsAt: lw.now.Add(time.Duration(200+lw.rnd.Intn(1500)) * time.Millisecond), maximum: lw.highestKnownMaximum(ow, id)}
+			if lw.faultsOn() && lw.rnd.Intn(5) == 0 {
+				lw.delay(func() { lw.executeStart(lt, ow) })
 				continue
 			}
-			lw.begin(lt, ow)
+			lw.executeStart(lt, ow)
 		}
 	}
 }
 
-// begin carries an order out unless its worker has seen a later owner, and checks the maximum.
-func (lw *ledgerWorld) begin(lt *ledgerTask, ow *ledgerOwner) {
-	if lw.fence[lt.cell][lt.worker] > ow.epoch {
+// executeStart carries an order out unless its worker has seen a later owner, and checks the maximum.
+func (lw *ledgerWorld) executeStart(lt *ledgerTask, ow *ledgerOwner) {
+	if lw.workerEpochs[lt.cell][lt.worker] > ow.epoch {
 		ow.lg.addRunning(lt.org, lt.size, -1)
 		return
 	}
@@ -231,31 +231,31 @@
 			alone++
 		}
 	}
-	most := lt.most.Max(lw.mayBeInForce(ow, lt.org))
+	most := lt.maximum.Max(lw.highestKnownMaximum(ow, lt.org))
 	if alone > 1 && !within(sum, most, most) && lw.err == nil {
 		lw.err = fmt.Errorf("%v has %v running, its maximum is %v", lt.org, sum, most)
 	}
 }
 
-// mayBeInForce is the highest maximum that may count: of all configurations since the oldest that a living owner knows, and since the row that
+// highestKnownMaximum is the highest maximum that may count: of all configurations since the oldest that a living owner knows, and since the row that
 // the starting one knows was the newest, by which it judges what the others hold.
-func (lw *ledgerWorld) mayBeInForce(ow *ledgerOwner, id job.OrganisationID) job.Size {
+func (lw *ledgerWorld) highestKnownMaximum(ow *ledgerOwner, id job.OrganisationID) job.Size {
 	since := lw.now
 	for _, other := range lw.owners {
-		if other.knows < len(lw.configs)-1 {
-			since = earliest(since, lw.put[other.knows])
+		if other.configIndex < len(lw.configs)-1 {
+			since = earliest(since, lw.configuredAt[other.configIndex])
 		}
 	}
 	known := ow.lg.account(id).Version
-	for _, rw := range lw.past[id] {
+	for _, rw := range lw.history[id] {
 		if rw.Version > known {
-			since = earliest(since, lw.written[rw.Version])
+			since = earliest(since, lw.writtenAt[rw.Version])
 			break
 		}
 	}
 	most := lw.configs[len(lw.configs)-1][id]
 	for at := len(lw.configs) - 2; at >= 0; at-- {
-		if lw.put[at+1].Before(since) {
+		if lw.configuredAt[at+1].Before(since) {
 			break
 		}
 		most = most.Max(lw.configs[at][id])
@@ -263,15 +263,15 @@
 	return most
 }
 
-// later puts something off.
-func (lw *ledgerWorld) later(do func()) { lw.late = append(lw.late, do) }
+// delay puts something off.
+func (lw *ledgerWorld) delay(do func()) { lw.delayed = append(lw.delayed, do) }
 
-// faulty reports whether things fail at this time.
-func (lw *ledgerWorld) faulty() bool { return lw.calm.IsZero() }
+// faultsOn reports whether things fail at this time.
+func (lw *ledgerWorld) faultsOn() bool { return lw.faultsOffSince.IsZero() }
 
-// change has an owner write what it needs or gives back.
-func (lw *ledgerWorld) change(ow *ledgerOwner) {
-	if ow.cut.After(lw.now) {
+// writeAccounts has an owner write what it needs or gives back.
+func (lw *ledgerWorld) writeAccounts(ow *ledgerOwner) {
+	if ow.storeCutUntil.After(lw.now) {
 		return
 	}
 	waiting := map[job.OrganisationID]Demand{}
@@ -286,7 +286,7 @@
 		}
 	}
 	rows := ow.lg.PendingWrites(lw.now, waiting)
-	if lw.fault == nothingGivenBack {
+	if lw.fault == nothingReturned {
 		rows = slices.DeleteFunc(rows, func(rw AccountRow) bool {
 			was, known := ow.lg.account(rw.Organisation).Account[ow.lg.cell]
 			return known && was.Epoch == ow.epoch && within(rw.Account[ow.lg.cell].Held, was.Held, was.Held)
@@ -296,14 +296,14 @@
 		return
 	}
 	answered := true
-	if lw.faulty() {
+	if lw.faultsOn() {
 		switch lw.rnd.Intn(8) {
 		case 0:
 			return
 		case 1:
 			answered = false
 		case 2:
-			lw.later(func() { lw.commit(rows) })
+			lw.delay(func() { lw.commit(rows) })
 			return
 		}
 	}
@@ -327,43 +327,43 @@
 			conflicts = append(conflicts, now)
 		}
 	}
-	if len(conflicts) > 0 && lw.fault != noCondition {
+	if len(conflicts) > 0 && lw.fault != writeConditionIgnored {
 		return 0, conflicts
 	}
 	lw.version++
 	for _, rw := range rows {
 		rw.Version = lw.version
 		lw.rows[rw.Organisation] = rw
-		lw.past[rw.Organisation] = append(lw.past[rw.Organisation], rw)
+		lw.history[rw.Organisation] = append(lw.history[rw.Organisation], rw)
 	}
-	lw.written[lw.version] = lw.now
+	lw.writtenAt[lw.version] = lw.now
 	return lw.version, nil
 }
 
-// hear has an owner take the rows of the feed.
-func (lw *ledgerWorld) hear(ow *ledgerOwner) {
-	if ow.cut.After(lw.now) {
+// readFeed has an owner take the rows of the feed.
+func (lw *ledgerWorld) readFeed(ow *ledgerOwner) {
+	if ow.storeCutUntil.After(lw.now) {
 		return
 	}
-	for at := range ledgerOrgs {
+	for at := range ledgerOrgCount {
 		rw, ok := lw.rows[ledgerOrg(at)]
-		if !ok || lw.faulty() && lw.rnd.Intn(3) == 0 {
+		if !ok || lw.faultsOn() && lw.rnd.Intn(3) == 0 {
 			continue
 		}
 		ow.lg.Update(rw)
 	}
 }
 
-// end ends tasks whose time has come and has their owners count it, some of them later.
-func (lw *ledgerWorld) end() {
+// endTasks ends tasks whose time has come and has their owners count it, some of them later.
+func (lw *ledgerWorld) endTasks() {
 	lw.running = slices.DeleteFunc(lw.running, func(lt *ledgerTask) bool {
-		if lt.ends.After(lw.now) {
+		if lt.endsAt.After(lw.now) {
 			return false
 		}
 		if ow := lt.owner; ow != nil && lw.fault != endsNeverCounted {
 			count := func() { ow.lg.addRunning(lt.org, lt.size, -1) }
-			if lw.faulty() && lw.rnd.Intn(4) == 0 {
-				lw.later(count)
+			if lw.faultsOn() && lw.rnd.Intn(4) == 0 {
+				lw.delay(count)
 			} else {
 				count()
 			}
@@ -372,8 +372,8 @@
 	})
 }
 
-// othersFault leaves out that a lowered maximum is shared with the others.
-func (lw *ledgerWorld) othersFault(ow *ledgerOwner) {
+// dropOtherCells leaves out that a lowered maximum is shared with the others.
+func (lw *ledgerWorld) dropOtherCells(ow *ledgerOwner) {
 	if lw.fault != othersIgnored {
 		return
 	}
@@ -388,29 +388,29 @@
 	}
 }
 
-// step plays one event.
-func (lw *ledgerWorld) step() {
+// playEvent plays one event.
+func (lw *ledgerWorld) playEvent() {
 	lw.now = lw.now.Add(time.Duration(1+lw.rnd.Intn(10)) * ledgerTick)
-	lw.end()
+	lw.endTasks()
 	ow := lw.owners[lw.rnd.Intn(len(lw.owners))]
 	switch lw.rnd.Intn(16) {
 	case 0, 1, 2, 3:
-		cur := lw.current[lw.rnd.Intn(ledgerCells)]
-		id := ledgerOrg(lw.rnd.Intn(ledgerOrgs))
+		cur := lw.current[lw.rnd.Intn(ledgerCellCount)]
+		id := ledgerOrg(lw.rnd.Intn(ledgerOrgCount))
 		for range 1 + lw.rnd.Intn(8) {
 			cur.waiting[id] = append(cur.waiting[id], job.Size{CPUMillis: 500 * (1 + lw.rnd.Intn(6)), MemoryMB: 100 * (1 + lw.rnd.Intn(20))})
 		}
 	case 4, 5:
-		lw.hear(ow)
+		lw.readFeed(ow)
 	case 6, 7, 8:
-		lw.change(ow)
+		lw.writeAccounts(ow)
 	case 9, 10:
-		lw.look(ow, lw.rnd.Intn(ledgerWorkers))
+		lw.fenceWorker(ow, lw.rnd.Intn(ledgerWorkerCount))
 	case 11:
-		if len(lw.late) > 0 {
-			at := lw.rnd.Intn(len(lw.late))
-			do := lw.late[at]
-			lw.late = slices.Delete(lw.late, at, at+1)
+		if len(lw.delayed) > 0 {
+			at := lw.rnd.Intn(len(lw.delayed))
+			do := lw.delayed[at]
+			lw.delayed = slices.Delete(lw.delayed, at, at+1)
 			do()
 		}
 	case 12:
@@ -418,52 +418,52 @@
 		case 0:
 			lw.configure()
 		case 1:
-			lw.replace(lw.rnd.Intn(ledgerCells))
+			lw.replaceOwner(lw.rnd.Intn(ledgerCellCount))
 		case 2:
-			ow.cut = lw.now.Add(time.Duration(lw.rnd.Intn(4000)) * time.Millisecond)
+			ow.storeCutUntil = lw.now.Add(time.Duration(lw.rnd.Intn(4000)) * time.Millisecond)
 		}
 	case 13:
-		if !ow.cut.After(lw.now) {
-			lw.learn(ow)
+		if !ow.storeCutUntil.After(lw.now) {
+			lw.applyConfig(ow)
 		}
 	}
-	lw.othersFault(ow)
-	lw.start(ow)
+	lw.dropOtherCells(ow)
+	lw.startTasks(ow)
 }
 
-// rest lets everything become calm and checks that nobody waits whose organisation holds little.
-func (lw *ledgerWorld) rest() {
-	lw.calm = lw.now
-	for _, do := range lw.late {
+// playWithoutFaults lets everything become calm and checks that nobody waits whose organisation holds little.
+func (lw *ledgerWorld) playWithoutFaults() {
+	lw.faultsOffSince = lw.now
+	for _, do := range lw.delayed {
 		do()
 	}
-	lw.late = nil
+	lw.delayed = nil
 	for _, ow := range slices.Clone(lw.owners) {
 		if lw.current[ow.cell] != ow {
-			lw.bury(ow)
+			lw.stopOwner(ow)
 			continue
 		}
-		ow.cut = time.Time{}
-		lw.learn(ow)
-		for worker := range ledgerWorkers {
-			lw.look(ow, worker)
+		ow.storeCutUntil = time.Time{}
+		lw.applyConfig(ow)
+		for worker := range ledgerWorkerCount {
+			lw.fenceWorker(ow, worker)
 		}
 	}
 	most := lw.configs[len(lw.configs)-1]
-	for lw.now.Before(lw.calm.Add(2 * ledgerCalm)) {
+	for lw.now.Before(lw.faultsOffSince.Add(2 * ledgerMaxWait)) {
 		lw.now = lw.now.Add(5 * ledgerTick)
-		lw.end()
+		lw.endTasks()
 		for _, ow := range lw.current {
-			lw.hear(ow)
-			lw.othersFault(ow)
-			lw.change(ow)
-			lw.start(ow)
+			lw.readFeed(ow)
+			lw.dropOtherCells(ow)
+			lw.writeAccounts(ow)
+			lw.startTasks(ow)
 			for id, list := range ow.waiting {
 				lw.checkWait(ow, id, list, most[id])
 			}
 		}
 	}
-	lw.calm = time.Time{}
+	lw.faultsOffSince = time.Time{}
 }
 
 // checkWait fails if tasks of an organisation that holds under half of its maximum have waited for too long at a cell without a start.
@@ -474,15 +474,15 @@
 			sum = sum.Add(lt.size)
 		}
 	}
-	since := ow.started[id]
-	if since.Before(lw.calm) {
-		since = lw.calm
+	since := ow.startedAt[id]
+	if since.Before(lw.faultsOffSince) {
+		since = lw.faultsOffSince
 	}
 	if len(list) == 0 || 2*sum.CPUMillis >= most.CPUMillis || 2*sum.MemoryMB >= most.MemoryMB {
-		ow.started[id] = lw.now
+		ow.startedAt[id] = lw.now
 		return
 	}
-	if lw.now.Sub(since) > ledgerCalm && lw.err == nil {
+	if lw.now.Sub(since) > ledgerMaxWait && lw.err == nil {
 		lw.err = fmt.Errorf("%v of cell %d waits since %v though %v of %v is in use; row %+v", id, ow.cell, lw.now.Sub(since), sum, most, lw.rows[id].Account)
 	}
 }
@@ -490,10 +490,10 @@
 // play plays a world and returns what its checks found.
 func playLedgers(seed int64, fault ledgerFault) error {
 	lw := newLedgerWorld(seed, fault)
-	for at := range ledgerEvents {
-		lw.step()
+	for at := range ledgerEventCount {
+		lw.playEvent()
 		if at%500 == 499 {
-			lw.rest()
+			lw.playWithoutFaults()
 		}
 		if lw.err != nil {
 			return fmt.Errorf("seed %d, event %d: %w", seed, at, lw.err)
@@ -505,8 +505,8 @@
 // TestModelOfLedgers: owners of several cells start what they may under lost and late writes, stale rows, cuts, takeovers with late orders of
 // the former owner, and maxima that change. What an organisation has running stays within its maximum, and nobody is left waiting in calm.
 func TestModelOfLedgers(t *testing.T) {
-	for seed := *ledgerSeed; seed < *ledgerSeed+int64(max(1, *ledgerSteps/ledgerEvents)); seed++ {
-		if err := playLedgers(seed, soundLedger); err != nil {
+	for seed := *ledgerSeed; seed < *ledgerSeed+int64(max(1, *ledgerSteps/ledgerEventCount)); seed++ {
+		if err := playLedgers(seed, noFault); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -515,7 +515,7 @@
 // TestModelOfLedgersFindsFaults: each rule that is left out is found within some worlds. Searching begins near a world that shows it. Writes
 // without an answer have a test of their own.
 func TestModelOfLedgersFindsFaults(t *testing.T) {
-	for fault, first := range map[ledgerFault]int64{noCondition: 1, settledAtOnce: 309, epochIgnored: 210, othersIgnored: 1, nothingGivenBack: 1, endsNeverCounted: 1, unadoptedOccupant: 25} {
+	for fault, first := range map[ledgerFault]int64{writeConditionIgnored: 1, reconciledAtOnce: 309, epochIgnored: 210, othersIgnored: 1, nothingReturned: 1, endsNeverCounted: 1, runningNotAdopted: 25} {
 		var err error
 		for seed := first; seed < first+60 && err == nil; seed++ {
 			err = playLedgers(seed, fault)
--- a/cell/model_run_test.go
+++ b/cell/model_run_test.go
@@ -37,7 +37,7 @@
 // newDenseModel is the world of a seed with owners replaced in the moments that matter.
 func newDenseModel(seed int64) *model {
 	md := newModel(seed, seed%2 == 0)
-	md.dense = true
+	md.denseFaults = true
 	return md
 }
 
@@ -49,18 +49,18 @@
 
 func playModel(t *testing.T, seed int64, md *model) int {
 	t.Helper()
-	for md.steps < modelEvents && md.next() {
+	for md.eventCount < modelEvents && md.playEvent() {
 	}
-	if md.broken == "" {
-		md.rest()
+	if md.violation == "" {
+		md.finish()
 	}
-	if md.broken != "" {
+	if md.violation != "" {
 		for _, line := range md.trace {
 			t.Log(line)
 		}
-		t.Fatalf("seed %d after %d events: %s", seed, md.steps, md.broken)
+		t.Fatalf("seed %d after %d events: %s", seed, md.eventCount, md.violation)
 	}
-	return md.steps
+	return md.eventCount
 }
 
 // Worlds in which tasks were started too often after crashes, jobs given up for losses that were none, workers left idle beside suspects, or
