--- a/fleet/machinecontroller.go
+++ b/fleet/machinecontroller.go
@@ -191,8 +191,8 @@
 	now := ct.fl.opts.Now()
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
-	for at := range list {
-		list[at].CoolingDown = ct.coolingDown(now, list[at].ID)
+	for i := range list {
+		list[i].CoolingDown = ct.coolingDown(now, list[i].ID)
 	}
 	ct.waveRunner.List(sentAt, list)
 }
--- a/fleet/machinelease_test.go
+++ b/fleet/machinelease_test.go
@@ -278,14 +278,14 @@
 func TestLeaseRowPublishesCooldowns(t *testing.T) {
 	const term = time.Second
 	now := time.Now()
-	dl := machineLease{ordered: map[cell.MachineID]*machineOrders{
+	ml := machineLease{ordered: map[cell.MachineID]*machineOrders{
 		"announced": {announced: true},
 		"active":    {inFlight: 1, lastDone: now.Add(-time.Minute)},
 		"over":      {lastDone: now.Add(-time.Second)},
 		"long over": {lastDone: now.Add(-machineCooldown)},
 		"refused":   {},
 	}}
-	got := dl.cooldowns(now, term)
+	got := ml.cooldowns(now, term)
 	want := map[cell.MachineID]time.Duration{"announced": machineCooldown + term, "active": machineCooldown + term, "over": machineCooldown - time.Second}
 	if !maps.Equal(got, want) {
 		t.Fatalf("cooldowns %v, want %v", got, want)
@@ -304,7 +304,7 @@
 	return or
 }
 
-// TestLateReportDoesNotUndoCompletion checks that the report of a wave's begin does not overwrite the report of its completion
+// TestLateReportDoesNotUndoCompletion checks that the report of a wave's start does not overwrite the report of its completion
 // when it is written late.
 func TestLateReportDoesNotUndoCompletion(t *testing.T) {
 	cl := newCluster(t, time.Millisecond)
--- a/fleet/orderqueue_test.go
+++ b/fleet/orderqueue_test.go
@@ -12,9 +12,9 @@
 
 // slowWorkers answers each order after a fixed time; a lost order gets no answer within orderTime.
 type slowWorkers struct {
-	mu       sync.Mutex
-	lost     func(number int) bool
-	received int
+	mu        sync.Mutex
+	loseOrder func(number int) bool
+	received  int
 }
 
 const (
@@ -27,7 +27,7 @@
 func (sw *slowWorkers) Send(_ context.Context, od cell.Order) cell.OrderResult {
 	sw.mu.Lock()
 	sw.received++
-	lost := sw.lost(sw.received)
+	lost := sw.loseOrder(sw.received)
 	sw.mu.Unlock()
 	if lost {
 		time.Sleep(orderTime)
@@ -38,9 +38,9 @@
 }
 
 // runQueue enqueues a number of starts at once and returns when each one had its outcome, and how often each outcome occurred.
-func runQueue(starts int, lost func(number int) bool) (ends []time.Duration, outcomes map[cell.Outcome]int) {
+func runQueue(starts int, loseOrder func(number int) bool) (ends []time.Duration, outcomes map[cell.Outcome]int) {
 	start := time.Now()
-	oq := newOrderQueue(&slowWorkers{lost: lost}, time.Now)
+	oq := newOrderQueue(&slowWorkers{loseOrder: loseOrder}, time.Now)
 	outcomes = map[cell.Outcome]int{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -100,12 +100,12 @@
 // unanswered.
 func TestOrderThatWaitedTooLongIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sw := &slowWorkers{lost: func(int) bool { return true }}
-		ln := newOrderQueue(sw, time.Now)
-		ln.maxWait = orderTime / 2
+		sw := &slowWorkers{loseOrder: func(int) bool { return true }}
+		oq := newOrderQueue(sw, time.Now)
+		oq.maxWait = orderTime / 2
 		outcomes := make(chan cell.Outcome, 10)
 		for range 5 {
-			ln.enqueue(context.Background(), cell.Stop{}, func(od cell.OrderResult) { outcomes <- od.Outcome })
+			oq.enqueue(context.Background(), cell.Stop{}, func(od cell.OrderResult) { outcomes <- od.Outcome })
 		}
 		count := map[cell.Outcome]int{}
 		for range 5 {
--- a/fleet/partition.go
+++ b/fleet/partition.go
@@ -78,8 +78,8 @@
 	}
 	pd.rotation++
 	picked := make([]node, 0, partitionProbes)
-	for at := range partitionProbes {
-		picked = append(picked, list[(pd.rotation+at*len(list)/partitionProbes)%len(list)])
+	for i := range partitionProbes {
+		picked = append(picked, list[(pd.rotation+i*len(list)/partitionProbes)%len(list)])
 	}
 	return picked
 }
--- a/fleet/partition_test.go
+++ b/fleet/partition_test.go
@@ -30,10 +30,10 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	waiting := make(chan SubmitResult, 1)
+	results := make(chan SubmitResult, 1)
 	go func() {
 		result, _ := here.Submit(ctx, testSpec("c1"))
-		waiting <- result
+		results <- result
 	}()
 	if err := far.srv.Close(); err != nil {
 		t.Fatal(err)
@@ -42,14 +42,14 @@
 	if here.Ready() {
 		t.Error("ready although the data hall is cut off")
 	}
-	if result := <-waiting; result == Accepted {
-		t.Errorf("verdict %d for a job that the store has not acknowledged", result)
+	if result := <-results; result == Accepted {
+		t.Errorf("result %d for a job that the store has not acknowledged", result)
 	}
 	if ctx.Err() != nil {
 		t.Error("the answer came only at the caller's timeout")
 	}
 	if result := cl.submit(here, "c2"); result != Refused {
-		t.Errorf("verdict %d for a new job", result)
+		t.Errorf("result %d for a new job", result)
 	}
 	here.faultyStore.set(func(fs *faultyStore) { fs.unresponsive = false })
 	cl.eventually("it is ready again", here.Ready)
@@ -80,9 +80,9 @@
 	here.members.nodeSeenAt["leaves"] = time.Now().Add(testTimeout)
 	here.members.mu.Unlock()
 	cl.eventually("the dead instances are recognized", func() bool { return len(here.liveNodes()) == 4 })
-	rc := &partitionDetector{fl: here.Fleet}
+	pd := &partitionDetector{fl: here.Fleet}
 	for range 10 {
-		for _, nd := range rc.probeTargets() {
+		for _, nd := range pd.probeTargets() {
 			if nd.Name != "far" {
 				t.Fatalf("%s is probed", nd.Name)
 			}
--- a/fleet/peers.go
+++ b/fleet/peers.go
@@ -159,8 +159,8 @@
 	defer pr.mu.Unlock()
 	now := pr.fl.opts.Now()
 	var list []string
-	for at := range addresses {
-		address := addresses[(at+pr.rotation)%len(addresses)]
+	for i := range addresses {
+		address := addresses[(i+pr.rotation)%len(addresses)]
 		if now.After(pr.backoffUntil[address]) && len(list) < carryAttempts {
 			list = append(list, address)
 		}
--- a/fleet/poolsizes.go
+++ b/fleet/poolsizes.go
@@ -108,8 +108,8 @@
 // Grab reserves idle workers of a cell that is owned here.
 func (sv cellsServer) Grab(_ context.Context, rq *peer.GrabRequest) (*peer.GrabResponse, error) {
 	ids := make([]cell.WorkerName, len(rq.Workers))
-	for at, id := range rq.Workers {
-		ids[at] = cell.WorkerName(id)
+	for i, id := range rq.Workers {
+		ids[i] = cell.WorkerName(id)
 	}
 	rp := &peer.GrabResponse{}
 	for _, id := range sv.fl.reserveLocal(rq.Cell, ids) {
--- a/fleet/relay_test.go
+++ b/fleet/relay_test.go
@@ -265,7 +265,7 @@
 	for i := range relayThreshold + 10 {
 		cl.write(Row{Table: "registry", Key: fmt.Sprintf("x%d", i), Value: []byte("{}")})
 	}
-	counts := &callCount{fakeWorkers: cl.workers, by: map[string]int{}}
+	counts := &callCount{fakeWorkers: cl.workers, byNode: map[string]int{}}
 	cl.workersFor = func(name string) Workers { return countingWorkers{counts, name} }
 	var nodes []*testNode
 	for _, name := range []string{"one", "two", "three"} {
@@ -282,7 +282,7 @@
 	submit := func() {
 		for range 10 {
 			if result := cl.submit(ow, job.ID(fmt.Sprintf("%016x", submitted))); result != Accepted {
-				t.Fatalf("verdict %d", result)
+				t.Fatalf("result %d", result)
 			}
 			submitted++
 		}
@@ -293,7 +293,7 @@
 		cl.waitCompleted(ow, job.ID(fmt.Sprintf("%016x", i)))
 		cl.checkRanOnce(job.ID(fmt.Sprintf("%016x", i)))
 	}
-	if own, all := counts.of(ow.opts.Name); own*2 > all {
+	if own, all := counts.calls(ow.opts.Name); own*2 > all {
 		t.Errorf("the owner made %d of %d calls to workers itself", own, all)
 	}
 	for _, nd := range nodes {
@@ -311,24 +311,24 @@
 // callCount counts the orders sent to workers by node.
 type callCount struct {
 	*fakeWorkers
-	mu sync.Mutex
-	by map[string]int
+	mu     sync.Mutex
+	byNode map[string]int
 }
 
 func (cc *callCount) reset() {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	cc.by = map[string]int{}
+	cc.byNode = map[string]int{}
 }
 
-// of returns the number of calls of a node, and of all nodes.
-func (cc *callCount) of(name string) (own, all int) {
+// calls returns the number of calls of a node, and of all nodes.
+func (cc *callCount) calls(name string) (own, all int) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	for _, count := range cc.by {
+	for _, count := range cc.byNode {
 		all += count
 	}
-	return cc.by[name], all
+	return cc.byNode[name], all
 }
 
 // countingWorkers counts the calls that one node makes to workers.
@@ -339,7 +339,7 @@
 
 func (cw countingWorkers) Send(ctx context.Context, od cell.Order) cell.OrderResult {
 	cw.callCount.mu.Lock()
-	cw.by[cw.name]++
+	cw.byNode[cw.name]++
 	cw.callCount.mu.Unlock()
 	return cw.fakeWorkers.Send(ctx, od)
 }
--- a/fleet/relays.go
+++ b/fleet/relays.go
@@ -137,10 +137,10 @@
 		return cmp.Or(cmp.Compare(cells[one.node.Name], cells[other.node.Name]), -cmp.Compare(weight(rs.ow.name, one.node), weight(rs.ow.name, other.node)), cmp.Compare(one.node.Name, other.node.Name))
 	})
 	room := 0.0
-	for at, ln := range list {
+	for i, ln := range list {
 		room += ln.node.cpuShare() * relayWorkersPerCore
 		if room >= workers {
-			return list[:at+1]
+			return list[:i+1]
 		}
 	}
 	return list
--- a/fleet/serialstore_test.go
+++ b/fleet/serialstore_test.go
@@ -176,7 +176,7 @@
 
 // submissions holds the results of submitted jobs.
 type submissions struct {
-	verdicts map[SubmitResult]int
+	results map[SubmitResult]int
 	// late counts the callers that were answered after their timeout.
 	late int
 	// refused lists the jobs whose callers were told that the job was not accepted.
@@ -189,7 +189,7 @@
 // submitJobs submits jobs at a constant rate for some time, each to a random instance, and waits for all results.
 func (fl intakeFleet) submitJobs(seed uint64, perSecond int, span time.Duration) submissions {
 	rd := rand.New(rand.NewPCG(seed, seed))
-	res := submissions{verdicts: map[SubmitResult]int{}}
+	subs := submissions{results: map[SubmitResult]int{}}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for range int(span.Seconds() * float64(perSecond)) {
@@ -201,30 +201,30 @@
 			result, _ := nd.Submit(ctx, testSpec(id))
 			mu.Lock()
 			defer mu.Unlock()
-			res.verdicts[result]++
+			subs.results[result]++
 			if result == Refused {
-				res.refused = append(res.refused, id)
+				subs.refused = append(subs.refused, id)
 			}
 			if time.Since(start) > callerTimeout {
-				res.late++
+				subs.late++
 			}
 		})
 		time.Sleep(time.Second / time.Duration(perSecond))
 	}
 	wg.Wait()
-	return res
+	return subs
 }
 
 // check checks that all callers were answered in time, and that no refused job is stored, not even by transactions that were
 // still in flight when the caller was answered.
-func (fl intakeFleet) check(t *testing.T, res submissions) {
+func (fl intakeFleet) check(t *testing.T, subs submissions) {
 	t.Helper()
-	t.Logf("accepted %d, refused %d, unknown %d, late %d; %d transactions", res.verdicts[Accepted], res.verdicts[Refused], res.verdicts[Unknown], res.late, fl.store.count())
-	if res.late > 0 {
-		t.Errorf("%d callers were answered after their timeout", res.late)
+	t.Logf("accepted %d, refused %d, unknown %d, late %d; %d transactions", subs.results[Accepted], subs.results[Refused], subs.results[Unknown], subs.late, fl.store.count())
+	if subs.late > 0 {
+		t.Errorf("%d callers were answered after their timeout", subs.late)
 	}
 	time.Sleep(time.Minute)
-	for _, id := range res.refused {
+	for _, id := range subs.refused {
 		if stored := fl.store.mm.read(Query{Table: tableHome, Part: partName(homePart(id)), From: string(id), To: string(id) + "!"}); len(stored.Rows) > 0 {
 			t.Errorf("job %s was refused but is stored", id)
 		}
@@ -251,11 +251,11 @@
 		t.Run(fmt.Sprintf("%d instances", count), func(t *testing.T) {
 			withFakeClock(t, func(ctx context.Context, t *testing.T) {
 				fl := startIntake(ctx, newSerialStore(60), count)
-				res := fl.submitJobs(1, 100, 4*time.Second)
-				if got := res.verdicts[Accepted]; got < 380 {
+				subs := fl.submitJobs(1, 100, 4*time.Second)
+				if got := subs.results[Accepted]; got < 380 {
 					t.Errorf("%d of 400 jobs were accepted", got)
 				}
-				fl.check(t, res)
+				fl.check(t, subs)
 			})
 		})
 	}
@@ -289,15 +289,15 @@
 	const drains = 70
 	store := newSerialStore(60)
 	fl := New(Options{Name: "one", Store: store, Machines: noMachines{}, Format: testFormat{}})
-	ids := map[cell.WorkerName]bool{}
+	workers := map[cell.WorkerName]bool{}
 	for i := range drains {
 		id := fmt.Sprintf("%02d", i)
-		ids[cell.WorkerName("w"+id)] = true
+		workers[cell.WorkerName("w"+id)] = true
 		fl.members.applyDrain(Row{Key: drainPrefix + "m" + id, Version: 7, Value: fmt.Appendf(nil, `{"machine":"m%s","worker":"w%s","pool":"pool"}`, id, id)})
 	}
 	ow := newOwner(fl, "pool", ownerRow{version: 5}, func() {})
 	ow.planned = true
-	ow.core.Cordon(ids)
+	ow.core.Cordon(workers)
 	fl.owners["pool"] = ow
 	for _, tc := range []struct {
 		epoch int64
--- a/fleet/tablewatch.go
+++ b/fleet/tablewatch.go
@@ -237,8 +237,8 @@
 	}
 	var gone []Row
 	wt.mu.Lock()
-	for at, rw := range wt.rows {
-		if !present[at] {
+	for place, rw := range wt.rows {
+		if !present[place] {
 			gone = append(gone, Row{Table: rw.Table, Part: rw.Part, Key: rw.Key, Version: rw.Version + 1, Deleted: true})
 		}
 	}
@@ -270,9 +270,9 @@
 func (fl *Fleet) readParts(ctx context.Context, table string, parts []string) ([]Row, error) {
 	found := make([][]Row, len(parts))
 	gr := fl.readers.NewGroupContext(ctx)
-	for at, part := range parts {
+	for i, part := range parts {
 		gr.SubmitErr(func() (err error) {
-			found[at], _, err = fl.readPart(ctx, table, part)
+			found[i], _, err = fl.readPart(ctx, table, part)
 			return err
 		})
 	}
