--- a/fleet/accounts_test.go
+++ b/fleet/accounts_test.go
@@ -34,8 +34,8 @@
 	return wk, err
 }
 
-// An organisation has jobs in two pools, whose owners run on several instances. One instance stops without a handover. The
-// running tasks stay within the maximum, and all jobs complete.
+// TestMaximumAcrossPools runs jobs of an organisation in two pools, whose owners run on several instances. One instance stops
+// without a handover. The running tasks must stay within the maximum, and all jobs must complete.
 func TestMaximumAcrossPools(t *testing.T) {
 	cl := newCluster(t, 150*time.Millisecond)
 	cl.format = maximumFormat{}
@@ -85,7 +85,7 @@
 	}
 }
 
-// A row that cannot be decoded does not change the known accounts.
+// TestUnreadableAccountIsIgnored checks that a row which cannot be decoded does not change the known accounts.
 func TestUnreadableAccountIsIgnored(t *testing.T) {
 	cl := newCluster(t, 20*time.Millisecond)
 	cl.format = maximumFormat{}
@@ -109,8 +109,8 @@
 	}
 }
 
-// The report shows an organisation's maximum, what it holds and runs, and the jobs that wait because it has reached the
-// maximum.
+// TestOrganisationsReport checks that the report shows an organisation's maximum, what it holds and runs, and the jobs that
+// wait because it has reached the maximum.
 func TestOrganisationsReport(t *testing.T) {
 	cl := newCluster(t, 2*time.Second)
 	cl.format = maximumFormat{}
@@ -119,7 +119,7 @@
 	for _, id := range []job.ID{"o1", "o2", "o3"} {
 		sp := testSpec(id)
 		sp.Organisation = "mill"
-		cl.eventually("the acceptance of a job", func() bool {
+		cl.eventually("acceptance", func() bool {
 			result, _ := one.Submit(t.Context(), sp)
 			return result == Accepted
 		})
--- a/fleet/archive_test.go
+++ b/fleet/archive_test.go
@@ -8,7 +8,8 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// A store without transactions over several parts refused all removals of ended jobs, and the table of open jobs kept growing.
+// TestEndedJobsAreArchivedPartByPart uses a store without transactions over several parts. It refused all removals of ended
+// jobs, and the table of open jobs kept growing.
 func TestEndedJobsAreArchivedPartByPart(t *testing.T) {
 	cl := newCluster(t, 5*time.Millisecond)
 	one := cl.start("one", func(fs *faultyStore) { fs.singlePartTx = true })
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -11,7 +11,8 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// A job that one node accepts runs under another node's owner, and both nodes return its state.
+// TestJobRunsThroughAnyNode checks that a job which one node accepts runs under another node's owner, and that both nodes
+// return its state.
 func TestJobRunsThroughAnyNode(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	one, two := cl.start("one"), cl.start("two")
@@ -32,8 +33,8 @@
 	}
 }
 
-// A repeated submission of a stored job must not pass the job to the owner: its newer epoch would make a new owner assume that
-// no earlier owner can have started the job.
+// TestResubmitDoesNotReachOwner checks that a repeated submission of a stored job is not passed to the owner. Its newer epoch
+// would make a new owner assume that no earlier owner can have started the job.
 func TestResubmitDoesNotReachOwner(t *testing.T) {
 	cl := newCluster(t, time.Hour)
 	one := cl.start("one")
@@ -60,8 +61,8 @@
 	})
 }
 
-// A claim whose answer is lost still names this instance in the cell's row. Without a second claim no instance would work on
-// the cell.
+// TestClaimWithLostAnswerIsUsed loses the answer of a claim. The cell's row then names this instance, so that no instance works
+// on the cell unless this one claims it again.
 func TestClaimWithLostAnswerIsUsed(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	lost := 0
@@ -85,7 +86,8 @@
 	cl.waitCompleted(one, "c1")
 }
 
-// The owner's process ends in the middle of a job. The next owner must not start a task a second time.
+// TestTakeoverRunsNothingTwice stops the owner's process in the middle of a job. The next owner must not start a task a second
+// time.
 func TestTakeoverRunsNothingTwice(t *testing.T) {
 	cl := newCluster(t, 800*time.Millisecond)
 	one, two := cl.start("one"), cl.start("two")
@@ -106,7 +108,8 @@
 	cl.checkRanOnce("d1")
 }
 
-// An instance that hands over its cells continues to accept jobs, and no task is started twice.
+// TestHandOverRunsNothingTwice checks that an instance which hands over its cells continues to accept jobs, and that no task is
+// started twice.
 func TestHandOverRunsNothingTwice(t *testing.T) {
 	cl := newCluster(t, 300*time.Millisecond)
 	one, two := cl.start("one"), cl.start("two")
@@ -133,7 +136,8 @@
 	cl.checkRanOnce("e2")
 }
 
-// A node whose calls the store refuses, unlike its peers' calls, accepts jobs through a peer.
+// TestNodeRefusedByStoreUsesPeers lets the store refuse the calls of one node only. The node must still accept jobs, through a
+// peer.
 func TestNodeRefusedByStoreUsesPeers(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	one, two := cl.start("one"), cl.start("two")
@@ -148,7 +152,8 @@
 	cl.checkRanOnce("f1")
 }
 
-// A job whose transaction was not answered may run later, so its result must not be Refused.
+// TestUnansweredCommitIsNotRefused checks the result of a job whose transaction was not answered. The job may run later, so the
+// result must not be Refused.
 func TestUnansweredCommitIsNotRefused(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	one := cl.start("one")
@@ -165,7 +170,8 @@
 	cl.checkRanOnce("g1")
 }
 
-// While the store is down, a job is refused soon, with a time after which to retry, and does not run later.
+// TestSubmitRefusedWhileStoreIsDown checks that a job is refused soon while the store is down, with a time after which to
+// retry, and is not stored later.
 func TestSubmitRefusedWhileStoreIsDown(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	one := cl.start("one")
@@ -183,7 +189,7 @@
 	}
 }
 
-// A cancellation stops the job's tasks, and both nodes return it.
+// TestCancelIsStoredAndStopsTasks checks that a cancellation stops the job's tasks and that both nodes return it.
 func TestCancelIsStoredAndStopsTasks(t *testing.T) {
 	cl := newCluster(t, time.Hour)
 	one, two := cl.start("one"), cl.start("two")
@@ -218,7 +224,8 @@
 	}
 }
 
-// An owner that releases the cell before its takeover is complete keeps the workers that the cell's row lists.
+// TestReleaseBeforeTakeoverKeepsWorkers checks that an owner which releases the cell before its takeover is complete keeps the
+// workers that the cell's row lists.
 func TestReleaseBeforeTakeoverKeepsWorkers(t *testing.T) {
 	ow := &owner{claimRow: ownerRow{Workers: workerRefs("w7"), UnseenLossEpoch: 6}}
 	if row := ow.handoverRow(); len(row.Workers) != 1 || row.UnseenLossEpoch != 6 || row.Released {
@@ -226,7 +233,8 @@
 	}
 }
 
-// After the retention period all rows of a job are deleted, and its state is not found.
+// TestExpiredJobsAreDeleted checks that all rows of a job are deleted after the retention period, and that its state is not
+// found.
 func TestExpiredJobsAreDeleted(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	cl.retention = 100 * time.Millisecond
@@ -251,7 +259,8 @@
 	cl.checkRanOnce("k1")
 }
 
-// A feed call that the store never answers must not keep a new configuration from taking effect.
+// TestHangingFeedTimesOut checks that a feed call which the store never answers does not keep a new configuration from taking
+// effect.
 func TestHangingFeedTimesOut(t *testing.T) {
 	cl := newCluster(t, time.Hour)
 	hung := 0
@@ -273,7 +282,8 @@
 	}
 }
 
-// An owner that has not loaded its cell returns no count of waiting jobs, rather than 0.
+// TestPendingUnknownBeforeLoad checks that an owner which has not loaded its cell returns no count of waiting jobs, rather than
+// 0.
 func TestPendingUnknownBeforeLoad(t *testing.T) {
 	cl := newCluster(t, time.Hour)
 	one := cl.start("one")
@@ -287,8 +297,8 @@
 	}
 }
 
-// In a large fleet the control table is polled less often: each call is expensive, and with more instances each answer has more
-// rows.
+// TestControlPollIntervalGrowsWithFleet checks that the control table is polled less often in a large fleet. Each call is
+// expensive, and with more instances each answer has more rows.
 func TestControlPollIntervalGrowsWithFleet(t *testing.T) {
 	fl := New(Options{Name: "one", Store: &faultyStore{mem: newMemStore()}, Machines: noMachines{}, Format: testFormat{}})
 	last := time.Duration(0)
@@ -307,8 +317,8 @@
 	}
 }
 
-// An instance without cells reads no registrations and sends heartbeats less often. One that claims a cell knows all workers,
-// including changes made while it had no cell.
+// TestOnlyOwnersReadRegistrations checks that an instance without cells reads no registrations and sends heartbeats less often.
+// Once it claims a cell it knows all workers, including changes made while it had no cell.
 func TestOnlyOwnersReadRegistrations(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	one := cl.start("one")
@@ -341,8 +351,8 @@
 	cl.waitCompleted(two, "a1")
 }
 
-// Instances without cells may go longer without a heartbeat. An instance that has just claimed a cell gets the shorter timeout
-// from the time of the claim.
+// TestDeadOwnerIsDetectedSoonerThanIdleNode checks that instances without cells may go longer without a heartbeat than owners.
+// For an instance that has just claimed a cell, the shorter timeout counts from the claim.
 func TestDeadOwnerIsDetectedSoonerThanIdleNode(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	fl := New(Options{Name: "one", Store: &faultyStore{mem: newMemStore()}, Machines: noMachines{}, Format: testFormat{}, Now: func() time.Time { return now }})
--- a/fleet/keys_test.go
+++ b/fleet/keys_test.go
@@ -9,8 +9,8 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// Only callers of a job's organisation can read, resubmit or cancel it, at either instance and whether the owner or the store
-// answers. A job without an organisation is open to all callers.
+// TestJobAccessIsLimitedToItsOrganisation checks that only callers of a job's organisation can read, resubmit or cancel it, at
+// either instance and whether the owner or the store answers. A job without an organisation is open to all callers.
 func TestJobAccessIsLimitedToItsOrganisation(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	one, two := cl.start("one"), cl.start("two")
@@ -59,8 +59,8 @@
 	})
 }
 
-// A newer configuration removes an organisation while its job waits for a worker. The job still completes, and an older
-// configuration does not replace the newer one.
+// TestRemovedOrganisationKeepsItsJobs removes an organisation from the configuration while its job waits for a worker. The job
+// must still complete, and an older configuration must not replace the newer one.
 func TestRemovedOrganisationKeepsItsJobs(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	one := cl.start("one")
--- a/fleet/pause_test.go
+++ b/fleet/pause_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// An operator pauses a queue in the store. No instance accepts its jobs or starts its tasks. After the queue is resumed, its
-// jobs run again, also under another owner.
+// TestQueueIsPausedEverywhere pauses a queue in the store. No instance may accept its jobs or start its tasks. After the queue
+// is resumed its jobs must run again, also under another owner.
 func TestQueueIsPausedEverywhere(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	one, two := cl.start("one"), cl.start("two")
--- a/fleet/payloads_test.go
+++ b/fleet/payloads_test.go
@@ -30,8 +30,8 @@
 	return pr.fakeWorkers.Send(ctx, od)
 }
 
-// The job row that owners read has no payload, but its tasks are started with the payload, even if the instance that accepted
-// the job is gone.
+// TestPayloadIsStoredSeparately checks that the job row which owners read has no payload, and that the job's tasks are started
+// with the payload even if the instance that accepted the job is gone.
 func TestPayloadIsStoredSeparately(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	log := &payloadRecorder{fakeWorkers: cl.workers, payloads: map[job.Task]string{}}
@@ -76,8 +76,8 @@
 	}
 }
 
-// An instance that only reads the older layout would start the job's tasks without the payload, so the payload stays in the
-// job's row.
+// TestPayloadStaysInJobRowForOlderInstances checks that the payload stays in the job's row while an instance only reads the
+// older layout. That instance would start the job's tasks without the payload.
 func TestPayloadStaysInJobRowForOlderInstances(t *testing.T) {
 	cl := newCluster(t, time.Hour)
 	fl := cl.start("one").Fleet
@@ -93,7 +93,7 @@
 	}
 }
 
-// The payload cache evicts the oldest payloads.
+// TestPayloadCacheIsBounded checks that the payload cache evicts the oldest payloads.
 func TestPayloadCacheIsBounded(t *testing.T) {
 	pc := newPayloadCache()
 	text := strings.Repeat("x", job.MaxPayloadBytes)
@@ -109,7 +109,7 @@
 	}
 }
 
-// More peers share the starts while starts are slow, and fewer once they are fast.
+// TestSlowStartsUseMorePeers checks that more peers share the starts while starts are slow, and fewer once they are fast.
 func TestSlowStartsUseMorePeers(t *testing.T) {
 	breadth := 1.0
 	for range 3 {
@@ -129,7 +129,8 @@
 	}
 }
 
-// An instance refuses the jobs of a full queue at once, with the reported time after which to retry, until the report expires.
+// TestFullQueueIsRefusedByAllInstances checks that an instance refuses the jobs of a full queue at once, with the reported time
+// after which to retry, until the report expires.
 func TestFullQueueIsRefusedByAllInstances(t *testing.T) {
 	cl := newCluster(t, time.Hour)
 	nd := cl.start("one")
--- a/fleet/release_test.go
+++ b/fleet/release_test.go
@@ -7,8 +7,8 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// While a job waits, a cell moves only to an instance that is far less loaded. A handover during a burst of jobs would delay
-// them.
+// TestCellWithWaitingJobsIsNotMoved checks that a cell with a waiting job moves only to an instance that is far less loaded. A
+// handover during a burst of jobs would delay them.
 func TestCellWithWaitingJobsIsNotMoved(t *testing.T) {
 	cl := newCluster(t, 20*time.Millisecond)
 	one := cl.start("one")
@@ -35,7 +35,7 @@
 	if err := one.Cancel(t.Context(), "", "huge"); err != nil {
 		t.Fatal(err)
 	}
-	cl.eventually("no job to wait", func() bool { return !waits() })
+	cl.eventually("calm", func() bool { return !waits() })
 	if !ow.canMove(one.opts.Now(), false) {
 		t.Error("a cell without waiting jobs cannot move")
 	}
@@ -61,7 +61,8 @@
 	}
 }
 
-// Loads are requested from the owners of cells. Other instances are only called to report full queues.
+// TestLoadsAreRequestedFromOwners checks that loads are requested only from the owners of cells. Other instances are called
+// only to report full queues.
 func TestLoadsAreRequestedFromOwners(t *testing.T) {
 	mb := newMembers(time.Now, nil)
 	for _, name := range []string{"a", "b", "c"} {
--- a/fleet/start_test.go
+++ b/fleet/start_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// An instance that starts with 300 others must not make more reads of their rows than in a small fleet. With a part for each
-// instance it made 300 reads and more.
+// TestStartupReadsDoNotGrowWithInstances starts an instance beside 300 others. The number of reads must not depend on the
+// number of instances. With a part for each instance there were 300 reads and more.
 func TestStartupReadsDoNotGrowWithInstances(t *testing.T) {
 	cl := newCluster(t, 20*time.Millisecond)
 	for i := range 300 {
@@ -21,7 +21,7 @@
 		cl.write(Row{Table: place.Table, Part: place.Part, Key: place.Key, Value: raw})
 	}
 	one := cl.start("one")
-	cl.eventually("the node to be ready", one.Ready)
+	cl.eventually("readiness", one.Ready)
 	// 32 parts of instances, and the parts of cells. The bound is fixed, so that the test fails if parts are added.
 	if got := one.faultyStore.readCalls(tableControl); got > 42 {
 		t.Errorf("%d reads of the control table, want at most 42", got)
@@ -31,14 +31,14 @@
 	}
 }
 
-// An instance must become ready without reading the registrations. At 3,000 workers they are 1.2 MB, which takes 4.7 s on a
-// link of 2 Mbit/s.
+// TestReadyWithoutRegistrations checks that an instance becomes ready without reading the registrations. At 3,000 workers they
+// are 1.2 MB, which takes 4.7 s on a link of 2 Mbit/s.
 func TestReadyWithoutRegistrations(t *testing.T) {
 	cl := newCluster(t, 20*time.Millisecond)
 	one := cl.start("one")
 	cl.waitOwner(one)
 	two := cl.start("two")
-	cl.eventually("the node to be ready", two.Ready)
+	cl.eventually("readiness", two.Ready)
 	if got := two.faultyStore.readCalls("registry"); got != 0 {
 		t.Errorf("%d reads of registrations by an instance that owns no cell", got)
 	}
@@ -47,8 +47,8 @@
 	}
 }
 
-// Every instance reads the heartbeats of all others, so the idle instances of a large fleet send them less often. Fleets of up
-// to 100 instances keep the normal interval.
+// TestIdleHeartbeatRateIsBounded checks that the idle instances of a large fleet send heartbeats less often, since every
+// instance reads the heartbeats of all others. Fleets of up to 100 instances keep the normal interval.
 func TestIdleHeartbeatRateIsBounded(t *testing.T) {
 	if idleHeartbeatDelay(1) != idleHeartbeatInterval || idleHeartbeatDelay(100) != idleHeartbeatInterval {
 		t.Errorf("intervals of small fleets: %v %v", idleHeartbeatDelay(1), idleHeartbeatDelay(100))
@@ -63,7 +63,8 @@
 	}
 }
 
-// An instance that ran an older version also has a row in another part. The newer row wins even if the older one is read later.
+// TestNewerNodeRowWins reads two rows of an instance: one that ran an older version has a row in another part. The newer row
+// must win even if the older one is read later.
 func TestNewerNodeRowWins(t *testing.T) {
 	mb := newMembers(time.Now, nil)
 	for _, rw := range []Row{
--- a/fleet/workertimeout_test.go
+++ b/fleet/workertimeout_test.go
@@ -7,8 +7,8 @@
 	"github.com/aspenseam/aspenseam/cell"
 )
 
-// Single lost answers or a worker that is gone do not change the timeout. If no answers arrive or all are slow, it grows up to
-// its bound. Fast answers reset it.
+// TestWorkerTimeoutFollowsAnswerTimes checks that single lost answers or a worker that is gone do not change the timeout. If no
+// answers arrive or all are slow, it grows up to its bound. Fast answers reset it.
 func TestWorkerTimeoutFollowsAnswerTimes(t *testing.T) {
 	aw := &adaptiveWorkers{}
 	quick := func() { aw.recordAnswer(2*time.Millisecond, 0, cell.Done) }
--- a/fleet/writes_test.go
+++ b/fleet/writes_test.go
@@ -11,8 +11,8 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// Workers join a cell one after another while the store is sixty times slower. The owner must not block on the writes of the
-// worker list, and an ended attempt must be saved within a few transactions.
+// TestSaveIsNotDelayedByWorkerUpdates lets workers join a cell one after another while the store is sixty times slower. The
+// owner must not block on the writes of the worker list, and an ended attempt must be saved within three transactions.
 func TestSaveIsNotDelayedByWorkerUpdates(t *testing.T) {
 	const (
 		workerCount = 60
@@ -58,8 +58,8 @@
 	})
 }
 
-// A third of the transactions are carried out but not answered, with five saves a second. Most saves must still finish within a
-// second.
+// TestLostAnswersDelaySavesBriefly makes five saves a second while the store carries out a third of the transactions without
+// answering. Most saves must still finish within a second.
 func TestLostAnswersDelaySavesBriefly(t *testing.T) {
 	const saves = 100
 	withFakeClock(t, func(ctx context.Context, t *testing.T) {
@@ -125,8 +125,9 @@
 	return or
 }
 
-// If jobs end faster than a round every three seconds can archive them, the next round starts soon. Otherwise a new owner had
-// to read more than two megabytes of ended jobs over a link of 250 KB/s, and lost the cell before it had finished.
+// TestArchiveKeepsUpWithEndedJobs checks that the next round starts soon if jobs end faster than a round every three seconds
+// can archive them. Otherwise a new owner had to read more than two megabytes of ended jobs over a link of 250 KB/s, and lost
+// the cell before it had finished.
 func TestArchiveKeepsUpWithEndedJobs(t *testing.T) {
 	if got := archiveDelay(archiveBatchSize); got != archiveBacklogInterval {
 		t.Errorf("delay of %v after a full round", got)
