--- a/job/job.go
+++ b/job/job.go
@@ -1,4 +1,4 @@
-// Package job holds the model of jobs: steps, tasks, attempts, the queues that they come through, and what of their progress is kept.
+// Package job defines jobs with their steps, tasks and attempts, the queues they are submitted to, and the stored form of their progress.
 package job
 
 import (
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// Names and numbers of jobs and their parts.
+// Identifiers of jobs and their parts.
 type (
-	// ID names a job; its caller chooses it.
+	// ID identifies a job. It is chosen by the caller.
 	ID string
-	// QueueID names a queue, to which callers hand jobs.
+	// QueueID identifies a queue that callers submit jobs to.
 	QueueID string
-	// PoolID names a pool of workers.
+	// PoolID identifies a pool of workers.
 	PoolID string
-	// Attempt counts the starts of a task, from 1.
+	// Attempt numbers the starts of a task, from 1.
 	Attempt int
-	// Checkpoint is what a worker saved of a task's work; empty means nothing.
+	// Checkpoint refers to the saved work of a task; empty if nothing was saved.
 	Checkpoint string
-	// Epoch orders the owners of a cell; a later owner has a higher one.
+	// Epoch orders the owners of a cell. A later owner has a higher epoch.
 	Epoch int64
 )
 
-// State is what became of a job.
+// State is the state of a job.
 type State string
 
 // The states of a job.
@@ -35,104 +35,104 @@
 	Cancelled State = "cancelled"
 )
 
-// Ended reports whether nothing will be done for the job any more.
+// Ended reports whether the state is final.
 func (st State) Ended() bool {
 	return st == Completed || st == Failed || st == Cancelled
 }
 
-// Bounds of what a job may ask for.
+// Limits of a job.
 const (
-	// MaxSteps, MaxTasks and MaxRepeats keep a job's state within one row.
+	// MaxSteps, MaxTasks and MaxRepeats limit the state of a job to what fits in one row.
 	MaxSteps   = 64
 	MaxTasks   = 4096
 	MaxRepeats = 10000
-	// MaxPayloadBytes is the longest text, in bytes, that the tasks of a job are given.
+	// MaxPayloadBytes is the maximum length of the payload that the tasks of a job receive.
 	MaxPayloadBytes = 4000
 )
 
-// Size is what a task takes or a worker has.
+// Size is an amount of resources that a task takes or a worker has.
 type Size struct {
-	// CPUMillis is thousandths of a core.
+	// CPUMillis is in thousandths of a core.
 	CPUMillis int `json:"cpuMillis,omitempty"`
-	// MemoryMB is mebibytes.
+	// MemoryMB is in mebibytes.
 	MemoryMB     int `json:"memoryMb,omitempty"`
 	Accelerators int `json:"accelerators,omitempty"`
 }
 
-// Fits reports whether one size is within another.
-func (sz Size) Fits(in Size) bool {
-	return sz.CPUMillis <= in.CPUMillis && sz.MemoryMB <= in.MemoryMB && sz.Accelerators <= in.Accelerators
+// Fits reports whether the size is within a limit.
+func (sz Size) Fits(limit Size) bool {
+	return sz.CPUMillis <= limit.CPUMillis && sz.MemoryMB <= limit.MemoryMB && sz.Accelerators <= limit.Accelerators
 }
 
-// Add adds two sizes.
+// Add returns the sum of two sizes.
 func (sz Size) Add(other Size) Size {
 	return Size{sz.CPUMillis + other.CPUMillis, sz.MemoryMB + other.MemoryMB, sz.Accelerators + other.Accelerators}
 }
 
-// Sub subtracts a size.
+// Sub returns the size less another.
 func (sz Size) Sub(other Size) Size {
 	return Size{sz.CPUMillis - other.CPUMillis, sz.MemoryMB - other.MemoryMB, sz.Accelerators - other.Accelerators}
 }
 
-// NonNegative is the size with nothing in place of what is negative.
+// NonNegative returns the size with negative resources set to 0.
 func (sz Size) NonNegative() Size {
 	return Size{max(0, sz.CPUMillis), max(0, sz.MemoryMB), max(0, sz.Accelerators)}
 }
 
-// Max is the larger of two sizes in each figure.
+// Max returns the larger of two sizes for each resource.
 func (sz Size) Max(other Size) Size {
 	return Size{max(sz.CPUMillis, other.CPUMillis), max(sz.MemoryMB, other.MemoryMB), max(sz.Accelerators, other.Accelerators)}
 }
 
-// Min is the smaller of two sizes in each figure.
+// Min returns the smaller of two sizes for each resource.
 func (sz Size) Min(other Size) Size {
 	return Size{min(sz.CPUMillis, other.CPUMillis), min(sz.MemoryMB, other.MemoryMB), min(sz.Accelerators, other.Accelerators)}
 }
 
-// Mul is a multiple of the size.
+// Mul returns the size multiplied by a count.
 func (sz Size) Mul(count int) Size {
 	return Size{sz.CPUMillis * count, sz.MemoryMB * count, sz.Accelerators * count}
 }
 
-// Div is a part of the size, rounded down.
+// Div returns the size divided into parts, rounded down.
 func (sz Size) Div(parts int) Size {
 	return Size{sz.CPUMillis / parts, sz.MemoryMB / parts, sz.Accelerators / parts}
 }
 
-// Step is a stage of a job: a number of equal tasks.
+// Step is a stage of a job. It consists of identical tasks.
 type Step struct {
 	Count    int           `json:"count"`
 	Size     Size          `json:"size"`
 	Estimate time.Duration `json:"estimate,omitempty"`
-	// DependsOn lists the earlier steps whose tasks must all be done first.
+	// DependsOn lists the earlier steps that must be done before this one starts.
 	DependsOn     []int `json:"dependsOn,omitempty"`
 	Checkpointing bool  `json:"checkpointing,omitempty"`
-	// Gang means that the tasks work only together.
+	// Gang means that the tasks only work if all of them run at the same time.
 	Gang bool `json:"gang,omitempty"`
-	// RackLocal means that a gang is slower when it is spread over racks.
+	// RackLocal means that a gang is slower when it is spread over several racks.
 	RackLocal bool `json:"rackLocal,omitempty"`
-	// Label is one that the worker must have; empty for none.
+	// Label is a label that the worker must have; empty for any worker.
 	Label string `json:"label,omitempty"`
-	// DataRack is the rack outside of which the tasks are slower; empty for none.
+	// DataRack is the rack that holds the data of the tasks, which are slower elsewhere; empty for none.
 	DataRack string `json:"dataRack,omitempty"`
-	// SpreadLimit is the most tasks of the step that one worker may hold; 0 for any number.
+	// SpreadLimit is the maximum number of the step's tasks on one worker; 0 for no limit.
 	SpreadLimit int `json:"spreadLimit,omitempty"`
-	// Speculative means that copies of a task may run side by side.
+	// Speculative means that several copies of a task may run at the same time.
 	Speculative bool `json:"speculative,omitempty"`
 	// LongRunning means that the tasks run until the job is cancelled.
 	LongRunning bool   `json:"longRunning,omitempty"`
 	Image       string `json:"image,omitempty"`
-	// LatencyObjective is what the tail of a serving task's answers is to stay below; 0 for a step that serves nobody.
+	// LatencyObjective is the limit for the tail latency of a serving task; 0 for a step that serves no requests.
 	LatencyObjective time.Duration `json:"latencyObjective,omitempty"`
-	// BestEffort means that the step's processors are not counted: it gets what others leave.
+	// BestEffort means that the step reserves no CPU and runs on what other tasks leave unused.
 	BestEffort bool `json:"bestEffort,omitempty"`
-	// DisruptionBudget is how many tasks may be away at once by the system's doing.
+	// DisruptionBudget is the maximum number of tasks that the system may take down at the same time.
 	DisruptionBudget int `json:"disruptionBudget,omitempty"`
-	// HasDisruptionBudget tells a budget of 0 from none.
+	// HasDisruptionBudget distinguishes a budget of 0 from no budget.
 	HasDisruptionBudget bool `json:"budgeted,omitempty"`
 }
 
-// ResourceRequest is what one task of the step counts for on a worker.
+// ResourceRequest returns the resources that one task of the step reserves on a worker.
 func (st *Step) ResourceRequest() Size {
 	room := st.Size
 	if st.BestEffort {
@@ -141,40 +141,41 @@
 	return room
 }
 
-// Spec is a job as its caller handed it in.
+// Spec is a job as submitted by its caller.
 type Spec struct {
 	ID    ID      `json:"id"`
 	Queue QueueID `json:"queue"`
 	Pool  PoolID  `json:"pool"`
-	// Organisation is whose caller handed it in; empty for a call without a key.
+	// Organisation is the organisation of the caller; empty if the job was submitted without a key.
 	Organisation OrganisationID `json:"organisation,omitempty"`
-	// Payload is given to every task.
+	// Payload is passed to every task.
 	Payload string `json:"payload,omitempty"`
 	Steps   []Step `json:"steps"`
-	// Repeats is how often the steps run at due times; 0 means once, at once.
+	// Repeats is the number of scheduled runs; 0 for one run that starts immediately.
 	Repeats int `json:"repeats,omitempty"`
-	// FirstDue is the due time of the first repeat.
-	FirstDue time.Time     `json:"firstDue,omitzero"`
+	// FirstDue is the due time of the first run.
+	FirstDue time.Time `json:"firstDue,omitzero"`
+	// Interval is the time between the due times of two runs.
 	Interval time.Duration `json:"interval,omitempty"`
-	// AcceptedAt is the clock of the entry instance that accepted it.
+	// AcceptedAt is when the job was accepted, by the clock of the accepting entry instance.
 	AcceptedAt time.Time `json:"acceptedAt"`
-	// Epoch is that of the cell's owner as the accepting entry instance knew it; an owner with a lower one must not start the job.
+	// Epoch is the epoch of the cell's owner known to the accepting entry instance. An owner with a lower epoch must not start the job.
 	Epoch Epoch `json:"epoch,omitempty"`
-	// Acceptor is where the entry instance that accepted it is reached by others; it has the payload for a while.
+	// Acceptor is the address at which other instances reach the accepting entry instance, which caches the payload for a while.
 	Acceptor string `json:"acceptor,omitempty"`
 }
 
-// RunCount is how many times the steps run.
+// RunCount returns how many times the steps run.
 func (sp *Spec) RunCount() int {
 	return max(1, sp.Repeats)
 }
 
-// HasSchedule reports whether the job runs at due times.
+// HasSchedule reports whether the runs of the job have due times.
 func (sp *Spec) HasSchedule() bool {
 	return sp.Repeats > 0
 }
 
-// DueTime returns the due time of a run; zero for a job without due times.
+// DueTime returns the due time of a run, or zero if the job has no schedule.
 func (sp *Spec) DueTime(run int) time.Time {
 	if !sp.HasSchedule() {
 		return time.Time{}
@@ -182,10 +183,10 @@
 	return sp.FirstDue.Add(time.Duration(run) * sp.Interval)
 }
 
-// ErrInvalidSpec says that a job cannot be what its caller meant.
+// ErrInvalidSpec is returned for a job with invalid fields.
 var ErrInvalidSpec = errors.New("the job is not well formed")
 
-// Validate reports the first fault of a job.
+// Validate returns an error for the first invalid field of a job.
 func (sp *Spec) Validate() error {
 	switch {
 	case len(sp.Steps) == 0 || len(sp.Steps) > MaxSteps:
@@ -225,51 +226,51 @@
 	return nil
 }
 
-// Task names one task of a job.
+// Task identifies one task of a job.
 type Task struct {
 	Job ID
-	// Run counts the due times from 0; Step and Index count from 0, too.
+	// Run, Step and Index count from 0.
 	Run   int
 	Step  int
 	Index int
 }
 
-// Advice says how a queue's placements are approved by the advice service.
+// Advice configures the approval of a queue's placements by the advice service.
 type Advice struct {
-	// DecisionTime and Each are how long an answer takes, at all and for each worker named.
+	// DecisionTime is the base time that an answer takes. PerWorkerTime is added for each worker in the request.
 	DecisionTime  time.Duration
 	PerWorkerTime time.Duration
-	// ValidFor is how long a ticket holds.
+	// ValidFor is how long a ticket is valid.
 	ValidFor time.Duration
 }
 
-// Queue is where callers hand in jobs of one kind.
+// Queue accepts jobs of one kind from callers.
 type Queue struct {
 	ID   QueueID
 	Host string
-	// PathPrefix is the path under which jobs are handed in; the job's id follows it.
+	// PathPrefix is the path under which jobs are submitted. The id of the job follows it.
 	PathPrefix string
 	Pool       PoolID
 	Priority   int
-	// MaxAttempts is how many failed attempts of a task fail its job.
+	// MaxAttempts is the number of failed attempts of a task after which its job fails.
 	MaxAttempts int
-	// Stretch and Slack give the objective: Stretch times the longest chain of work, plus Slack.
+	// Stretch and Slack define the objective for the time to completion: Stretch times the critical path, plus Slack.
 	Stretch float64
 	Slack   time.Duration
-	// Advice is nil where placements need no approval.
+	// Advice is nil if placements need no approval.
 	Advice *Advice
-	// Public means that calls need no key.
+	// Public means that calls without a key are accepted.
 	Public bool
 }
 
-// Pool is a service's set of machines.
+// Pool is the set of machines of a service.
 type Pool struct {
 	ID PoolID
-	// Reserve means that its machines are switched off and cost nothing.
+	// Reserve means that the machines of the pool are switched off and cost nothing.
 	Reserve bool
 }
 
-// Limits bound what callers may send.
+// Limits limits the requests of callers.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -277,25 +278,26 @@
 	IdleTimeout   time.Duration
 }
 
-// Configuration is what the operator has put in force.
+// Configuration is the operator's configuration that is in force.
 type Configuration struct {
 	Version int64
 	Queues  []Queue
 	Pools   []Pool
 	Limits  Limits
-	// Organisations is nil where the operator names none; then no call needs a key.
+	// Organisations is nil if none are configured. Calls then need no key.
 	Organisations *Directory
 }
 
-// CallerOrganisation returns whose call it is that came to a queue with a key. Where the operator names no organisations, no call needs one.
-func (cf *Configuration) CallerOrganisation(qu *Queue, text string) (OrganisationID, error) {
+// CallerOrganisation returns the organisation whose key came with a call to a queue. If no organisations are configured, calls need no key and the
+// result is empty.
+func (cf *Configuration) CallerOrganisation(qu *Queue, keyText string) (OrganisationID, error) {
 	if cf.Organisations == nil {
 		return "", nil
 	}
-	return cf.Organisations.CallerOrganisation(qu, text)
+	return cf.Organisations.CallerOrganisation(qu, keyText)
 }
 
-// Queue returns a queue by its name, nil if there is none.
+// Queue returns the queue with an id, or nil if there is none.
 func (cf *Configuration) Queue(id QueueID) *Queue {
 	for at := range cf.Queues {
 		if cf.Queues[at].ID == id {
@@ -305,7 +307,7 @@
 	return nil
 }
 
-// Route returns the queue with the longest prefix that the path starts with, nil if there is none.
+// Route returns the queue of a host with the longest prefix of a path, or nil if there is none.
 func (cf *Configuration) Route(host, path string) *Queue {
 	var best *Queue
 	for at := range cf.Queues {
--- a/job/organisation.go
+++ b/job/organisation.go
@@ -8,66 +8,66 @@
 	"slices"
 )
 
-// OrganisationID names an organisation, for whose callers jobs are run.
+// OrganisationID identifies an organisation whose callers submit jobs.
 type OrganisationID string
 
-// Key is what is remembered of the text with which a caller proves its organisation: a digest from which the text cannot be found. Look-ups go
-// by the digest, so that how long one takes tells nothing of how near a wrong text is to a right one.
+// Key is the digest of an API key with which a caller proves its organisation. The text of the key is not stored. Look-ups compare digests, so
+// their timing does not reveal how similar a wrong key is to a valid one.
 type Key [sha256.Size]byte
 
-// NewKey returns the digest of a key's text.
+// NewKey returns the digest of the text of a key.
 func NewKey(text string) Key { return sha256.Sum256([]byte(text)) }
 
-// fingerprintBytes is how much of a digest logs show: enough to tell some thousand keys apart.
+// fingerprintBytes is the length of a fingerprint. It distinguishes some thousand keys.
 const fingerprintBytes = 4
 
-// Fingerprint is the beginning of the digest, in hex, by which logs name a key.
+// Fingerprint returns the beginning of the digest in hex, which identifies the key in logs.
 func (ky Key) Fingerprint() string { return hex.EncodeToString(ky[:fingerprintBytes]) }
 
-// String is the fingerprint, so that no message shows more.
+// String returns the fingerprint, so that no log line or error message contains the whole digest.
 func (ky Key) String() string { return ky.Fingerprint() }
 
-// Organisation is one whose callers hand in jobs.
+// Organisation is a tenant whose callers submit jobs.
 type Organisation struct {
 	ID   OrganisationID
 	Keys []Key
-	// Weight is its share when all is full, and how many jobs a second are owed to it; 0 counts as 1 in shares.
+	// Weight is the organisation's share of a fully used system, in jobs per second. A weight of 0 counts as 1.
 	Weight float64
-	// Maximum is what its tasks may take on all workers together; 0 in one of the figures bounds that one not at all.
+	// Maximum limits the resources of the organisation's tasks on all workers together. A resource of 0 is not limited.
 	Maximum Size
 }
 
 // HasMaximum reports whether the organisation has a maximum.
 func (og *Organisation) HasMaximum() bool { return og.Maximum != Size{} }
 
-// Errors of calls that an organisation's key has to allow.
+// Errors of calls that need the key of an organisation.
 var (
-	// ErrNoKey says that the call has no key though its queue wants one, or one that the configuration does not hold.
+	// ErrNoKey is returned for a call without a key to a queue that needs one, and for a call with an unknown key.
 	ErrNoKey = errors.New("the call has no key of an organisation")
-	// ErrOtherOrganisation says that the job is another organisation's.
+	// ErrOtherOrganisation is returned for a call for a job of another organisation.
 	ErrOtherOrganisation = errors.New("the job is another organisation's")
 )
 
-// Directory finds organisations by their keys. It does not change once it is built.
+// Directory looks up organisations by key. It is immutable.
 type Directory struct {
 	list []Organisation
 	keys map[Key]OrganisationID
-	// sharedKeys are keys that several organisations hold.
+	// sharedKeys holds the keys that are configured for several organisations.
 	sharedKeys []Key
 }
 
-// NewDirectory returns a directory of some organisations, which it keeps in the order of their names. A key that several hold is the first
-// one's, so that all entry instances agree; Shared names it.
+// NewDirectory returns a directory of organisations, sorted by name. A key that several organisations have belongs to the first of them, so that
+// all entry instances agree. SharedKeys returns such keys.
 func NewDirectory(list []Organisation) *Directory {
 	dy := &Directory{list: slices.Clone(list), keys: map[Key]OrganisationID{}}
 	slices.SortStableFunc(dy.list, func(one, other Organisation) int { return cmp.Compare(one.ID, other.ID) })
 	for _, og := range dy.list {
 		for _, ky := range og.Keys {
-			holder, held := dy.keys[ky]
+			owner, taken := dy.keys[ky]
 			switch {
-			case !held:
+			case !taken:
 				dy.keys[ky] = og.ID
-			case holder != og.ID:
+			case owner != og.ID:
 				dy.sharedKeys = append(dy.sharedKeys, ky)
 			}
 		}
@@ -75,7 +75,7 @@
 	return dy
 }
 
-// List returns the organisations by name.
+// List returns the organisations, sorted by name.
 func (dy *Directory) List() []Organisation {
 	if dy == nil {
 		return nil
@@ -83,10 +83,10 @@
 	return dy.list
 }
 
-// SharedKeys returns the keys that several organisations hold.
+// SharedKeys returns the keys that are configured for several organisations.
 func (dy *Directory) SharedKeys() []Key { return dy.sharedKeys }
 
-// Find returns an organisation by its name, nil if there is none.
+// Find returns the organisation with an id, or nil if there is none.
 func (dy *Directory) Find(id OrganisationID) *Organisation {
 	if dy == nil {
 		return nil
@@ -98,10 +98,10 @@
 	return &dy.list[at]
 }
 
-// CallerOrganisation returns whose call it is that came to a queue with a key, empty for a call without one to a public queue. A text that the
-// configuration does not hold is refused at public queues, too: its caller believes to be somebody.
-func (dy *Directory) CallerOrganisation(qu *Queue, text string) (OrganisationID, error) {
-	if text == "" {
+// CallerOrganisation returns the organisation whose key came with a call to a queue. It is empty for a call without a key to a public queue. An
+// unknown key is rejected at public queues too, because its caller expects to be recognised.
+func (dy *Directory) CallerOrganisation(qu *Queue, keyText string) (OrganisationID, error) {
+	if keyText == "" {
 		if qu.Public {
 			return "", nil
 		}
@@ -110,13 +110,13 @@
 	if dy == nil {
 		return "", ErrNoKey
 	}
-	id, held := dy.keys[NewKey(text)]
-	if !held {
+	id, known := dy.keys[NewKey(keyText)]
+	if !known {
 		return "", ErrNoKey
 	}
 	return id, nil
 }
 
-// MayAccess reports whether a caller may see, send again or cancel a job: its organisation is the job's. A job that was handed in by nobody's key
-// is anybody's who may call its queue.
+// MayAccess reports whether a caller may read, resubmit or cancel a job: the job must belong to the caller's organisation. A job submitted without
+// a key is accessible to every caller of its queue.
 func MayAccess(caller, owner OrganisationID) bool { return owner == "" || caller == owner }
