--- a/fleet/accounts.go
+++ b/fleet/accounts.go
@@ -41,8 +41,8 @@
 	return false
 }
 
-// accountsChanged passes changed accounts to the cells that this instance owns.
-func (fl *Fleet) accountsChanged(rows []Row, _ time.Time) {
+// applyAccountRows passes changed accounts to the cells that this instance owns.
+func (fl *Fleet) applyAccountRows(rows []Row, _ time.Time) {
 	for _, rw := range rows {
 		if ar, ok := fl.parseAccount(rw); ok {
 			for _, ow := range fl.allOwners() {
@@ -126,7 +126,7 @@
 		return true
 	case errors.As(err, &cf):
 		ow.fl.metrics.accountsContended.Inc(1)
-		ow.fl.accountsChanged(cf.Rows, ow.fl.opts.Now())
+		ow.fl.applyAccountRows(cf.Rows, ow.fl.opts.Now())
 		return true
 	}
 	return false
--- a/fleet/archive_test.go
+++ b/fleet/archive_test.go
@@ -27,7 +27,7 @@
 	}
 	cl.eventually("an empty table of open jobs", func() bool {
 		for _, id := range ids {
-			if pg := cl.mm.read(Query{Table: jobTable("pool"), Part: partName(homePart(id)), From: string(id), Limit: 1}); len(pg.Rows) > 0 && pg.Rows[0].Key == string(id) {
+			if pg := cl.mem.read(Query{Table: jobTable("pool"), Part: partName(homePart(id)), From: string(id), Limit: 1}); len(pg.Rows) > 0 && pg.Rows[0].Key == string(id) {
 				return false
 			}
 		}
--- a/fleet/fakes_test.go
+++ b/fleet/fakes_test.go
@@ -40,14 +40,14 @@
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	var cf Conflict
-	clash := false
+	conflict := false
 	for _, ex := range tx.Expect {
 		rw := ms.rows[ex.Place]
-		clash = clash || rw.Version != ex.Version
+		conflict = conflict || rw.Version != ex.Version
 		rw.Table, rw.Part, rw.Key = ex.Place.Table, ex.Place.Part, ex.Place.Key
 		cf.Rows = append(cf.Rows, rw)
 	}
-	if clash {
+	if conflict {
 		return 0, &cf
 	}
 	if entries := len(tx.Expect) + len(tx.Write) + len(tx.Remove); entries > 100 {
@@ -60,7 +60,7 @@
 		ms.history = append(ms.history, rw)
 	}
 	for _, place := range tx.Remove {
-		if _, there := ms.rows[place]; there {
+		if _, exists := ms.rows[place]; exists {
 			delete(ms.rows, place)
 			ms.history = append(ms.history, Row{Table: place.Table, Part: place.Part, Key: place.Key, Version: ms.version, Deleted: true})
 		}
@@ -149,9 +149,9 @@
 // fault returns the error that the injected faults cause. An unresponsive store blocks until the context ends.
 func (fs *faultyStore) fault(ctx context.Context) error {
 	fs.mu.Lock()
-	refuse, silent := fs.refuse, fs.unresponsive
+	refuse, unresponsive := fs.refuse, fs.unresponsive
 	fs.mu.Unlock()
-	if silent {
+	if unresponsive {
 		<-ctx.Done()
 		return ErrNoAnswer
 	}
@@ -263,8 +263,8 @@
 	ends    time.Time
 }
 
-func newWorkers(takes time.Duration) *fakeWorkers {
-	return &fakeWorkers{startedAt: time.Now(), taskTime: takes, tokens: map[cell.WorkerID]cell.Token{}, runs: map[cell.WorkerID]map[job.Task]fakeRun{}, ends: map[cell.WorkerID][]cell.End{}, lastEnd: map[cell.WorkerID]int64{}, starts: map[job.Task]int{}}
+func newWorkers(taskTime time.Duration) *fakeWorkers {
+	return &fakeWorkers{startedAt: time.Now(), taskTime: taskTime, tokens: map[cell.WorkerID]cell.Token{}, runs: map[cell.WorkerID]map[job.Task]fakeRun{}, ends: map[cell.WorkerID][]cell.End{}, lastEnd: map[cell.WorkerID]int64{}, starts: map[job.Task]int{}}
 }
 
 // recordRunning updates maxRunning.
@@ -287,11 +287,11 @@
 func (fw *fakeWorkers) clock() int64 { return 1000 + time.Since(fw.startedAt).Milliseconds() }
 
 func (fw *fakeWorkers) finishDue(id cell.WorkerID) {
-	for tk, rn := range fw.runs[id] {
-		if time.Now().After(rn.ends) {
+	for tk, run := range fw.runs[id] {
+		if time.Now().After(run.ends) {
 			delete(fw.runs[id], tk)
 			fw.lastEnd[id]++
-			fw.ends[id] = append(fw.ends[id], cell.End{Number: fw.lastEnd[id], Task: tk, Attempt: rn.attempt, Reason: cell.EndDone})
+			fw.ends[id] = append(fw.ends[id], cell.End{Number: fw.lastEnd[id], Task: tk, Attempt: run.attempt, Reason: cell.EndDone})
 		}
 	}
 }
@@ -317,8 +317,8 @@
 	fw.tokens[poll.Worker] = poll.Token
 	fw.ends[poll.Worker] = slices.DeleteFunc(fw.ends[poll.Worker], func(en cell.End) bool { return en.Number <= poll.AckedEnd })
 	result.Ended = slices.Clone(fw.ends[poll.Worker])
-	for tk, rn := range fw.runs[poll.Worker] {
-		result.Running = append(result.Running, cell.Running{Task: tk, Attempt: rn.attempt})
+	for tk, run := range fw.runs[poll.Worker] {
+		result.Running = append(result.Running, cell.Running{Task: tk, Attempt: run.attempt})
 	}
 	return result
 }
@@ -395,7 +395,7 @@
 // cluster is a group of nodes that share a store and workers.
 type cluster struct {
 	t       *testing.T
-	mm      *memStore
+	mem     *memStore
 	workers *fakeWorkers
 	// workersFor returns the workers as a node calls them. If it is nil, all nodes use the same fake workers.
 	workersFor func(name string) Workers
@@ -416,8 +416,8 @@
 	done        chan struct{}
 }
 
-func newCluster(t *testing.T, takes time.Duration) *cluster {
-	cl := &cluster{t: t, mm: newMemStore(), workers: newWorkers(takes), retention: time.Hour}
+func newCluster(t *testing.T, taskTime time.Duration) *cluster {
+	cl := &cluster{t: t, mem: newMemStore(), workers: newWorkers(taskTime), retention: time.Hour}
 	cl.write(Row{Table: "operator", Key: "configuration", Value: []byte("{}")})
 	for _, id := range []string{"w0", "w1", "w2"} {
 		cl.write(Row{Table: "registry", Key: id, Value: []byte("{}")})
@@ -427,7 +427,7 @@
 
 func (cl *cluster) write(rw Row) {
 	cl.t.Helper()
-	if _, err := cl.mm.commit(Tx{Write: []Row{rw}}); err != nil {
+	if _, err := cl.mem.commit(Tx{Write: []Row{rw}}); err != nil {
 		cl.t.Fatal(err)
 	}
 }
@@ -439,23 +439,23 @@
 	if err != nil {
 		cl.t.Fatal(err)
 	}
-	way := &faultyStore{mem: cl.mm}
+	store := &faultyStore{mem: cl.mem}
 	for _, fault := range faults {
-		fault(way)
+		fault(store)
 	}
 	var workers Workers = cl.workers
 	if cl.workersFor != nil {
 		workers = cl.workersFor(name)
 	}
 	hall := "h"
-	if named, ok := cl.halls[name]; ok {
-		hall = named
+	if configured, ok := cl.halls[name]; ok {
+		hall = configured
 	}
 	var format Format = testFormat{}
 	if cl.format != nil {
 		format = cl.format
 	}
-	fl := New(Options{Name: name, Hall: hall, Address: ln.Addr().String(), Store: way, Workers: workers, Machines: noMachines{}, Format: format, SinglePartTx: way.singlePartTx})
+	fl := New(Options{Name: name, Hall: hall, Address: ln.Addr().String(), Store: store, Workers: workers, Machines: noMachines{}, Format: format, SinglePartTx: store.singlePartTx})
 	srv := &http.Server{Handler: fl.Handler()}
 	go func() {
 		// Serve returns when the test closes the server.
@@ -463,7 +463,7 @@
 	}()
 	fl.opts.Cell.Retention = cl.retention
 	ctx, cancel := context.WithCancel(context.Background())
-	nd := &testNode{Fleet: fl, faultyStore: way, srv: srv, stop: cancel, done: make(chan struct{})}
+	nd := &testNode{Fleet: fl, faultyStore: store, srv: srv, stop: cancel, done: make(chan struct{})}
 	go func() {
 		defer close(nd.done)
 		fl.Run(ctx)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -150,10 +150,10 @@
 	fl.store = newStoreClient(options.Store, fl.peers, options.Log, options.Now, fl.metrics)
 	fl.members = newMembers(options.Now, options.Log)
 	fl.control = newTableWatch(fl, tableControl, fl.controlPollInterval, controlWait, fl.applyControlRows)
-	fl.operator = newTableWatch(fl, options.Format.OperatorTable(), fixedInterval(operatorInterval), feedWait, fl.operatorChanged)
+	fl.operator = newTableWatch(fl, options.Format.OperatorTable(), fixedInterval(operatorInterval), feedWait, fl.applyOperatorRows)
 	fl.registry = newTableWatch(fl, options.Format.RegistryTable(), fixedInterval(registryInterval), feedWait, fl.applyRegistrations)
 	fl.registry.idle, fl.registry.onIdle = fl.ownsNoCells, fl.workerCache.reset
-	fl.accounts = newTableWatch(fl, tableAccount, fixedInterval(accountFeedInterval), feedWait, fl.accountsChanged)
+	fl.accounts = newTableWatch(fl, tableAccount, fixedInterval(accountFeedInterval), feedWait, fl.applyAccountRows)
 	fl.accounts.idle, fl.accounts.onIdle = fl.accountsUnused, func() {}
 	for part := range fl.intakes {
 		fl.intakes[part] = newIntake(fl, part)
@@ -197,8 +197,8 @@
 // Configuration returns the current configuration, nil before the first one was read.
 func (fl *Fleet) Configuration() *job.Configuration { return fl.config.Load() }
 
-// operatorChanged applies changes of the operator table.
-func (fl *Fleet) operatorChanged(rows []Row, _ time.Time) {
+// applyOperatorRows applies changes of the operator table.
+func (fl *Fleet) applyOperatorRows(rows []Row, _ time.Time) {
 	for _, rw := range rows {
 		fl.applyOperatorRow(rw)
 	}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -244,9 +244,9 @@
 		t.Fatalf("submit: result %d", result)
 	}
 	cl.eventually("the job's rows to be deleted", func() bool {
-		cl.mm.mu.Lock()
-		defer cl.mm.mu.Unlock()
-		for at := range cl.mm.rows {
+		cl.mem.mu.Lock()
+		defer cl.mem.mu.Unlock()
+		for at := range cl.mem.rows {
 			if at.Key == "k1" {
 				return false
 			}
@@ -329,7 +329,7 @@
 		t.Errorf("heartbeat intervals of %v and %v", two.heartbeatDelay(), one.heartbeatDelay())
 	}
 	cl.write(Row{Table: "registry", Key: "w3", Value: []byte("{}")})
-	if _, err := cl.mm.commit(Tx{Remove: []Place{{Table: "registry", Key: "w0"}}}); err != nil {
+	if _, err := cl.mem.commit(Tx{Remove: []Place{{Table: "registry", Key: "w0"}}}); err != nil {
 		t.Fatal(err)
 	}
 	one.stop()
--- a/fleet/fullqueues.go
+++ b/fleet/fullqueues.go
@@ -24,8 +24,8 @@
 
 // fullQueueReport is the report received at one time. It is replaced, never changed.
 type fullQueueReport struct {
-	at     time.Time
-	queues map[job.QueueID]time.Duration
+	receivedAt time.Time
+	queues     map[job.QueueID]time.Duration
 }
 
 // update replaces the current report.
@@ -40,7 +40,7 @@
 // retryAfter returns the time after which callers of a full queue should retry, 0 if the queue is not full.
 func (fs *fullQueueSet) retryAfter(now time.Time, id job.QueueID) time.Duration {
 	report := fs.latest.Load()
-	if report == nil || now.Sub(report.at) > fullQueueTTL {
+	if report == nil || now.Sub(report.receivedAt) > fullQueueTTL {
 		return 0
 	}
 	if delay, exists := report.queues[id]; exists {
--- a/fleet/intake.go
+++ b/fleet/intake.go
@@ -46,7 +46,7 @@
 	// Refused means that this attempt did not store the job and will not run it.
 	Refused
 	// Foreign means that a job of another organisation has the same id.
-	Foreign
+	OtherOrganisation
 )
 
 // Errors of job calls.
@@ -97,7 +97,7 @@
 // resubmitResult returns the result for a caller that submits a stored job again.
 func (hr homeRow) resubmitResult(caller job.OrganisationID) SubmitResult {
 	if !job.MayAccess(caller, hr.Organisation) {
-		return Foreign
+		return OtherOrganisation
 	}
 	return Accepted
 }
@@ -123,8 +123,8 @@
 	}
 }
 
-// abandon returns the result for a caller whose time is over. It is Refused only if no transaction has stored the job and none
-// will.
+// abandon returns the result for a caller whose context has ended. It is Refused only if no transaction has stored the job and
+// none will.
 func (sb *submission) abandon() SubmitResult {
 	if sb.txState.CompareAndSwap(txNone, txWithdrawn) {
 		return Refused
@@ -201,12 +201,12 @@
 		return sp
 	}
 	sp.Acceptor = fl.opts.Address
-	light := *sp
-	light.Payload = ""
-	return &light
+	stripped := *sp
+	stripped.Payload = ""
+	return &stripped
 }
 
-// fresh reports whether the last call for the table was answered within the feed's wait and margin.
+// isFresh reports whether the last call for the table was answered within the feed's wait and margin.
 func (wt *tableWatch) isFresh(now time.Time) bool {
 	_, until := wt.healthyPeriod()
 	return now.Sub(until) < wt.wait+feedTimeoutMargin
@@ -273,8 +273,8 @@
 	}
 }
 
-// answerExpired answers the callers whose time is over, or all callers once this instance is cut off, and returns the remaining
-// jobs.
+// answerExpired answers the callers whose context has ended, or all callers once this instance is cut off, and returns the
+// remaining jobs.
 func (in *intake) answerExpired(waiting []*submission) []*submission {
 	var remaining []*submission
 	for _, sb := range waiting {
--- a/fleet/jobstate.go
+++ b/fleet/jobstate.go
@@ -141,11 +141,11 @@
 
 // storedState derives the state of an existing job from its stored rows.
 func (fl *Fleet) storedState(ctx context.Context, name string, id job.ID) (job.State, error) {
-	rw, begun, err := fl.readRow(ctx, Place{tableProgress, name, string(id)})
+	rw, started, err := fl.readRow(ctx, Place{tableProgress, name, string(id)})
 	if err != nil {
 		return "", err
 	}
-	if begun {
+	if started {
 		pg, err := job.DecodeProgress(rw.Value)
 		if err != nil {
 			fl.opts.Log.Emit(event.JobRowRejected, zap.String("job", string(id)), zap.Error(err))
@@ -161,7 +161,7 @@
 		return "", err
 	case cancelled:
 		return job.Cancelled, nil
-	case begun:
+	case started:
 		return job.Running, nil
 	}
 	return job.Queued, nil
@@ -207,8 +207,8 @@
 }
 
 type pendingCount struct {
-	count int
-	at    time.Time
+	count     int
+	fetchedAt time.Time
 }
 
 // Pending returns the number of a queue's jobs that have not started.
@@ -224,12 +224,12 @@
 	fl.pending.mu.Lock()
 	last, known := fl.pending.counts[queue.ID]
 	fl.pending.mu.Unlock()
-	if known && now.Sub(last.at) < pendingCacheTTL {
+	if known && now.Sub(last.fetchedAt) < pendingCacheTTL {
 		return last.count, nil
 	}
 	count, ok := fl.peers.pending(ctx, name, queue.ID)
 	if !ok {
-		if known && now.Sub(last.at) < pendingMaxStale {
+		if known && now.Sub(last.fetchedAt) < pendingMaxStale {
 			return last.count, nil
 		}
 		return 0, ErrUnavailable
--- a/fleet/keys_test.go
+++ b/fleet/keys_test.go
@@ -17,9 +17,9 @@
 	cl.waitOwner(one, two)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	submit := func(nd *testNode, id job.ID, by job.OrganisationID) SubmitResult {
+	submit := func(nd *testNode, id job.ID, organisation job.OrganisationID) SubmitResult {
 		sp := testSpec(id)
-		sp.Organisation = by
+		sp.Organisation = organisation
 		result, _ := nd.Submit(ctx, sp)
 		return result
 	}
@@ -33,7 +33,7 @@
 		if result := submit(nd, "m1", "mill"); result != Accepted {
 			t.Errorf("%d: second submit by the same organisation: %v", i, result)
 		}
-		if result := submit(nd, "m1", "yard"); result != Foreign {
+		if result := submit(nd, "m1", "yard"); result != OtherOrganisation {
 			t.Errorf("%d: second submit by another organisation: %v", i, result)
 		}
 		if _, err := nd.State(ctx, "yard", &testQueue, "m1"); !errors.Is(err, job.ErrOtherOrganisation) {
--- a/fleet/machinecheck.go
+++ b/fleet/machinecheck.go
@@ -27,13 +27,13 @@
 		sleep(ctx, machineCheckInterval)
 		now := ow.fl.opts.Now()
 		ow.mu.Lock()
-		missing, pressing := ow.core.Unresponsive(now)
+		unresponsive, urgent := ow.core.Unresponsive(now)
 		ow.mu.Unlock()
-		gap := minMachineListInterval
-		if pressing {
-			gap = minUrgentMachineListInterval
+		interval := minMachineListInterval
+		if urgent {
+			interval = minUrgentMachineListInterval
 		}
-		if len(missing) == 0 || now.Sub(last) < gap {
+		if len(unresponsive) == 0 || now.Sub(last) < interval {
 			continue
 		}
 		last = now
@@ -50,7 +50,7 @@
 			running[mc.Worker], pools[mc.ID] = true, mc.Pool
 		}
 		ow.post(func(cr *cell.Core, at time.Time) {
-			for _, id := range missing {
+			for _, id := range unresponsive {
 				pool, known := pools[cr.MachineOf(id)]
 				switch {
 				case running[id.Name()]:
--- a/fleet/machinelease_test.go
+++ b/fleet/machinelease_test.go
@@ -49,7 +49,7 @@
 // the row states.
 func TestLeaseTermFollowsStoreLatency(t *testing.T) {
 	cl := newCluster(t, time.Millisecond)
-	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &faultyStore{mem: cl.mm}, Workers: cl.workers, Machines: noMachines{}, Format: testFormat{}})
+	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &faultyStore{mem: cl.mem}, Workers: cl.workers, Machines: noMachines{}, Format: testFormat{}})
 	if fastTerm := fl.machineLeaseTerm(); fastTerm != machineLeaseTermMin {
 		t.Errorf("term %v on a fast store", fastTerm)
 	}
@@ -84,7 +84,7 @@
 func TestShorterTermAppliesFromFirstAttempt(t *testing.T) {
 	cl := newCluster(t, time.Millisecond)
 	now := time.Now()
-	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &faultyStore{mem: cl.mm, refuse: true}, Workers: cl.workers, Machines: noMachines{}, Format: testFormat{}, Now: func() time.Time { return now }})
+	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &faultyStore{mem: cl.mem, refuse: true}, Workers: cl.workers, Machines: noMachines{}, Format: testFormat{}, Now: func() time.Time { return now }})
 	fl.controller.waveRunner = machine.NewWaveRunner(now, 0)
 	fl.controller.lease = machineLease{expires: now.Add(machineLeaseTermMax), ordered: map[cell.MachineID]*machineOrders{}}
 	fl.controller.renewOnce(context.Background(), nil)
@@ -117,7 +117,7 @@
 	now := time.Now()
 	var mu sync.Mutex
 	commits := 0
-	store := &faultyStore{mem: cl.mm, dropAnswer: func(tx Tx) bool {
+	store := &faultyStore{mem: cl.mem, dropAnswer: func(tx Tx) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		commits++
@@ -296,7 +296,7 @@
 func (cl *cluster) leaseRow() ownerRow {
 	cl.t.Helper()
 	var or ownerRow
-	for _, rw := range cl.mm.read(Query{Table: tableControl, Part: machinesCell, From: ownerKey, Limit: 1}).Rows {
+	for _, rw := range cl.mem.read(Query{Table: tableControl, Part: machinesCell, From: ownerKey, Limit: 1}).Rows {
 		if err := json.Unmarshal(rw.Value, &or); err != nil {
 			cl.t.Fatal(err)
 		}
@@ -319,7 +319,7 @@
 	})
 	cl.leader(one)
 	status := func() string {
-		for _, rw := range cl.mm.read(Query{Table: "status"}).Rows {
+		for _, rw := range cl.mem.read(Query{Table: "status"}).Rows {
 			return string(rw.Value)
 		}
 		return ""
@@ -364,7 +364,7 @@
 	cl := newCluster(t, time.Millisecond)
 	now := time.Now()
 	clock := now
-	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &faultyStore{mem: cl.mm}, Workers: cl.workers, Machines: noMachines{}, Format: testFormat{}, Now: func() time.Time { return clock }})
+	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &faultyStore{mem: cl.mem}, Workers: cl.workers, Machines: noMachines{}, Format: testFormat{}, Now: func() time.Time { return clock }})
 	ct := fl.controller
 	ct.row = ownerRow{Holder: "one", Incarnation: fl.opts.Incarnation}
 	ct.waveRunner, ct.tasks = machine.NewWaveRunner(now, 0), &sync.WaitGroup{}
--- a/fleet/owner.go
+++ b/fleet/owner.go
@@ -75,7 +75,7 @@
 	ow.relays = newRelays(ow)
 	ow.rowVersion.Store(row.version)
 	ow.core = cell.New(job.PoolID(name), ow.epoch, ow.cellOptions())
-	ow.jobs = newTableWatch(fl, jobTable(name), fixedInterval(jobsInterval), jobsWait, ow.jobRowsChanged)
+	ow.jobs = newTableWatch(fl, jobTable(name), fixedInterval(jobsInterval), jobsWait, ow.applyJobRows)
 	return ow
 }
 
@@ -146,8 +146,8 @@
 	return false
 }
 
-// jobRowsChanged applies new jobs and cancellations from the table of open jobs. Several cells may share the table.
-func (ow *owner) jobRowsChanged(rows []Row, _ time.Time) {
+// applyJobRows applies new jobs and cancellations from the table of open jobs. Several cells may share the table.
+func (ow *owner) applyJobRows(rows []Row, _ time.Time) {
 	for _, rw := range rows {
 		if rw.Deleted {
 			continue
--- a/fleet/ownership.go
+++ b/fleet/ownership.go
@@ -15,58 +15,62 @@
 	"go.uber.org/zap"
 )
 
-// Keys in the control table.
+// Keys and parts of the control table.
 const (
 	nodePrefix   = "node/"
 	drainPrefix  = "drain/"
 	wavePrefix   = "wave/"
 	ownerKey     = "owner"
 	machinesCell = "~machines"
-	// nodesPart begins the names of the parts in which the rows of entry instances lie.
+	// nodePartPrefix is the prefix of the parts that hold the rows of entry instances.
 	nodePartPrefix = "nodes/"
 )
 
-// nodeParts is over how many parts the rows of entry instances are spread. A part takes its writes in turn, so that with a slow store all beats
-// in one part would hold each other up until everyone seems dead; and whoever starts reads each part, so that a part for each instance made
-// 90,000 reads when 300 started at once.
+// nodePartCount is the number of parts that the rows of entry instances are spread over. A part serializes its writes: with a
+// slow store, heartbeats in a single part would delay each other until every instance seems dead. A starting instance reads all
+// parts: with one part per instance, 300 instances that started at once made 90,000 reads.
 const nodePartCount = 32
 
-// nodePlace is where the row of an entry instance lies.
+// nodePlace returns the place of an entry instance's row.
 func nodePlace(name string) Place {
 	return Place{tableControl, nodePartPrefix + strconv.Itoa(int(hash(name)%nodePartCount)), nodePrefix + name}
 }
 
-// Times of membership and ownership.
+// Intervals and timeouts of membership and ownership.
 const (
-	// beatEvery is how often an entry instance renews its row.
+	// heartbeatInterval is how often an entry instance that owns cells renews its row.
 	heartbeatInterval = 500 * time.Millisecond
-	// beatIdle is how often an instance does so that owns nothing. Nobody waits for what it does, and the beats of all are read by all: at
-	// 97 instances that beat twice a second, 300 bytes each, every one would read 58 KB a second of them.
+	// idleHeartbeatInterval is how often an instance that owns no cell renews its row. No other instance depends on its work,
+	// but every instance reads all heartbeats: with 97 instances that write 300 bytes twice a second, each would read 58 KB/s.
 	idleHeartbeatInterval = 2 * time.Second
-	// beatAgain is the pause after a beat that failed, so that the living are seen soon after an outage of the store.
+	// heartbeatRetryDelay is the delay after a failed heartbeat. It is short so that live instances are recognised soon after a
+	// store outage.
 	heartbeatRetryDelay = 150 * time.Millisecond
-	// deadLeast is how long a row may stand still before its entry instance counts as dead while the store is fast: two beats, one lost
-	// answer and the gaps of the feed. A slow store adds deadPaces times what a transaction takes, up to deadAfter.
+	// minDeadTimeout is how long a row may stay unchanged before its entry instance counts as dead while the store is fast. It
+	// allows for two heartbeats, one lost answer and the intervals of the feed. A slow store adds deadCommitFactor times the
+	// commit latency, up to maxDeadTimeout.
 	minDeadTimeout   = 1500 * time.Millisecond
 	deadCommitFactor = 4
-	// idleNodes is how many instances share one beatIdle: with more of them each beats less often, since all read what all write. At 301
-	// instances 0.77 GB a minute were read from the store, most of it beats.
+	// heartbeatScaleNodes is the number of instances from which idle heartbeats slow down in proportion to the number of
+	// instances, since every instance reads all of them. At 301 instances 0.77 GB a minute were read from the store, most of it
+	// heartbeats.
 	heartbeatScaleNodes = 100
-	// deadAfter is the longest, and how old the newest word of the store may be for claims.
+	// maxDeadTimeout is the upper bound of the dead timeout, and the maximum age of the store's last answer for claims.
 	maxDeadTimeout = 2500 * time.Millisecond
-	// ownEvery is how often ownership is looked over.
+	// ownershipInterval is how often an instance checks which cells to claim or release.
 	ownershipInterval = 100 * time.Millisecond
-	// rankDelay is how long the next in rank waits for the one before to take a cell without owner.
+	// claimRankDelay is how long each instance in the claim order waits for the one before it to claim a vacant cell.
 	claimRankDelay = 300 * time.Millisecond
-	// claimTimeout bounds one try at a claim.
+	// claimTimeout bounds one attempt at a claim.
 	claimTimeout = 2 * time.Second
-	// settleFor is how long after its start an entry instance gives no cell away.
+	// startupSettleTime is how long after its start an entry instance releases no cell.
 	startupSettleTime = 4 * time.Second
-	// moveEvery is the least time between two cells that an entry instance gives to a less laden one.
+	// cellMoveInterval is the minimum time between two cells that an instance releases to a less loaded one, and the minimum
+	// time that a cell stays with its owner.
 	cellMoveInterval = 4 * time.Second
 )
 
-// cells lists the cells that there have to be.
+// cellNames lists the cells of the configuration and the cell of the machine controller.
 func (fl *Fleet) cellNames() []string {
 	names := []string{machinesCell}
 	if cf := fl.config.Load(); cf != nil {
@@ -77,7 +81,7 @@
 	return names
 }
 
-// own takes cells without owner until the context ends.
+// runOwnership claims vacant cells and rebalances owned ones until the context ends.
 func (fl *Fleet) runOwnership(ctx context.Context) {
 	var moved time.Time
 	started := fl.opts.Now()
@@ -102,12 +106,12 @@
 	}
 }
 
-// consider claims a cell if it has no living owner and it is this instance's turn.
+// claimIfVacant claims a cell if its owner is not alive and this instance's turn in the claim order has come.
 func (fl *Fleet) claimIfVacant(ctx context.Context, now time.Time, name string, live map[string]node) {
 	or := fl.members.owner(name)
 	if or.Holder == fl.opts.Name && or.Incarnation == fl.opts.Incarnation {
 		if !fl.runsCell(name) {
-			// An own claim whose answer was lost, or came after it was given up, was carried out all the same.
+			// The store carried out an earlier claim of this instance, but the answer was lost or came after the timeout.
 			fl.startClaim(ctx, name, or)
 		}
 		return
@@ -154,7 +158,7 @@
 	return until.Sub(later(fl.members.ownerChanged(machinesCell), since)) < max(or.Term, machineLeaseTermMin)+machineLeaseMargin
 }
 
-// works reports whether this instance works on a cell, or is about to.
+// runsCell reports whether this instance runs a cell's owner or, for the machine cell, the controller.
 func (fl *Fleet) runsCell(name string) bool {
 	if name == machinesCell {
 		return fl.controller.isLeader()
@@ -162,27 +166,29 @@
 	return fl.ownerOf(name) != nil
 }
 
-// rank is this instance's place among those that may take a cell: the least laden first, then by a hash of cell and name.
+// claimRank returns this instance's position in the claim order for a cell: by load, then by a hash of the cell and the
+// instance. It returns -1 if this instance is not live.
 func (fl *Fleet) claimRank(name string, live map[string]node) int {
-	type rated struct {
+	type candidate struct {
 		name string
 		load float64
 		hash uint32
 	}
-	held := fl.members.cellCounts()
-	var list []rated
+	counts := fl.members.cellCounts()
+	var list []candidate
 	for _, nd := range live {
 		if !nd.Leaving {
-			list = append(list, rated{nd.Name, nd.load(held[nd.Name] + 1), hash(name + "/" + nd.Name)})
+			list = append(list, candidate{nd.Name, nd.load(counts[nd.Name] + 1), hash(name + "/" + nd.Name)})
 		}
 	}
-	slices.SortFunc(list, func(one, other rated) int {
+	slices.SortFunc(list, func(one, other candidate) int {
 		return cmp.Or(cmp.Compare(one.load, other.load), cmp.Compare(one.hash, other.hash), cmp.Compare(one.name, other.name))
 	})
-	return slices.IndexFunc(list, func(rt rated) bool { return rt.name == fl.opts.Name })
+	return slices.IndexFunc(list, func(cd candidate) bool { return cd.name == fl.opts.Name })
 }
 
-// claim makes this instance a cell's owner if the row is still the one that was seen.
+// startClaim starts to claim a cell in the background, unless a claim is in flight or this instance owns the cell. The claim
+// fails if the cell's row has changed since it was read.
 func (fl *Fleet) startClaim(ctx context.Context, name string, old ownerRow) {
 	fl.mu.Lock()
 	if fl.claiming[name] || fl.owners[name] != nil {
@@ -215,12 +221,12 @@
 	version, err := fl.store.Commit(callCtx, Tx{Expect: []Expect{{place, old.version}}, Write: []Row{{Table: place.Table, Part: place.Part, Key: place.Key, Value: raw}}})
 	var cf *Conflict
 	if errors.As(err, &cf) {
-		if mine := fl.earlierClaimVersion(cf, place, raw); mine != 0 {
-			version, err = mine, nil
+		if earlier := fl.earlierClaimVersion(cf, place, raw); earlier != 0 {
+			version, err = earlier, nil
 		}
 	}
 	if err != nil {
-		// The feed shows who has it; an unknown end shows there as well.
+		// The feed shows who owns the cell, also if this claim was carried out without an answer.
 		fl.opts.Log.Emit(event.ClaimFailed, zap.String("cell", name), zap.Error(err))
 		return
 	}
@@ -239,7 +245,8 @@
 	fl.startOwner(ctx, name, next, old, sentAt)
 }
 
-// claimedBefore returns the version of an own earlier claim whose answer was lost, 0 if the row is another's.
+// earlierClaimVersion returns the version of this instance's earlier claim whose answer was lost, or 0 if another instance
+// wrote the row.
 func (fl *Fleet) earlierClaimVersion(cf *Conflict, place Place, raw []byte) int64 {
 	for _, rw := range cf.Rows {
 		var or ownerRow
@@ -250,7 +257,7 @@
 	return 0
 }
 
-// usedWorkers are those that earlier owners used and those that are registered.
+// mergeWorkers returns the workers that earlier owners listed and those that are registered.
 func (fl *Fleet) mergeWorkers(name string, previous []cell.WorkerRef) []cell.WorkerRef {
 	list := slices.Clone(previous)
 	for _, wk := range fl.workerCache.inPool(job.PoolID(name)) {
--- a/fleet/payloads_test.go
+++ b/fleet/payloads_test.go
@@ -67,9 +67,9 @@
 		}
 		log.mu.Unlock()
 	}
-	cl.mm.mu.Lock()
-	defer cl.mm.mu.Unlock()
-	for at, rw := range cl.mm.rows {
+	cl.mem.mu.Lock()
+	defer cl.mem.mu.Unlock()
+	for at, rw := range cl.mem.rows {
 		if strings.HasPrefix(at.Table, tableJob) && bytes.Contains(rw.Value, []byte("payload 0")) {
 			t.Error("the job's row contains its payload")
 		}
--- a/fleet/release.go
+++ b/fleet/release.go
@@ -53,11 +53,11 @@
 // bestLoadRatio returns the ratio of this instance's load to the load that another instance would have with one more cell, for
 // the instance with the highest ratio. It returns 0 if there is no other instance.
 func (fl *Fleet) bestLoadRatio(live map[string]node) float64 {
-	held := fl.members.cellCounts()
-	own, best := live[fl.opts.Name].load(held[fl.opts.Name]), 0.0
+	counts := fl.members.cellCounts()
+	own, best := live[fl.opts.Name].load(counts[fl.opts.Name]), 0.0
 	for name, nd := range live {
 		if name != fl.opts.Name && !nd.Leaving {
-			best = max(best, own/nd.load(held[name]+1))
+			best = max(best, own/nd.load(counts[name]+1))
 		}
 	}
 	return best
--- a/fleet/storeclient.go
+++ b/fleet/storeclient.go
@@ -141,7 +141,7 @@
 	if !errors.Is(err, ErrRefused) {
 		sc.recordCommit(span, !errors.Is(err, ErrNoAnswer))
 	}
-	sc.tell(tx, span, err)
+	sc.reportCommit(tx, span, err)
 	return sr.Version, err
 }
 
--- a/fleet/tablewatch_test.go
+++ b/fleet/tablewatch_test.go
@@ -12,7 +12,7 @@
 	// A clock unrelated to the wall clock: if the wall clock were read anywhere, the difference would be decades.
 	started := time.Now()
 	monotonic := func() time.Time { return time.Unix(0, 0).Add(time.Since(started)) }
-	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &faultyStore{mem: cl.mm}, Workers: cl.workers, Machines: noMachines{}, Format: testFormat{}, Now: monotonic})
+	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &faultyStore{mem: cl.mem}, Workers: cl.workers, Machines: noMachines{}, Format: testFormat{}, Now: monotonic})
 	if err := fl.operator.load(context.Background()); err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +28,7 @@
 // live owner appear older than the store's last answer for a moment.
 func TestWatchReportsRowsBeforeItCountsAsHealthy(t *testing.T) {
 	cl := newCluster(t, time.Millisecond)
-	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &faultyStore{mem: cl.mm}, Workers: cl.workers, Machines: noMachines{}, Format: testFormat{}})
+	fl := New(Options{Name: "one", Address: "127.0.0.1:1", Store: &faultyStore{mem: cl.mem}, Workers: cl.workers, Machines: noMachines{}, Format: testFormat{}})
 	var wt *tableWatch
 	reports := 0
 	wt = newTableWatch(fl, "registry", fixedInterval(time.Millisecond), time.Millisecond, func(rows []Row, sentAt time.Time) {
--- a/fleet/txkind.go
+++ b/fleet/txkind.go
@@ -48,16 +48,16 @@
 	return txHeartbeat, first.Part
 }
 
-// recordCommit updates the metrics of a transaction and logs one that was slow or failed.
-func (sc *storeClient) tell(tx Tx, elapsed time.Duration, err error) {
+// reportCommit updates the metrics of a transaction and logs one that was slow or failed.
+func (sc *storeClient) reportCommit(tx Tx, elapsed time.Duration, err error) {
 	kind, part := txKindOf(tx)
 	sc.metrics.commits[kind].Update(elapsed.Microseconds())
-	word := carryOutcome(err)
-	if word == carryNoAnswer {
+	outcome := carryOutcome(err)
+	if outcome == carryNoAnswer {
 		sc.metrics.unanswered[kind].Inc(1)
 	}
-	if elapsed < slowCommitThreshold && (word == carryDone || word == carryConflict) {
+	if elapsed < slowCommitThreshold && (outcome == carryDone || outcome == carryConflict) {
 		return
 	}
-	sc.log.Emit(event.StoreSlow, zap.String("matter", string(kind)), zap.String("part", part), zap.Int("rows", len(tx.Write)), zap.Duration("took", elapsed), zap.String("outcome", word))
+	sc.log.Emit(event.StoreSlow, zap.String("matter", string(kind)), zap.String("part", part), zap.Int("rows", len(tx.Write)), zap.Duration("took", elapsed), zap.String("outcome", outcome))
 }
--- a/fleet/workertimeout.go
+++ b/fleet/workertimeout.go
@@ -44,18 +44,18 @@
 	return min(workerMaxTimeout, elapsed<<min(aw.consecutiveTimeouts/timeoutsPerDoubling, workerMaxDoublings))
 }
 
-// recordAnswer records how long a call took, including the time held for which the worker may delay its answer, or that it was
-// not answered.
-func (aw *adaptiveWorkers) recordAnswer(elapsed time.Duration, held time.Duration, oc cell.Outcome) {
+// recordAnswer records how long a call took, or that it was not answered. A worker may delay its answer to a poll by up to
+// pollWait, which is not counted.
+func (aw *adaptiveWorkers) recordAnswer(elapsed time.Duration, pollWait time.Duration, oc cell.Outcome) {
 	aw.mu.Lock()
 	defer aw.mu.Unlock()
 	switch {
 	case oc == cell.NotSent:
 	case oc == cell.NoAnswer:
 		aw.consecutiveTimeouts++
-	case elapsed > held:
+	case elapsed > pollWait:
 		// An answer that the worker did not delay for the whole time does not show how long the network took.
-		aw.answerTime += time.Duration(latencyWeight * float64(elapsed-held-aw.answerTime))
+		aw.answerTime += time.Duration(latencyWeight * float64(elapsed-pollWait-aw.answerTime))
 		aw.consecutiveTimeouts = 0
 	default:
 		aw.consecutiveTimeouts = 0
--- a/fleet/writes_test.go
+++ b/fleet/writes_test.go
@@ -22,17 +22,17 @@
 	withFakeClock(t, func(ctx context.Context, t *testing.T) {
 		ow, store := startWriter(ctx, t)
 		var refs []cell.WorkerRef
-		var asked int
+		var commitsBefore int
 		stalls := 0
 		for i := range workerCount {
 			refs = append(refs, workerRefs(cell.WorkerID(fmt.Sprintf("w%d", i)))...)
-			began := time.Now()
+			startedAt := time.Now()
 			if i == saveAt {
-				asked = store.count()
+				commitsBefore = store.count()
 				ow.execute(ctx, cell.Save{Rows: []cell.SaveRow{{ID: "a1", Progress: &job.Progress{State: job.Completed}}}})
 			}
 			ow.execute(ctx, cell.RecordWorkers{Workers: refs})
-			if time.Since(began) > 0 {
+			if time.Since(startedAt) > 0 {
 				stalls++
 			}
 			time.Sleep(gap)
@@ -41,10 +41,10 @@
 			t.Errorf("the owner blocked on %d of %d orders", stalls, workerCount)
 		}
 		transactions := 0
-		for transactions == 0 && store.count() < asked+workerCount {
+		for transactions == 0 && store.count() < commitsBefore+workerCount {
 			time.Sleep(gap)
 			if len(store.mm.read(Query{Table: tableProgress, Part: "pool"}).Rows) > 0 {
-				transactions = store.count() - asked
+				transactions = store.count() - commitsBefore
 			}
 		}
 		if transactions > 3 {
@@ -66,21 +66,21 @@
 		ow, store := startWriter(ctx, t)
 		store.perPart, store.answer = fastCommit, fastAnswer
 		store.loseAnswers(5, 0.35)
-		began := time.Now()
+		startedAt := time.Now()
 		late := 0
 		for i := range saves {
 			key := job.ID(fmt.Sprintf("a%d", i))
-			asked := time.Now()
+			sentAt := time.Now()
 			ow.execute(ctx, cell.Save{Rows: []cell.SaveRow{{ID: key, Progress: &job.Progress{State: job.Completed}}}})
 			for len(ow.drainEvents()) == 0 {
 				time.Sleep(10 * time.Millisecond)
 			}
-			if time.Since(asked) > time.Second {
+			if time.Since(sentAt) > time.Second {
 				late++
 			}
-			time.Sleep(max(0, 200*time.Millisecond-time.Since(asked)))
+			time.Sleep(max(0, 200*time.Millisecond-time.Since(sentAt)))
 		}
-		t.Logf("%d saves in %v, %d took over a second", saves, time.Since(began), late)
+		t.Logf("%d saves in %v, %d took over a second", saves, time.Since(startedAt), late)
 		if late > saves/5 {
 			t.Errorf("%d of %d saves took over a second", late, saves)
 		}
@@ -132,9 +132,9 @@
 	if got := archiveDelay(archiveBatchSize); got != archiveBacklogInterval {
 		t.Errorf("delay of %v after a full round", got)
 	}
-	for _, taken := range []int{0, 1, archiveBatchSize - 1} {
-		if got := archiveDelay(taken); got != archiveInterval {
-			t.Errorf("delay of %v after a round of %d jobs", got, taken)
+	for _, archived := range []int{0, 1, archiveBatchSize - 1} {
+		if got := archiveDelay(archived); got != archiveInterval {
+			t.Errorf("delay of %v after a round of %d jobs", got, archived)
 		}
 	}
 	if perSecond := float64(archiveBatchSize) / archiveBacklogInterval.Seconds(); perSecond < 100 {
