--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -74,7 +74,7 @@
 	Log          *event.Logger
 	Registry     metrics.Registry
 	// Bytes counts the bytes that the instance's connections transfer, nil if they are not counted.
-	Bytes *Traffic
+	Traffic *Traffic
 	Now   func() time.Time
 	// WallClock returns the time of day, which the due times of jobs refer to.
 	WallClock func() time.Time
--- a/fleet/jobstate.go
+++ b/fleet/jobstate.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// State returns a job's state from the owner of its cell, or else from the store. It returns job.ErrForeign if the caller's
+// State returns a job's state from the owner of its cell, or else from the store. It returns job.ErrOtherOrganisation if the caller's
 // organisation may not see the job.
 func (fl *Fleet) State(ctx context.Context, caller job.OrganisationID, queue *job.Queue, id job.ID) (job.State, error) {
 	name := cellName(queue.Pool)
@@ -122,7 +122,7 @@
 	organisation job.OrganisationID
 }
 
-// stateFor returns the state if the caller's organisation may see the job, and job.ErrForeign otherwise.
+// stateFor returns the state if the caller's organisation may see the job, and job.ErrOtherOrganisation otherwise.
 func (js jobStatus) stateFor(caller job.OrganisationID) (job.State, error) {
 	if !job.MayAccess(caller, js.organisation) {
 		return "", job.ErrOtherOrganisation
@@ -167,7 +167,7 @@
 	return job.Queued, nil
 }
 
-// Cancel stores the cancellation of a job and has the owner of its cell stop its tasks. It returns job.ErrForeign if the
+// Cancel stores the cancellation of a job and has the owner of its cell stop its tasks. It returns job.ErrOtherOrganisation if the
 // caller's organisation may not cancel the job.
 func (fl *Fleet) Cancel(ctx context.Context, caller job.OrganisationID, id job.ID) error {
 	hr, err := fl.homeOf(ctx, id)
--- a/fleet/peers.go
+++ b/fleet/peers.go
@@ -43,8 +43,8 @@
 
 func newPeers(fl *Fleet) *peers {
 	options := []tcp.Option{tcp.DialTimeout(peerDialTimeout), tcp.IdleConnections(peerIdleConnections), tcp.IdleTime(peerIdleTimeout)}
-	if fl.opts.Bytes != nil {
-		options = append(options, tcp.Metered(fl.opts.Bytes, PeerCall))
+	if fl.opts.Traffic != nil {
+		options = append(options, tcp.Metered(fl.opts.Traffic, PeerCall))
 	}
 	return &peers{
 		fl:      fl,
--- a/fleet/traffic.go
+++ b/fleet/traffic.go
@@ -83,14 +83,14 @@
 
 // logTraffic logs the traffic until the context ends.
 func (fl *Fleet) logTraffic(ctx context.Context) {
-	if fl.opts.Bytes == nil {
+	if fl.opts.Traffic == nil {
 		return
 	}
 	for ctx.Err() == nil {
 		sleep(ctx, trafficLogInterval)
 		var out, in int64
 		var kinds []string
-		for _, td := range fl.opts.Bytes.deltas() {
+		for _, td := range fl.opts.Traffic.deltas() {
 			out, in = out+td.out, in+td.in
 			if len(kinds) < trafficLogKinds {
 				kinds = append(kinds, fmt.Sprintf("%s %d/%d", td.kind, td.out, td.in))
--- a/fleet/workertimeout.go
+++ b/fleet/workertimeout.go
@@ -40,8 +40,8 @@
 func (aw *adaptiveWorkers) timeout() time.Duration {
 	aw.mu.Lock()
 	defer aw.mu.Unlock()
-	elapsed := max(workerMinTimeout, workerTimeoutFactor*aw.answerTime)
-	return min(workerMaxTimeout, elapsed<<min(aw.consecutiveTimeouts/timeoutsPerDoubling, workerMaxDoublings))
+	base := max(workerMinTimeout, workerTimeoutFactor*aw.answerTime)
+	return min(workerMaxTimeout, base<<min(aw.consecutiveTimeouts/timeoutsPerDoubling, workerMaxDoublings))
 }
 
 // recordAnswer records how long a call took, or that it was not answered. A worker may delay its answer to a poll by up to
--- a/serve.go
+++ b/serve.go
@@ -189,7 +189,7 @@
 			LeaseDuration: min(cs.Lease, st.LeaseMax), RenewalWindow: cs.RenewFor, RegistrationMaxAge: st.RoomFor, PollInterval: cs.LookGap, MaxStopTime: st.StopTime, EarlyStart: st.Early, RemoteFactor: st.RemoteFactor,
 			Retention: st.Retention + cell.DefaultRetention/5,
 		},
-		Sizes: sizes, Log: lg, Registry: registry, Bytes: bytes,
+		Sizes: sizes, Log: lg, Registry: registry, Traffic: bytes,
 	}
 	if st.AdviceAddress != "" {
 		op.Adviser = platform.NewAdviser(st.AdviceAddress)
