--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -75,7 +75,7 @@
 	Registry     metrics.Registry
 	// Bytes counts the bytes that the instance's connections transfer, nil if they are not counted.
 	Traffic *Traffic
-	Now   func() time.Time
+	Now     func() time.Time
 	// WallClock returns the time of day, which the due times of jobs refer to.
 	WallClock func() time.Time
 }
