--- a/cell/testbed_test.go
+++ b/cell/testbed_test.go
@@ -178,7 +178,7 @@
 	if !open {
 		return
 	}
-	if wk := bd.core.workers[id]; lk.LeaseUntil != 0 && wk.fails > 0 {
+	if wk := bd.core.workers[id]; lk.LeaseUntil != 0 && wk.failedPolls > 0 {
 		bd.t.Fatal("a silent worker's lease is renewed")
 	}
 	delete(bd.pendingPolls, id)
