--- a/cell/estimate.go
+++ b/cell/estimate.go
@@ -40,10 +40,10 @@
 
 // observeTask records the run time of a completed task.
 func (rt runTimes) observeTask(st *step, pl *placement, now time.Time) {
-	if pl == nil || st.spec.LongRunning || pl.acked.IsZero() {
+	if pl == nil || st.spec.LongRunning || pl.ackedAt.IsZero() {
 		return
 	}
-	took := now.Sub(pl.acked)
+	took := now.Sub(pl.ackedAt)
 	if pl.worker != nil && pl.worker.slow(now) {
 		// The run time reflects the slow worker, not the task.
 		return
@@ -125,9 +125,9 @@
 
 // criticalPath returns the minimum durations of the job's critical path and of its remaining part.
 func (cr *Core) criticalPath(js *jobState) (whole, left time.Duration) {
-	if js.criticalPath == 0 || js.criticalPathGen != js.gen || js.spec.HasSchedule() || cr.planned.Sub(js.criticalPathAt) > criticalPathMaxAge {
+	if js.criticalPath == 0 || js.criticalPathGen != js.gen || js.spec.HasSchedule() || cr.plannedAt.Sub(js.criticalPathAt) > criticalPathMaxAge {
 		js.criticalPath, js.criticalPathLeft, js.criticalStepsLeft = js.computeCriticalPath(cr.runTimes.get(js.spec.Queue))
-		js.criticalPathGen, js.criticalPathAt = js.gen, cr.planned
+		js.criticalPathGen, js.criticalPathAt = js.gen, cr.plannedAt
 	}
 	return js.criticalPath, js.criticalPathLeft
 }
--- a/cell/evict.go
+++ b/cell/evict.go
@@ -12,9 +12,9 @@
 // evictLongRunning moves long-running tasks off workers that leave or whose machines are wanted, within the disruption budgets of their steps.
 // Short tasks run to their end.
 func (cr *Core) evictLongRunning(now time.Time) {
-	for _, wk := range cr.list {
+	for _, wk := range cr.sortedWorkers {
 		wanted := cr.cordons[wk.name]
-		if !wanted && !cr.leaves(now, wk) {
+		if !wanted && !cr.leaving(now, wk) {
 			continue
 		}
 		for _, pl := range wk.placed {
@@ -23,10 +23,10 @@
 			}
 			// The tasks of a draining worker end with it in any case, so the budget does not apply. Otherwise a task that was not serving at
 			// the last poll may serve by now and needs the budget as well.
-			if !wk.info.Draining && (pl.spared() || !cr.withinDisruptionBudget(pl)) {
+			if !wk.info.Draining && (pl.exemptFromStop() || !cr.withinDisruptionBudget(pl)) {
 				continue
 			}
-			pl.stopping, pl.why = true, "its worker is being drained"
+			pl.stopping, pl.stopReason = true, "its worker is being drained"
 			cr.stop(now, wk, pl)
 		}
 	}
@@ -44,7 +44,7 @@
 		if other == pl {
 			continue
 		}
-		if other == nil || other.phase != running || other.stopping || other.progress < servingProgress || other.worker.fails > 0 || !cr.priorStopsFinished(other.worker) {
+		if other == nil || other.phase != running || other.stopping || other.progress < servingProgress || other.worker.failedPolls > 0 || !cr.priorStopsFinished(other.worker) {
 			away++
 		}
 	}
@@ -57,7 +57,7 @@
 // priorStopsFinished reports whether no stop ordered by an earlier owner can still be in progress on a worker. No such stop begins after the
 // first poll with this owner's token, and one that had begun is finished and visible within the duration of a stop.
 func (cr *Core) priorStopsFinished(wk *worker) bool {
-	return wk.lookedAt.Sub(wk.fencedAt) > cr.opts.MaxStopTime+stopMargin
+	return wk.polledAt.Sub(wk.fencedAt) > cr.opts.MaxStopTime+stopMargin
 }
 
 // Throttling of best-effort tasks that share a worker with serving tasks.
@@ -77,18 +77,18 @@
 
 // throttleBestEffort throttles best-effort tasks as far as the serving tasks on the same worker require it.
 func (cr *Core) throttleBestEffort(now time.Time) {
-	for _, wk := range cr.list {
+	for _, wk := range cr.sortedWorkers {
 		worst := worstLatency(wk)
 		for _, pl := range wk.placed {
-			if !pl.step.spec.BestEffort || pl.phase != running || pl.stopping || wk.fails > 0 || pl.acked.IsZero() {
+			if !pl.step.spec.BestEffort || pl.phase != running || pl.stopping || wk.failedPolls > 0 || pl.ackedAt.IsZero() {
 				continue
 			}
-			if now.Sub(pl.paceSent) < throttleInterval || now.Sub(pl.acked) < throttleInterval {
+			if now.Sub(pl.throttleSentAt) < throttleInterval || now.Sub(pl.ackedAt) < throttleInterval {
 				continue
 			}
-			if next := nextThrottle(pl.pace, worst); next != pl.pace {
-				pl.pace, pl.paceSent = next, now
-				cr.opts.Log(Decision{What: "throttle", Task: pl.task, Attempt: pl.attempt, Worker: wk.info.ID, Why: "tail latency of serving tasks on the same worker", PollAge: now.Sub(wk.lookedAt)})
+			if next := nextThrottle(pl.throttle, worst); next != pl.throttle {
+				pl.throttle, pl.throttleSentAt = next, now
+				cr.opts.Log(Decision{What: "throttle", Task: pl.task, Attempt: pl.attempt, Worker: wk.info.ID, Why: "tail latency of serving tasks on the same worker", PollAge: now.Sub(wk.polledAt)})
 				cr.order(Throttle{Worker: wk.info.ID, Address: wk.info.Address, Token: cr.token(wk), Task: pl.task, Attempt: pl.attempt, Percent: next})
 			}
 		}
@@ -100,7 +100,7 @@
 	worst := 0.0
 	for _, pl := range wk.placed {
 		if goal := pl.step.spec.LatencyObjective; goal > 0 && pl.phase == running {
-			worst = max(worst, float64(pl.figure)/float64(goal.Milliseconds()))
+			worst = max(worst, float64(pl.metric)/float64(goal.Milliseconds()))
 		}
 	}
 	return worst
@@ -130,16 +130,16 @@
 	if wk == nil {
 		return
 	}
-	wk.tick(od.Clock, od.Received)
+	wk.observeClock(od.Clock, od.Received)
 	switch od.Outcome {
 	case WrongIncarnation:
-		cr.bury(now, wk, "another life answers", order.Token)
+		cr.handleWorkerEnd(now, wk, "another life answers", order.Token)
 	case Superseded:
 		cr.overtaken(wk, order.Token)
 	case Done:
 	default:
-		if pl := wk.places[order.Task]; pl != nil && pl.attempt == order.Attempt {
-			pl.pace = throttleUnknown
+		if pl := wk.placements[order.Task]; pl != nil && pl.attempt == order.Attempt {
+			pl.throttle = throttleUnknown
 		}
 	}
 }
--- a/cell/machinelimit.go
+++ b/cell/machinelimit.go
@@ -41,7 +41,7 @@
 	}
 	ahead := 0.0
 	objectives := map[job.QueueID]time.Duration{}
-	for _, js := range cr.open {
+	for _, js := range cr.openJobs {
 		if js.ended() || js.spec.Steps[0].LongRunning || cr.laxity(now, js) < 0 {
 			continue
 		}
--- a/cell/plan.go
+++ b/cell/plan.go
@@ -21,17 +21,17 @@
 	if cr.superseded {
 		return nil
 	}
-	cr.noteStall(now)
-	cr.orders, cr.wake, cr.planned = nil, now.Add(idlePlanInterval), now
-	cr.expire(now)
-	cr.expireStrays(now)
-	for _, wk := range cr.list {
+	cr.detectStall(now)
+	cr.orders, cr.nextWake, cr.plannedAt = nil, now.Add(idlePlanInterval), now
+	cr.expireWorkers(now)
+	cr.expireLateStarts(now)
+	for _, wk := range cr.sortedWorkers {
 		cr.advance(now, wk)
 	}
 	cr.removeEnded()
 	cr.enlist()
 	cr.planStops(now)
-	if cr.mayRenew(now) && cr.awake() {
+	if cr.mayRenew(now) && cr.upToDate() {
 		cr.placeTasks(now)
 		cr.moveStragglers(now)
 		cr.throttleBestEffort(now)
@@ -42,7 +42,7 @@
 }
 
 // Wake returns when to call Plan again if no event occurs before.
-func (cr *Core) Wake() time.Time { return cr.wake }
+func (cr *Core) Wake() time.Time { return cr.nextWake }
 
 func (cr *Core) wakeAt(at time.Time) {
 	if at.Before(cr.nextWake) {
@@ -54,7 +54,7 @@
 
 // removeEnded removes ended jobs from the list of open jobs.
 func (cr *Core) removeEnded() {
-	cr.open = slices.DeleteFunc(cr.open, func(js *jobState) bool { return js.ended() && !js.hasPlacements() })
+	cr.openJobs = slices.DeleteFunc(cr.openJobs, func(js *jobState) bool { return js.ended() && !js.hasPlacements() })
 }
 
 // hasPlacements reports whether any task of the job is on a worker.
@@ -98,7 +98,7 @@
 // pruneEnlisted removes ended workers from the cell's row along with a save. The next owner would otherwise assume that tasks were lost on
 // them.
 func (cr *Core) pruneEnlisted(now time.Time) {
-	if cr.outdated && now.Sub(cr.prunedAt) >= minPruneInterval {
+	if cr.rowOutdated && now.Sub(cr.prunedAt) >= minPruneInterval {
 		cr.prunedAt = now
 		cr.orderEnlist()
 	}
@@ -113,8 +113,8 @@
 
 // planStops orders the stops that are due and counts the starts in flight.
 func (cr *Core) planStops(now time.Time) {
-	cr.window.underWay, cr.window.workers = 0, len(cr.list)
-	for _, wk := range cr.list {
+	cr.startWindow.inFlight, cr.startWindow.workers = 0, len(cr.sortedWorkers)
+	for _, wk := range cr.sortedWorkers {
 		for _, pl := range wk.placed {
 			if pl.phase == starting {
 				cr.startWindow.inFlight++
@@ -175,8 +175,8 @@
 
 // planLooks orders the polls that are due.
 func (cr *Core) planLooks(now time.Time) {
-	wantsWord := cr.wantsWord(now)
-	for _, wk := range cr.list {
+	wantsWord := cr.needsAnswer(now)
+	for _, wk := range cr.sortedWorkers {
 		due, wait, wanted := cr.lookDue(now, wk, wantsWord)
 		if !wanted {
 			continue
@@ -203,7 +203,7 @@
 	switch {
 	case !wk.fenced || open:
 		return due, 0, true
-	case len(wk.places) > 0:
+	case len(wk.placements) > 0:
 		return due, cr.lookWait(wk), true
 	case len(wk.foreign) > 0:
 		return due, cr.opts.PollInterval, true
@@ -231,7 +231,7 @@
 		if pl.phase == uncertain {
 			return 0
 		}
-		if pl.onTrial() {
+		if pl.onProbation() {
 			// The worker is reserved for this attempt until it has proved to be alive.
 			return probation / 2
 		}
@@ -253,11 +253,11 @@
 }
 
 func (cr *Core) look(now time.Time, wk *worker, wait time.Duration) {
-	lk := Poll{Worker: wk.info.ID, Address: wk.info.Address, Token: cr.token(wk), AckedEnd: wk.observed, Wait: wait}
+	lk := Poll{Worker: wk.info.ID, Address: wk.info.Address, Token: cr.token(wk), AckedEnd: wk.ackedEnd, Wait: wait}
 	// The leases of an unresponsive worker are not renewed, so that it is known when its attempts have ended.
-	if wk.fails == 0 && cr.mayRenew(now) && (len(wk.places) > 0 || len(wk.foreign) > 0) {
-		lk.LeaseUntil = cr.until(wk, now)
-		cr.gave(wk, lk.LeaseUntil)
+	if wk.failedPolls == 0 && cr.mayRenew(now) && (len(wk.placements) > 0 || len(wk.foreign) > 0) {
+		lk.LeaseUntil = cr.leaseUntil(wk, now)
+		cr.recordLease(wk, lk.LeaseUntil)
 	}
 	wk.polling, wk.pollToken = true, lk.Token
 	cr.order(lk)
@@ -274,8 +274,8 @@
 	}
 	cr.urgentSave = false
 	var sv Save
-	for _, id := range slices.Sorted(maps.Keys(cr.dirty)) {
-		js := cr.dirty[id]
+	for _, id := range slices.Sorted(maps.Keys(cr.dirtyJobs)) {
+		js := cr.dirtyJobs[id]
 		if len(sv.Rows) == maxRowsPerSave {
 			cr.urgentSave = true
 			break
@@ -284,14 +284,14 @@
 		cr.pendingSaves = append(cr.pendingSaves, savedState{js, js.gen, js.state})
 		delete(cr.dirtyJobs, id)
 	}
-	cr.savedAt = now
+	cr.saveOrderedAt = now
 	cr.pruneEnlisted(now)
 	cr.order(sv)
 }
 
 // Saved records that the last save is stored under the given version.
 func (cr *Core) Saved(now time.Time, version int64) {
-	for _, sm := range cr.saving {
+	for _, sm := range cr.pendingSaves {
 		sm.js.version, sm.js.savedGen, sm.js.savedState = version, sm.gen, sm.state
 	}
 	cr.pendingSaves = nil
@@ -306,7 +306,7 @@
 }
 
 // Overtaken records that the store names another owner.
-func (cr *Core) Overtaken(why string) { cr.lose("", why) }
+func (cr *Core) Overtaken(why string) { cr.markSuperseded("", why) }
 
 // Saving reports whether a save is in flight or due.
-func (cr *Core) Saving() bool { return cr.saving != nil || len(cr.dirty) > 0 }
+func (cr *Core) Saving() bool { return cr.pendingSaves != nil || len(cr.dirtyJobs) > 0 }
