--- a/cell/model_check_test.go
+++ b/cell/model_check_test.go
@@ -6,7 +6,7 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// checkStart checks the promises that a start can break.
+// checkStart checks the invariants that a start can violate.
 func (md *model) checkStart(wk *modelWorker, order Start) {
 	tk, st := order.Task, md.stepOf(order.Task)
 	for _, other := range md.allWorkers() {
@@ -25,7 +25,7 @@
 	if !st.LongRunning && md.failed[tk] >= modelAttempts {
 		md.violatef("%v starts after %d acknowledged failures", tk, md.failed[tk])
 	}
-	if at, completed := md.completedAt[tk.Job]; completed && !md.giverCutOff && md.orderSent.Sub(at) > completionKnownWithin {
+	if at, completed := md.completedAt[tk.Job]; completed && !md.senderCutOff && md.orderSent.Sub(at) > completionKnownWithin {
 		md.violatef("%v starts after its job was completed", tk)
 	}
 	room, same := st.ResourceRequest(), 1
@@ -36,10 +36,10 @@
 		}
 	}
 	if !room.Fits(md.knownRoom(wk)) {
-		md.violatef("%v takes %s over its room", tk, wk.info.ID)
+		md.violatef("%v exceeds the room of %s", tk, wk.info.ID)
 	}
 	if st.SpreadLimit > 0 && same > st.SpreadLimit {
-		md.violatef("%v is one of %d of its step on %s", tk, same, wk.info.ID)
+		md.violatef("%v is one of %d tasks of its step on %s, above the spread limit", tk, same, wk.info.ID)
 	}
 	for _, on := range st.DependsOn {
 		for at := range md.jobs[tk.Job].spec.Steps[on].Count {
@@ -53,11 +53,11 @@
 	}
 }
 
-// checkFinished checks that no accepted job is forgotten.
+// checkFinished checks that an accepted job has ended, or that the tasks of a long-running job are running.
 func (md *model) checkFinished(id job.ID) {
 	jb := md.jobs[id]
 	if md.currentOwner() == nil {
-		md.violatef("the last owner has lost")
+		md.violatef("the last owner is superseded")
 		return
 	}
 	state, known := md.currentOwner().core.State(id)
@@ -69,12 +69,12 @@
 			md.checkStillRunning(job.Task{Job: id, Index: at})
 		}
 	case !state.Ended():
-		md.violatef("job %s is %s in the end", id, state)
+		md.violatef("job %s is still %s at the end", id, state)
 		md.traceJob(id)
 	}
 }
 
-// traceJob notes what the last owner believes of a job and of the workers.
+// traceJob traces the last owner's state of a job and of the workers.
 func (md *model) traceJob(id job.ID) {
 	cr := md.currentOwner().core
 	for _, rn := range cr.jobs[id].runs {
@@ -86,18 +86,19 @@
 		}
 	}
 	for id, wk := range cr.workers {
-		md.tracef("%s listed %t fenced %t enlisted %t fails %d taken %+v unwell %t bad %t", id, wk.registered, wk.fenced, wk.recorded, wk.failedPolls, wk.used, md.now.Before(wk.unhealthyUntil), wk.failures.ejected(md.now))
+		md.tracef("%s registered %t fenced %t recorded %t failed polls %d used %+v unhealthy %t ejected %t", id, wk.registered, wk.fenced, wk.recorded, wk.failedPolls, wk.used, md.now.Before(wk.unhealthyUntil), wk.failures.ejected(md.now))
 	}
 }
 
+// checkStillRunning checks that a long-running task is running.
 func (md *model) checkStillRunning(tk job.Task) {
 	for _, wk := range md.workers {
 		if wk.alive && wk.runs[tk] != nil {
 			return
 		}
 	}
-	// A spread limit may leave no worker for it.
+	// A spread limit may rule out all workers.
 	if md.stepOf(tk).SpreadLimit == 0 {
-		md.violatef("%v is to last and does not run", tk)
+		md.violatef("%v is long-running and does not run", tk)
 	}
 }
--- a/cell/model_crash_test.go
+++ b/cell/model_crash_test.go
@@ -8,34 +8,37 @@
 )
 
 const (
-	// crashingJobOneIn is which part of the jobs has a task that crashes its workers, modelCrash the longest time from its start to that.
-	crashingJobOneIn    = 12
+	// crashingJobOneIn means that one in so many jobs has a task that crashes its workers.
+	crashingJobOneIn = 12
+	// crashDelayMaxMillis is the longest time from the start of a crashing task to the crash.
 	crashDelayMaxMillis = 1500
-	// crashLimit is after how many crashes a guilty task may be started twice more.
+	// crashLimit is the number of crashes after which a crashing task may be started at most twice more.
 	crashLimit = 3
-	// endedQueryInterval is the least time between two questions which lives have ended.
+	// endedQueryInterval is the minimum time between two queries for ended incarnations.
 	endedQueryInterval = 1200 * time.Millisecond
-	// roomKnown is how long an owner may take to know that a room has shrunk: its registration is told within registrationDelayMillis, and an owner that
-	// stood still for longer than stalledAfter asks anew.
+	// registrationDelayMillis is the longest time until a registration reaches the owners.
 	registrationDelayMillis = 1000
-	roomKnownWithin         = registrationDelayMillis*time.Millisecond + stalledAfter + 250*time.Millisecond
+	// roomKnownWithin is how long an owner may take to learn that a room has shrunk. The registration arrives within registrationDelayMillis, and an
+	// owner that was stalled for longer than stalledAfter reads the registrations again.
+	roomKnownWithin = registrationDelayMillis*time.Millisecond + stalledAfter + 250*time.Millisecond
 )
 
-// modelCrashes holds which tasks end the workers that start them, and what came of it.
+// modelCrashes records which tasks crash their workers, and the consequences.
 type modelCrashes struct {
 	crashing map[job.Task]bool
-	// lossesUnder counts the workers that ended while a task ran there, by lossesCaused those that it ended.
+	// lossesUnder is the number of workers that ended while running a task. lossesCaused is the number of them that the task crashed.
 	lossesUnder, lossesCaused map[job.Task]int
-	// startsAfterLimit counts the starts of a guilty task after modelCrashes.
+	// startsAfterLimit is the number of starts of a crashing task after crashLimit crashes.
 	startsAfterLimit map[job.Task]int
-	// failures counts the attempts of a task that failed.
+	// failures is the number of failed attempts of a task.
 	failures map[job.Task]int
-	// givenUpWithoutFault counts jobs givenUp up that have no guilty task, givenUp all that were.
+	// givenUp is the number of jobs given up. givenUpWithoutFault is the number of them without a task that crashes workers or fails too often.
 	givenUpWithoutFault, givenUp int
-	// rooms are what workers had, newest last.
+	// rooms holds the former rooms of workers, newest last.
 	rooms map[WorkerID][]pastRoom
 }
 
+// pastRoom is a room that a worker had until a time.
 type pastRoom struct {
 	until time.Time
 	room  job.Size
@@ -45,14 +48,14 @@
 	return modelCrashes{crashing: map[job.Task]bool{}, lossesUnder: map[job.Task]int{}, lossesCaused: map[job.Task]int{}, startsAfterLimit: map[job.Task]int{}, failures: map[job.Task]int{}, rooms: map[WorkerID][]pastRoom{}}
 }
 
-// chooseCrashingTask makes the first task of one of a job's steps a guilty one, in some jobs.
+// chooseCrashingTask makes the first task of one step a crashing task, in some jobs.
 func (md *model) chooseCrashingTask(sp *job.Spec) {
 	if md.rnd.Intn(crashingJobOneIn) == 0 {
 		md.crashes.crashing[job.Task{Job: sp.ID, Step: md.rnd.Intn(len(sp.Steps))}] = true
 	}
 }
 
-// scheduleCrash makes an attempt of a guilty task crash its worker after a while.
+// scheduleCrash makes an attempt of a crashing task crash its worker after a random delay. It also counts attempts that fail.
 func (md *model) scheduleCrash(wk *modelWorker, tk job.Task, rn *modelRun) {
 	if rn.reason == EndFailed {
 		md.crashes.failures[tk]++
@@ -68,7 +71,7 @@
 	})
 }
 
-// recordLosses charges what runs on a worker that ends.
+// recordLosses counts the end of a worker as a loss of each task that runs there.
 func (md *model) recordLosses(wk *modelWorker) {
 	for tk, rn := range wk.runs {
 		md.crashes.lossesUnder[tk]++
@@ -78,18 +81,18 @@
 	}
 }
 
-// checkCrashes checks that a task which has ended modelCrashes workers is not started a third time more by owners that hear of the store.
+// checkCrashes checks that a task which has crashed crashLimit workers is started at most twice more by owners that can read from the store.
 func (md *model) checkCrashes(tk job.Task) {
-	if md.crashes.lossesCaused[tk] < crashLimit || md.giverCutOff {
+	if md.crashes.lossesCaused[tk] < crashLimit || md.senderCutOff {
 		return
 	}
 	md.crashes.startsAfterLimit[tk]++
 	if md.crashes.startsAfterLimit[tk] >= crashLimit {
-		md.violatef("%v starts for the %dth time more after %d crashes", tk, md.crashes.startsAfterLimit[tk], md.crashes.lossesCaused[tk])
+		md.violatef("%v starts for the %dth time after the crash limit, after %d crashes", tk, md.crashes.startsAfterLimit[tk], md.crashes.lossesCaused[tk])
 	}
 }
 
-// checkGivenUp checks what is kept of a job that has failed: it has a task that failed too often, or under which workers ended, and stays failed.
+// checkGivenUp checks the saved progress of a failed job. The job must have a task that failed too often or lost workers, and must stay failed.
 func (md *model) checkGivenUp(row SaveRow) {
 	before := md.progress[row.ID].Progress
 	if before != nil && before.State.Ended() && before.State != row.Progress.State {
@@ -99,16 +102,16 @@
 		return
 	}
 	sp := md.jobs[row.ID].spec
-	cause, guilty := false, false
+	cause, faulty := false, false
 	for step := range sp.Steps {
 		for at := range sp.Steps[step].Count {
 			tk := job.Task{Job: row.ID, Step: step, Index: at}
-			guilty = guilty || md.crashes.crashing[tk] || md.crashes.failures[tk] >= modelAttempts
+			faulty = faulty || md.crashes.crashing[tk] || md.crashes.failures[tk] >= modelAttempts
 			cause = cause || md.crashes.lossesUnder[tk] >= 2 || md.crashes.failures[tk] >= modelAttempts
 		}
 	}
 	md.crashes.givenUp++
-	if !guilty {
+	if !faulty {
 		md.crashes.givenUpWithoutFault++
 	}
 	if !cause {
@@ -116,7 +119,7 @@
 	}
 }
 
-// resize lets a worker's room shrink or grow. Its registration is told later.
+// resize shrinks or grows the room of a worker. The owners receive the new registration later.
 func (md *model) resize(wk *modelWorker) {
 	if !wk.alive {
 		return
@@ -129,7 +132,7 @@
 	for _, ow := range md.owners {
 		md.schedule(md.millis(1, registrationDelayMillis), func() {
 			md.deliver(ow, func() {
-				// Registrations come in order: a later one holds.
+				// Registrations arrive in order, so one that is out of date is dropped.
 				if wk.info.Room == info.Room {
 					ow.core.Register(md.now, info)
 				}
@@ -138,18 +141,18 @@
 	}
 }
 
-// knownRoom is the largest room of a worker that the giver of the order being carried out may have believed in.
+// knownRoom returns the largest room of a worker that may have been known to the sender of the order being executed.
 func (md *model) knownRoom(wk *modelWorker) job.Size {
 	room := wk.info.Room
-	for _, old := range md.crashes.rooms[wk.info.ID] {
-		if old.until.After(md.orderSent.Add(-roomKnownWithin)) {
-			room.CPUMillis = max(room.CPUMillis, old.room.CPUMillis)
+	for _, past := range md.crashes.rooms[wk.info.ID] {
+		if past.until.After(md.orderSent.Add(-roomKnownWithin)) {
+			room.CPUMillis = max(room.CPUMillis, past.room.CPUMillis)
 		}
 	}
 	return room
 }
 
-// logLosses notes what owners make of workers that end.
+// logLosses traces the decisions of owners about ended workers.
 func (md *model) logLosses(dc Decision) {
 	switch {
 	case dc.Loss != nil:
@@ -157,11 +160,11 @@
 	case len(dc.LostWorkers) > 0:
 		md.tracef("%v given up after %v", dc.Task, dc.LostWorkers)
 	case dc.What == "start" && dc.Why != "room and turn":
-		md.tracef("%v starts by itself on %s", dc.Task, dc.Worker)
+		md.tracef("%v starts alone on %s", dc.Task, dc.Worker)
 	}
 }
 
-// queryEnded tells an owner which of the workers that it misses have ended; at times the platform does not answer.
+// queryEnded reports to an owner which of its unresponsive workers have ended. Some queries get no answer.
 func (md *model) queryEnded(ow *modelOwner) {
 	if md.now.Sub(ow.queriedAt) < endedQueryInterval {
 		return
@@ -185,17 +188,17 @@
 	})
 }
 
-// TestModelGivesUpTheGuilty plays worlds and tells what was given up; hardly any of it may be innocent.
+// TestModelGivesUpTheGuilty checks that hardly any job is given up that has no task which crashes workers or fails too often.
 func TestModelGivesUpTheGuilty(t *testing.T) {
-	given, innocent := 0, 0
+	givenUp, withoutFault := 0, 0
 	for seed := int64(1000); seed < 1020; seed++ {
 		md := newModel(seed, false)
 		for md.eventCount < modelEvents && md.playEvent() {
 		}
-		given, innocent = given+md.crashes.givenUp, innocent+md.crashes.givenUpWithoutFault
+		givenUp, withoutFault = givenUp+md.crashes.givenUp, withoutFault+md.crashes.givenUpWithoutFault
 	}
-	t.Logf("%d jobs given up, %d of them innocent", given, innocent)
-	if given == 0 || 20*innocent > given {
-		t.Errorf("%d jobs given up, %d of them innocent", given, innocent)
+	t.Logf("%d jobs given up, %d of them without a faulty task", givenUp, withoutFault)
+	if givenUp == 0 || 20*withoutFault > givenUp {
+		t.Errorf("%d jobs given up, %d of them without a faulty task", givenUp, withoutFault)
 	}
 }
--- a/cell/model_trouble_test.go
+++ b/cell/model_fault_test.go
@@ -6,7 +6,7 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// injectFault does one of the things that happen.
+// injectFault injects a random fault or change and schedules the next one.
 func (md *model) injectFault() {
 	if md.faultsOff {
 		return
@@ -17,13 +17,13 @@
 	wk := list[md.rnd.Intn(len(list))]
 	switch md.rnd.Intn(10) {
 	case 0:
-		// What waits for the end of an earlier freeze would come late if this one ended it sooner.
+		// A freeze is never shortened, because events that wait for its end would then be late.
 		ow.frozenUntil = latest(ow.frozenUntil, md.now.Add(md.millis(100, 9000)))
 		md.tracef("owner %d freezes until %v", ow.epoch, ow.frozenUntil)
 		md.schedule(ow.frozenUntil.Sub(md.now)+time.Millisecond, func() { md.plan(ow) })
 	case 1:
 		ow.storeCutUntil = md.now.Add(md.millis(100, 12000))
-		md.tracef("owner %d is cut from the store", ow.epoch)
+		md.tracef("owner %d is cut off from the store", ow.epoch)
 	case 2, 3:
 		md.cutWorkers(ow)
 	case 4:
@@ -46,17 +46,17 @@
 	}
 }
 
-// cutWorkers parts an owner from some workers.
+// cutWorkers cuts an owner off from some workers.
 func (md *model) cutWorkers(ow *modelOwner) {
 	for _, wk := range md.allWorkers() {
 		if md.rnd.Intn(2) == 0 {
 			ow.workerCutUntil[wk.info.ID] = md.now.Add(md.millis(100, 15000))
 		}
 	}
-	md.tracef("owner %d is cut from some workers", ow.epoch)
+	md.tracef("owner %d is cut off from some workers", ow.epoch)
 }
 
-// crash ends a life; a new one comes at the same address. The membership tells late.
+// crash ends an incarnation of a worker. A new one starts at the same address. The owners learn of the end from the membership some seconds later.
 func (md *model) crash(wk *modelWorker) {
 	if !wk.alive {
 		return
@@ -67,11 +67,11 @@
 	md.tracef("%s crashes", wk.info.ID)
 	md.injectOwnerFault(crashFaultPercent)
 	name := WorkerName("")
-	back := md.millis(500, 5000)
+	delay := md.millis(500, 5000)
 	if md.namesReused && md.rnd.Intn(4) > 0 {
-		name, back = wk.info.ID.Name(), md.millis(50, 5000)
+		name, delay = wk.info.ID.Name(), md.millis(50, 5000)
 	}
-	md.schedule(back, func() { md.addWorker(name, wk.info.Address) })
+	md.schedule(delay, func() { md.addWorker(name, wk.info.Address) })
 	md.schedule(md.millis(3000, 6000), func() {
 		for _, ow := range md.owners {
 			ow.core.Unregister(md.now, wk.info.ID)
@@ -82,7 +82,7 @@
 	})
 }
 
-// crashOthers ends further workers in a dense world, as the loss of a rack does.
+// crashOthers crashes further workers in a world with dense faults, as the loss of a rack does.
 func (md *model) crashOthers() {
 	if !md.denseFaults {
 		return
@@ -94,7 +94,7 @@
 	}
 }
 
-// handOver is a planned stop of an owner.
+// handOver stops an owner in a planned way.
 func (md *model) handOver(ow *modelOwner) {
 	md.version++
 	md.rowVersion, md.rowWorkers, md.rowUnseenLossEpoch, md.rowReleased = md.version, ow.core.Release(md.now), ow.core.UnseenLossEpoch(), true
@@ -118,7 +118,7 @@
 	}
 }
 
-// acceptConnection is how a life answers whoever opens a connection to the one before it, under a token.
+// acceptConnection answers a connection that is opened under a token and meant for the previous incarnation.
 func (wk *modelWorker) acceptConnection(token Token) Outcome {
 	if token < wk.token {
 		return Superseded
@@ -127,21 +127,23 @@
 	return WrongIncarnation
 }
 
-// strikes are how often of a hundred times a dense world's owner is troubled after something has happened, and faultDelayMaxMillis is how soon.
+// Parameters of worlds with dense faults.
 const (
+	// The constants with the suffix FaultPercent are the probability of an owner fault after an event, in percent. faultDelayMaxMillis is the maximum
+	// delay of the fault.
 	endFaultPercent       = 1
 	lostOrderFaultPercent = 2
 	newWorkerFaultPercent = 15
 	crashFaultPercent     = 30
 	faultDelayMaxMillis   = 400
-	// denseLossFactor is how many times as many orders are lost in a dense world, denseCrash of how many workers one ends along with another.
+	// denseLossFactor is the factor by which more orders are lost. When a worker crashes by a fault, one in denseCrashOneIn others crashes with it.
 	denseLossFactor = 3
 	denseCrashOneIn = 3
 )
 
-// injectOwnerFault replaces, freezes or cuts off the owner soon after something has happened whose word it may lose with that.
-func (md *model) injectOwnerFault(often int) {
-	if !md.denseFaults || md.faultsOff || md.rnd.Intn(100) >= often {
+// injectOwnerFault replaces, freezes or cuts off the current owner shortly after an event, so that the owner may lose the result of the event.
+func (md *model) injectOwnerFault(percent int) {
+	if !md.denseFaults || md.faultsOff || md.rnd.Intn(100) >= percent {
 		return
 	}
 	md.schedule(md.millis(0, faultDelayMaxMillis), func() {
--- a/cell/model_run_test.go
+++ b/cell/model_run_test.go
@@ -5,48 +5,49 @@
 	"testing"
 )
 
-// TestModel plays random worlds and checks after each event that nothing promised is broken.
+// TestModel plays random worlds and checks the invariants of the cell at every event.
 func TestModel(t *testing.T) {
-	played := 0
-	for seed := *modelSeed; played < *modelSteps; seed++ {
-		played += playWorld(t, seed)
+	events := 0
+	for seed := *modelSeed; events < *modelSteps; seed++ {
+		events += playWorld(t, seed)
 	}
-	t.Logf("%d events", played)
+	t.Logf("%d events", events)
 }
 
-// TestModelOfLives plays worlds whose workers come back under the names that they had, with clocks and numbers of ends that begin anew, and
-// carry out what was ordered of former lives.
+// TestModelOfLives plays worlds in which workers restart under the same name. Their clocks and end numbers start over, and they may execute orders
+// meant for an earlier incarnation.
 func TestModelOfLives(t *testing.T) {
-	played := 0
-	for seed := *modelSeed; played < *modelSteps; seed++ {
-		played += playModel(t, seed, newModel(seed, true))
+	events := 0
+	for seed := *modelSeed; events < *modelSteps; seed++ {
+		events += playModel(t, seed, newModel(seed, true))
 	}
-	t.Logf("%d events", played)
+	t.Logf("%d events", events)
 }
 
-// TestModelOfReplacedOwners plays such worlds in which owners are replaced, frozen or cut off right after ends, crashes, lost orders and first
-// breaths of workers, in every other one of which workers come back under their names.
+// TestModelOfReplacedOwners plays worlds in which owners are replaced, frozen or cut off right after ends, crashes, lost orders and starts of
+// workers. In every other world, workers restart under the same name.
 func TestModelOfReplacedOwners(t *testing.T) {
-	played := 0
-	for seed := *modelSeed; played < *modelSteps; seed++ {
-		played += playModel(t, seed, newDenseModel(seed))
+	events := 0
+	for seed := *modelSeed; events < *modelSteps; seed++ {
+		events += playModel(t, seed, newDenseModel(seed))
 	}
-	t.Logf("%d events", played)
+	t.Logf("%d events", events)
 }
 
-// newDenseModel is the world of a seed with owners replaced in the moments that matter.
+// newDenseModel returns the world of a seed with dense faults of owners.
 func newDenseModel(seed int64) *model {
 	md := newModel(seed, seed%2 == 0)
 	md.denseFaults = true
 	return md
 }
 
-// playWorld plays the world of a seed to its end and returns how many events it had.
+// playWorld plays the world of a seed to its end and returns the number of its events.
 func playWorld(t *testing.T, seed int64) int {
 	t.Helper()
 	return playModel(t, seed, newModel(seed, false))
 }
 
+// playModel plays a world to its end, fails the test if an invariant is violated, and returns the number of events.
 func playModel(t *testing.T, seed int64, md *model) int {
 	t.Helper()
 	for md.eventCount < modelEvents && md.playEvent() {
@@ -63,8 +64,8 @@
 	return md.eventCount
 }
 
-// Worlds in which tasks were started too often after crashes, jobs given up for losses that were none, workers left idle beside suspects, or
-// in which the model itself told owners late.
+// TestModelOfSeedsThatFailed replays worlds in which tasks were started too often after crashes, jobs were given up for losses that did not occur,
+// workers stayed idle because of suspects, or the model itself informed owners too late.
 func TestModelOfSeedsThatFailed(t *testing.T) {
 	for _, seed := range []int64{
 		7, 32, 91, 103, 225, 20015, 20044, 20049, 20051, 20075, 20111, 40001, 40003, 40117, 40140, 40219, 40226, 60020, 60147, 60166, 60197, 60212, 60242,
@@ -74,31 +75,35 @@
 	}
 }
 
-// A start had no answer, the list of machines told that its worker had ended, and the task was started elsewhere; the worker came back under its
-// name and carried the first start out. In the last world that happened under the next owner, which had not heard of the new life's run.
+// TestModelOfLivesOfSeedsThatFailed replays worlds in which a start got no answer, the list of machines reported the end of the worker, and the task
+// was started elsewhere. The worker then restarted under the same name and executed the first start. In the last world this happened under the next
+// owner, which did not know about the attempt on the new incarnation.
 func TestModelOfLivesOfSeedsThatFailed(t *testing.T) {
 	for _, seed := range []int64{400019, 600070, 2908015, 61000445} {
 		playModel(t, seed, newModel(seed, true))
 	}
 }
 
-// Owners were replaced while a start that had lost its answer was being carried out by the next life of its worker.
+// TestModelOfReplacedOwnersOfSeedsThatFailed replays worlds in which the owner was replaced while the next incarnation of a worker executed a start
+// whose answer had been lost.
 func TestModelOfReplacedOwnersOfSeedsThatFailed(t *testing.T) {
 	for _, seed := range []int64{8000194, 9000246, 12000386, 13000490, 8000546, 9000542, 10000616, 10000706, 11000758} {
 		playModel(t, seed, newDenseModel(seed))
 	}
 }
 
-// Jobs that lost workers four times over were given up though fewer than two had crashed under them: attempts that had ended unread, or that
-// were kept and never ordered since their owner was replaced in that moment, count as losses.
+// TestModelGivesUpForCrashesAlone replays worlds in which jobs with four losses were given up although fewer than two workers had crashed while
+// running them. The other losses were attempts that had ended before their end was read, and attempts that were saved but never ordered because the
+// owner was replaced at that moment.
 func TestModelGivesUpForCrashesAlone(t *testing.T) {
 	for _, seed := range []int64{214, 80130} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { playWorld(t, seed) })
 	}
 }
 
-// Owners were replaced right after ends, starts and intents, and workers ended in the same moments. What an earlier owner had kept and never ordered,
-// had ordered of a worker that had ended before, or had not read the end of counted as a worker lost under the task, four times over.
+// TestModelGivesUpForCrashesAloneThoughOwnersAreReplaced replays worlds in which owners were replaced right after ends, starts and saved intents,
+// while workers ended at the same moments. Four times, an attempt of an earlier owner was counted as a loss of the task although it had been saved
+// but never ordered, had been ordered from a worker that had already ended, or had ended without the owner reading its end.
 func TestModelGivesUpForCrashesAloneThoughOwnersAreReplaced(t *testing.T) {
 	for _, seed := range []int64{516155, 518576, 71001142, 71001265, 72000526} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { playWorld(t, seed) })
@@ -111,14 +116,14 @@
 	}
 }
 
-// An order without an answer was void at the next life of its worker, which had seen a higher token, so that its task was started elsewhere; that life
-// ended, too, and the one after it carried the order out.
+// TestModelOfOrdersVoidAtTheLifeBefore replays a world in which an unanswered order was void for the next incarnation of its worker, which had seen a
+// higher token. The task was therefore started elsewhere. That incarnation ended too, and the one after it executed the order.
 func TestModelOfOrdersVoidAtTheLifeBefore(t *testing.T) {
 	playModel(t, 7000658, newDenseModel(7000658))
 }
 
-// A look without an answer was carried out by the next life of its worker, before the owner had looked at that one: what it acknowledged of the former
-// life's ends were ends of the new one, which nobody had read.
+// TestModelOfLooksAtTheLifeBefore replays a world in which the next incarnation of a worker executed an unanswered poll before the owner had polled
+// that incarnation. The poll acknowledged ends of the previous incarnation, and so removed ends of the new one that no owner had read.
 func TestModelOfLooksAtTheLifeBefore(t *testing.T) {
 	playModel(t, 82000457, newModel(82000457, true))
 }
--- a/cell/model_test.go
+++ b/cell/model_test.go
@@ -18,89 +18,90 @@
 	modelSeed  = flag.Int64("modelseed", 1, "first seed of the model")
 )
 
-// Sizes and shares of the model's worlds.
+// Parameters of the model.
 const (
 	modelEvents   = 4000
 	modelPool     = job.PoolID("pool")
 	modelQueue    = job.QueueID("queue")
 	modelUrgent   = job.QueueID("urgent")
 	modelAttempts = 3
-	// modelRoom is what a worker has room for at first, and in the end again, in thousandths of a processor.
+	// modelRoom is the room of a worker at the start and the end of a world, in thousandths of a core.
 	modelRoom = 4000
-	// completionKnownWithin is how long a task may still be started by an owner that has not heard that another one completed the job with ends
-	// whose leases had run out; the users' rules allow it.
+	// completionKnownWithin is how long an owner may still start a task after another owner completed the job with ends from expired leases. The
+	// users' rules allow it.
 	completionKnownWithin = time.Second
-	// modelMaxLease is the longest lease that a worker gives.
+	// modelMaxLease is the longest lease that a worker accepts.
 	modelMaxLease = 10 * time.Second
 )
 
-// event is something that happens at a time.
+// event is an action that is scheduled for a time. Events with the same time run in the order of their sequence numbers.
 type event struct {
 	at       time.Time
 	sequence int
 	run      func()
 }
 
+// eventQueue is a heap of events by time.
 type eventQueue []event
 
-func (ag eventQueue) Len() int { return len(ag) }
-func (ag eventQueue) Less(one, other int) bool {
-	if !ag[one].at.Equal(ag[other].at) {
-		return ag[one].at.Before(ag[other].at)
+func (eq eventQueue) Len() int { return len(eq) }
+func (eq eventQueue) Less(i, j int) bool {
+	if !eq[i].at.Equal(eq[j].at) {
+		return eq[i].at.Before(eq[j].at)
 	}
-	return ag[one].sequence < ag[other].sequence
+	return eq[i].sequence < eq[j].sequence
 }
-func (ag eventQueue) Swap(one, other int) { ag[one], ag[other] = ag[other], ag[one] }
-func (ag *eventQueue) Push(ev any)        { *ag = append(*ag, ev.(event)) }
-func (ag *eventQueue) Pop() any {
-	old := *ag
+func (eq eventQueue) Swap(i, j int) { eq[i], eq[j] = eq[j], eq[i] }
+func (eq *eventQueue) Push(ev any)  { *eq = append(*eq, ev.(event)) }
+func (eq *eventQueue) Pop() any {
+	old := *eq
 	ev := old[len(old)-1]
-	*ag = old[:len(old)-1]
+	*eq = old[:len(old)-1]
 	return ev
 }
 
-// modelRun is an attempt as it really is.
+// modelRun is the true state of an attempt.
 type modelRun struct {
 	attempt   job.Attempt
 	endsAt    time.Time
 	reason    EndReason
 	workingAt time.Time
 	stopped   bool
-	// crashesWorker means that it ends its worker instead of itself.
+	// crashesWorker means that the worker crashes when the attempt would end.
 	crashesWorker bool
 }
 
-// modelWorker is a worker as it really is.
+// modelWorker is the true state of an incarnation of a worker.
 type modelWorker struct {
 	info  Worker
 	alive bool
-	// clockStart is when its clock clockStart.
+	// clockStart is when the worker's clock started.
 	clockStart time.Time
-	// clockRate is the speed of its clock.
+	// clockRate is the speed of the worker's clock relative to the owners' clock.
 	clockRate  float64
 	token      Token
 	leaseUntil int64
 	runs       map[job.Task]*modelRun
 	ended      []End
 	lastEnd    int64
-	// lastLapsedEnd is the number of the newest end that came before the worker's lease ran out.
+	// lastLapsedEnd is the number of the last end before the worker's lease expired.
 	lastLapsedEnd int64
-	// finishedAttempts is the highest attempt of each task that was stopped or ended here.
+	// finishedAttempts is the highest attempt of each task that was stopped or ended on the worker.
 	finishedAttempts map[job.Task]job.Attempt
 }
 
-// modelOwner is an entry instance with its core.
+// modelOwner is an entry instance with the core of the cell that it owns.
 type modelOwner struct {
 	core        *Core
 	epoch       job.Epoch
 	rowVersion  int64
 	dead        bool
 	frozenUntil time.Time
-	// storeCutUntil and cutWorkers are until when it does not reach the store and some workers.
+	// storeCutUntil and workerCutUntil are when the owner can reach the store and the workers again.
 	storeCutUntil  time.Time
 	workerCutUntil map[WorkerID]time.Time
 	nextPlan       time.Time
-	// queriedAt is when it queriedAt last which lives have ended.
+	// queriedAt is when the owner last queried which incarnations have ended.
 	queriedAt time.Time
 }
 
@@ -110,21 +111,22 @@
 	cancelled time.Time
 }
 
-// model is a world of one cell.
+// model simulates one cell with its workers, its store and a succession of owners.
 type model struct {
 	rnd      *rand.Rand
 	now      time.Time
 	events   eventQueue
 	sequence int
 	workers  map[WorkerID]*modelWorker
-	// incarnations are the workers' incarnations in the order in which they began. reborn means that many of them begin under the name of one that ended.
+	// incarnations holds all incarnations of the workers in the order in which they started.
 	incarnations []*modelWorker
-	namesReused  bool
-	// denseFaults means that troubles of owners come in the moment of ends, crashes, lost orders and first breaths of workers.
+	// namesReused means that many workers restart under the same name.
+	namesReused bool
+	// denseFaults means that owners fail right after ends, crashes, lost orders and starts of workers.
 	denseFaults bool
 	owners      []*modelOwner
 	version     int64
-	// rowVersion, rowEpoch, used, exposed and released are the cell's row.
+	// The fields with the prefix row are the content of the cell's row.
 	rowVersion         int64
 	rowEpoch           job.Epoch
 	rowWorkers         []WorkerRef
@@ -133,30 +135,32 @@
 	progress           map[job.ID]SaveRow
 	jobs               map[job.ID]*modelJob
 	jobOrder           []job.ID
-	// acknowledged holds tasks with an end that was acknowledged, failed counts acknowledged failures.
+	// acknowledged holds the tasks with an acknowledged end.
 	acknowledged map[job.Task]bool
-	// done holds every task that has ended well, acknowledged or not.
-	done   map[job.Task]bool
+	// done holds the tasks that have completed, acknowledged or not.
+	done map[job.Task]bool
+	// failed is the number of acknowledged failures of each task.
 	failed map[job.Task]int
-	// completedAt is when the completion of a job was kept.
-	completedAt map[job.ID]time.Time
-	// crashes is what some tasks do to their workers, rooms what workers had to offer.
-	crashes modelCrashes
-	// longRunningJobs counts the jobs that last.
+	// completedAt is when the completion of a job was saved.
+	completedAt     map[job.ID]time.Time
+	crashes         modelCrashes
 	longRunningJobs int
-	faultsOff       bool
-	// sent is when the order that is being carried out was given, giverCutOff that its giver could not hear of the store then.
-	giverCutOff bool
-	orderSent   time.Time
-	eventCount  int
-	violation   string
-	trace       []string
-	opts        Options
-}
-
-func newModel(seed int64, reborn bool) *model {
+	// faultsOff means that no more faults are injected.
+	faultsOff bool
+	// senderCutOff means that the owner that sent the order being executed could not read from the store at that time.
+	senderCutOff bool
+	// orderSent is when the order being executed was sent.
+	orderSent  time.Time
+	eventCount int
+	// violation describes the first violated invariant; empty if there is none.
+	violation string
+	trace     []string
+	opts      Options
+}
+
+func newModel(seed int64, namesReused bool) *model {
 	md := &model{
-		rnd: rand.New(rand.NewSource(seed)), namesReused: reborn, now: time.Unix(1_700_000_000, 0), workers: map[WorkerID]*modelWorker{},
+		rnd: rand.New(rand.NewSource(seed)), namesReused: namesReused, now: time.Unix(1_700_000_000, 0), workers: map[WorkerID]*modelWorker{},
 		progress: map[job.ID]SaveRow{}, jobs: map[job.ID]*modelJob{}, acknowledged: map[job.Task]bool{}, done: map[job.Task]bool{}, failed: map[job.Task]int{}, completedAt: map[job.ID]time.Time{}, version: 1, crashes: newModelCrashes(),
 		opts: Options{LeaseDuration: 4 * time.Second, RenewalWindow: 6 * time.Second, MaxStopTime: 300 * time.Millisecond}.WithDefaults(),
 	}
@@ -170,15 +174,18 @@
 	return md
 }
 
-func (md *model) schedule(after time.Duration, do func()) {
+// schedule runs a function after a delay.
+func (md *model) schedule(after time.Duration, run func()) {
 	md.sequence++
-	heap.Push(&md.events, event{md.now.Add(after), md.sequence, do})
+	heap.Push(&md.events, event{md.now.Add(after), md.sequence, run})
 }
 
+// millis returns a random duration within a range of milliseconds.
 func (md *model) millis(low, high int) time.Duration {
 	return time.Duration(low+md.rnd.Intn(high-low+1)) * time.Millisecond
 }
 
+// tracef adds a line to the trace, which is printed if the test fails.
 func (md *model) tracef(format string, args ...any) {
 	md.trace = append(md.trace, fmt.Sprintf("%8.3f ", md.now.Sub(time.Unix(1_700_000_000, 0)).Seconds())+fmt.Sprintf(format, args...))
 	if len(md.trace) > 4000 {
@@ -186,14 +193,15 @@
 	}
 }
 
+// violatef records the violation of an invariant. Only the first one counts.
 func (md *model) violatef(format string, args ...any) {
 	if md.violation == "" {
 		md.violation = fmt.Sprintf(format, args...)
-		md.tracef("BROKEN %s", md.violation)
+		md.tracef("VIOLATION: %s", md.violation)
 	}
 }
 
-// addWorker starts a life of a worker, under a given name and at a given address or new ones.
+// addWorker starts an incarnation of a worker. An empty name or address stands for a new one.
 func (md *model) addWorker(name WorkerName, address string) {
 	number := len(md.incarnations) + 1
 	if address == "" {
@@ -219,7 +227,7 @@
 	md.injectOwnerFault(newWorkerFaultPercent)
 }
 
-// liveIncarnation is the life that a worker has now; nil while it has none.
+// liveIncarnation returns the running incarnation of a worker, or nil if there is none.
 func (md *model) liveIncarnation(name WorkerName) *modelWorker {
 	for _, wk := range md.incarnations {
 		if wk.alive && wk.info.ID.Name() == name {
@@ -229,12 +237,12 @@
 	return nil
 }
 
-// clock is a worker's, in milliseconds.
+// clock returns the time of a worker's clock in milliseconds.
 func (md *model) clock(wk *modelWorker) int64 {
 	return 1000 + int64(float64(md.now.Sub(wk.clockStart).Milliseconds())*wk.clockRate)
 }
 
-// processEnds ends what has ended on a worker by now.
+// processEnds ends the attempts on a worker that are due to end by now.
 func (md *model) processEnds(wk *modelWorker) {
 	lapsed := wk.leaseUntil != 0 && md.clock(wk) > wk.leaseUntil
 	if lapsed {
@@ -254,26 +262,27 @@
 	}
 }
 
-func (md *model) endAttempt(wk *modelWorker, tk job.Task, rn *modelRun, how EndReason) {
+// endAttempt ends an attempt for a reason.
+func (md *model) endAttempt(wk *modelWorker, tk job.Task, rn *modelRun, reason EndReason) {
 	delete(wk.runs, tk)
 	wk.lastEnd++
 	wk.finishedAttempts[tk] = max(wk.finishedAttempts[tk], rn.attempt)
-	if how == EndDone {
+	if reason == EndDone {
 		md.done[tk] = true
 	}
-	wk.ended = append(wk.ended, End{Number: wk.lastEnd, Task: tk, Attempt: rn.attempt, Reason: how})
+	wk.ended = append(wk.ended, End{Number: wk.lastEnd, Task: tk, Attempt: rn.attempt, Reason: reason})
 	md.injectOwnerFault(endFaultPercent)
-	md.tracef("%s: %v attempt %d ended %s", wk.info.ID, tk, rn.attempt, how)
+	md.tracef("%s: %v attempt %d ended %s", wk.info.ID, tk, rn.attempt, reason)
 }
 
-// sortedTasks lists tasks in an order that does not change from run to run.
+// sortedTasks returns tasks in an order that is the same in every run of the test.
 func sortedTasks(runs map[job.Task]*modelRun) []job.Task {
 	return slices.SortedFunc(maps.Keys(runs), func(one, other job.Task) int {
 		return cmp.Compare(fmt.Sprint(one), fmt.Sprint(other))
 	})
 }
 
-// currentOwner is the owner that the store names, nil if it is gone.
+// currentOwner returns the owner in the cell's row, or nil if that owner is dead.
 func (md *model) currentOwner() *modelOwner {
 	for _, ow := range md.owners {
 		if ow.rowVersion == md.rowVersion && !ow.dead {
@@ -283,7 +292,7 @@
 	return nil
 }
 
-// claimCell makes a new owner.
+// claimCell makes a new owner claim the cell.
 func (md *model) claimCell() {
 	before, released := md.rowWorkers, md.rowReleased
 	md.version++
@@ -296,7 +305,7 @@
 		}
 	}
 	if !md.faultsOff && md.rnd.Intn(2) == 0 {
-		// A hall that is cut off has workers that only the owner before reaches.
+		// In a data hall that is cut off there are workers that only the previous owner can reach.
 		md.cutWorkers(ow)
 	}
 	ow.core.TakeOver(md.now, md.now, before, released)
@@ -318,10 +327,11 @@
 	if len(md.owners) > 4 {
 		md.owners = md.owners[1:]
 	}
-	md.tracef("owner %d claims", ow.epoch)
+	md.tracef("owner %d claims the cell", ow.epoch)
 	md.plan(ow)
 }
 
+// appendRef adds a worker to a list unless the list contains it.
 func appendRef(refs []WorkerRef, ref WorkerRef) []WorkerRef {
 	for _, rf := range refs {
 		if rf.ID == ref.ID {
@@ -333,7 +343,7 @@
 
 func (md *model) allWorkers() []*modelWorker { return md.incarnations }
 
-// addJobTo gives a job to an owner as the store has it.
+// addJobTo passes a job to an owner as it is in the store.
 func (md *model) addJobTo(ow *modelOwner, id job.ID) {
 	jb := md.jobs[id]
 	sd := StoredJob{Spec: jb.spec, Cancelled: !jb.cancelled.IsZero()}
@@ -343,7 +353,7 @@
 	ow.core.Add(md.now, sd)
 }
 
-// acceptJob accepts a job; the owner that its entry instance knows hears of it sooner than the one that the store names.
+// acceptJob accepts a job. The owner known to the accepting entry instance receives it sooner than the current owner.
 func (md *model) acceptJob() {
 	if md.faultsOff {
 		return
@@ -369,14 +379,14 @@
 		sp.Steps = append(sp.Steps, st)
 	}
 	if md.rnd.Intn(8) == 0 && md.longRunningJobs < 2 {
-		// More would fill all workers for good.
+		// More long-running jobs would use up all workers.
 		md.longRunningJobs++
 		sp.Steps = []job.Step{{Count: 1 + md.rnd.Intn(3), Size: job.Size{CPUMillis: 750, MemoryMB: 300}, LongRunning: true}}
 	}
 	md.jobs[id] = &modelJob{spec: sp}
 	md.jobOrder = append(md.jobOrder, id)
 	md.chooseCrashingTask(sp)
-	md.tracef("job %s accepted under %d", id, sp.Epoch)
+	md.tracef("job %s accepted under epoch %d", id, sp.Epoch)
 	if !known.dead {
 		md.schedule(md.millis(0, 5), func() { md.deliverJob(known, id) })
 	}
@@ -385,6 +395,7 @@
 	}
 }
 
+// deliverJob passes a job to an owner, which then plans.
 func (md *model) deliverJob(ow *modelOwner, id job.ID) {
 	if !ow.dead {
 		md.addJobTo(ow, id)
@@ -392,7 +403,7 @@
 	}
 }
 
-// plan lets an owner give its orders, and plans its next look at things.
+// plan makes an owner issue its orders and schedules its next plan.
 func (md *model) plan(ow *modelOwner) {
 	if ow.dead || md.now.Before(ow.frozenUntil) {
 		return
@@ -407,7 +418,7 @@
 	md.queryEnded(ow)
 	if ow.core.Superseded() {
 		ow.dead = true
-		md.tracef("owner %d has lost", ow.epoch)
+		md.tracef("owner %d is superseded", ow.epoch)
 		return
 	}
 	wake := ow.core.Wake()
@@ -417,10 +428,10 @@
 	}
 }
 
-// ownsRow reports whether the store names this owner.
+// ownsRow reports whether an owner is the one in the cell's row.
 func (md *model) ownsRow(ow *modelOwner) bool { return ow.rowVersion == md.rowVersion }
 
-// event delivers something to an owner, later if it is frozen.
+// deliver runs a function that passes something to an owner, after the end of a freeze.
 func (md *model) deliver(ow *modelOwner, do func()) {
 	if ow.dead {
 		return
@@ -433,26 +444,26 @@
 	md.plan(ow)
 }
 
-// dispatch carries an order out, now, late or never.
+// dispatch sends an order, which may be executed, delayed or lost.
 func (md *model) dispatch(ow *modelOwner, od Order) {
 	switch order := od.(type) {
 	case Poll:
-		md.callWorker(ow, order.Worker, order.Token, func(sent time.Time, wk *modelWorker, without Outcome) func() {
-			lk := PollResult{Poll: order, Sent: sent, Received: md.now, Outcome: without}
+		md.callWorker(ow, order.Worker, order.Token, func(sent time.Time, wk *modelWorker, failure Outcome) func() {
+			result := PollResult{Poll: order, Sent: sent, Received: md.now, Outcome: failure}
 			if wk != nil {
-				lk = md.executePoll(wk, order, sent)
+				result = md.executePoll(wk, order, sent)
 			}
 			return func() {
-				lk.Received = md.now
-				ow.core.HandlePoll(md.now, lk)
+				result.Received = md.now
+				ow.core.HandlePoll(md.now, result)
 			}
 		})
 	case Start, Stop, Throttle:
 		id, token := orderTarget(od)
-		md.callWorker(ow, id, token, func(sent time.Time, wk *modelWorker, without Outcome) func() {
-			res := OrderResult{Order: od, Sent: sent, Outcome: without}
+		md.callWorker(ow, id, token, func(sent time.Time, wk *modelWorker, failure Outcome) func() {
+			res := OrderResult{Order: od, Sent: sent, Outcome: failure}
 			if wk != nil {
-				md.orderSent, md.giverCutOff = sent, sent.Before(ow.storeCutUntil) || sent.Before(ow.frozenUntil)
+				md.orderSent, md.senderCutOff = sent, sent.Before(ow.storeCutUntil) || sent.Before(ow.frozenUntil)
 				res.Outcome, res.Clock = md.execute(wk, od), md.clock(wk)
 			}
 			return func() {
@@ -467,7 +478,7 @@
 	}
 }
 
-// orderTarget is the life that an order is for, and its token.
+// orderTarget returns the incarnation to which an order is sent, and the order's token.
 func orderTarget(od Order) (WorkerID, Token) {
 	switch order := od.(type) {
 	case Start:
@@ -480,55 +491,55 @@
 	return "", 0
 }
 
-// callWorker brings an order to a worker: answered, lost with or without effect, or carried out seconds later.
-func (md *model) callWorker(ow *modelOwner, id WorkerID, token Token, act func(sent time.Time, wk *modelWorker, without Outcome) func()) {
+// callWorker sends an order to a worker. The order may be lost before or after it is executed, or be executed seconds later without an answer.
+func (md *model) callWorker(ow *modelOwner, id WorkerID, token Token, act func(sent time.Time, wk *modelWorker, failure Outcome) func()) {
 	sent := md.now
-	luck := md.rnd.Intn(100)
+	draw := md.rnd.Intn(100)
 	if md.faultsOff {
-		luck = 100
+		draw = 100
 	}
 	if md.denseFaults && !md.faultsOff {
-		luck /= denseLossFactor
+		draw /= denseLossFactor
 	}
-	if luck < 8 {
+	if draw < 8 {
 		md.injectOwnerFault(lostOrderFaultPercent)
 	}
-	silent := func() { md.schedule(time.Second, func() { md.deliver(ow, act(sent, nil, NoAnswer)) }) }
+	noAnswer := func() { md.schedule(time.Second, func() { md.deliver(ow, act(sent, nil, NoAnswer)) }) }
 	switch {
-	case md.now.Before(ow.workerCutUntil[id]) || luck < 3:
-		silent()
-	case luck < 6:
-		meant := md.workers[id]
-		reached := meant.alive
+	case md.now.Before(ow.workerCutUntil[id]) || draw < 3:
+		noAnswer()
+	case draw < 6:
+		target := md.workers[id]
+		targetAlive := target.alive
 		md.schedule(md.millis(1, 8000), func() {
-			// The next life under the name may carry it out, unless it was void for the one before already.
-			if wk := md.liveIncarnation(id.Name()); wk != nil && (wk == meant || reached && token >= meant.token) {
+			// The next incarnation under the name may execute the order, unless the previous one had already seen a higher token.
+			if wk := md.liveIncarnation(id.Name()); wk != nil && (wk == target || targetAlive && token >= target.token) {
 				act(sent, wk, NoAnswer)
 			}
 		})
-		silent()
-	case luck < 8:
+		noAnswer()
+	case draw < 8:
 		md.schedule(md.millis(1, 10), func() {
 			if wk := md.workers[id]; wk.alive {
 				act(sent, wk, NoAnswer)
 			}
 		})
-		silent()
+		noAnswer()
 	default:
 		md.schedule(md.millis(1, 10), func() {
 			wk := md.workers[id]
 			if next := md.liveIncarnation(id.Name()); !wk.alive && next != nil {
-				// A connection tells whose it is before anything else is sent over it, and that under the order's token.
+				// A new connection exchanges the incarnation and the order's token before anything else is sent.
 				md.deliver(ow, act(sent, nil, next.acceptConnection(token)))
 				return
 			}
 			if !wk.alive && md.rnd.Intn(3) > 0 {
-				// Its port is dead.
+				// Nothing listens on the port.
 				md.deliver(ow, act(sent, nil, NoAnswer))
 				return
 			}
 			if !wk.alive {
-				silent()
+				noAnswer()
 				return
 			}
 			back := act(sent, wk, NoAnswer)
@@ -537,17 +548,17 @@
 	}
 }
 
-// executePoll is what a worker does on a look.
-func (md *model) executePoll(wk *modelWorker, lk Poll, sent time.Time) PollResult {
+// executePoll executes a poll on a worker.
+func (md *model) executePoll(wk *modelWorker, poll Poll, sent time.Time) PollResult {
 	md.processEnds(wk)
-	res := PollResult{Poll: lk, Sent: sent, Clock: md.clock(wk)}
-	if lk.Token < wk.token {
+	res := PollResult{Poll: poll, Sent: sent, Clock: md.clock(wk)}
+	if poll.Token < wk.token {
 		res.Outcome = Superseded
 		return res
 	}
-	wk.token = lk.Token
-	md.extendLease(wk, lk.LeaseUntil)
-	md.acknowledge(wk, lk.AckedEnd)
+	wk.token = poll.Token
+	md.extendLease(wk, poll.LeaseUntil)
+	md.acknowledge(wk, poll.AckedEnd)
 	res.Outcome = Done
 	for _, tk := range sortedTasks(wk.runs) {
 		rn := wk.runs[tk]
@@ -561,13 +572,13 @@
 	return res
 }
 
-// extendLease prolongs what runs on a worker, to a time on its clock but not beyond modelHold from now.
+// extendLease extends the lease of a worker to a time on the worker's clock, but to no more than modelMaxLease from now.
 func (md *model) extendLease(wk *modelWorker, until int64) {
 	wk.leaseUntil = max(wk.leaseUntil, min(until, md.clock(wk)+modelMaxLease.Milliseconds()))
 }
 
-// acknowledge forgets ends; from then on they stand for good, unless the worker's lease had run out in between: then its owner may
-// have started the task elsewhere already.
+// acknowledge removes ends that an owner has acknowledged. They are final from then on, unless the worker's lease had expired after them: the
+// owner may then already have started the task elsewhere.
 func (md *model) acknowledge(wk *modelWorker, number int64) {
 	for len(wk.ended) > 0 && wk.ended[0].Number <= number {
 		en := wk.ended[0]
@@ -589,17 +600,17 @@
 	}
 }
 
-// checkSaved checks that an end which is forgotten by its worker is in the store.
+// checkSaved checks that an end which its worker has removed is in the store.
 func (md *model) checkSaved(tk job.Task) {
 	row := md.progress[tk.Job]
 	if row.Progress == nil || !row.Progress.State.Ended() && !row.Progress.CompletedRuns.Has(tk.Run) && !row.Progress.DoneTasks[job.StepKey(tk.Run, tk.Step)].Has(tk.Index) {
-		md.violatef("the end of %v was acknowledged and is not kept: %+v", tk, row.Progress)
+		md.violatef("the end of %v was acknowledged but is not saved: %+v", tk, row.Progress)
 	}
 }
 
 func (md *model) stepOf(tk job.Task) *job.Step { return &md.jobs[tk.Job].spec.Steps[tk.Step] }
 
-// execute is what a worker does on a start or stop.
+// execute executes a start, stop or throttle order on a worker.
 func (md *model) execute(wk *modelWorker, od Order) Outcome {
 	md.processEnds(wk)
 	switch order := od.(type) {
@@ -620,6 +631,7 @@
 	return Done
 }
 
+// executeStart executes a start on a worker.
 func (md *model) executeStart(wk *modelWorker, order Start) Outcome {
 	switch {
 	case order.Token < wk.token:
@@ -636,33 +648,33 @@
 		return LeaseExpired
 	}
 	md.checkStart(wk, order)
-	how, took := EndDone, md.millis(50, 2500)
-	if luck := md.rnd.Intn(20); luck == 0 && !md.faultsOff {
-		how = EndFailed
+	reason, took := EndDone, md.millis(50, 2500)
+	if draw := md.rnd.Intn(20); draw == 0 && !md.faultsOff {
+		reason = EndFailed
 	}
-	rn := &modelRun{attempt: order.Attempt, endsAt: md.now.Add(took), reason: how, workingAt: md.now.Add(200 * time.Millisecond)}
-	if md.stepOf(order.Task).LongRunning && how == EndDone {
+	rn := &modelRun{attempt: order.Attempt, endsAt: md.now.Add(took), reason: reason, workingAt: md.now.Add(200 * time.Millisecond)}
+	if md.stepOf(order.Task).LongRunning && reason == EndDone {
 		rn.endsAt = md.now.Add(time.Hour)
 	}
 	md.scheduleCrash(wk, order.Task, rn)
 	wk.runs[order.Task] = rn
-	md.tracef("%s: %v attempt %d starts under %d", wk.info.ID, order.Task, order.Attempt, order.Token)
+	md.tracef("%s: %v attempt %d starts under token %d", wk.info.ID, order.Task, order.Attempt, order.Token)
 	return Done
 }
 
-// save writes progress under the condition of the cell's row and the rows' versions.
+// save writes progress rows if the owner still owns the cell. It checks that the rows have the expected versions.
 func (md *model) save(ow *modelOwner, sv Save) {
 	if md.now.Before(ow.storeCutUntil) {
 		md.schedule(200*time.Millisecond, func() { md.save(ow, sv) })
 		return
 	}
 	if !md.ownsRow(ow) {
-		md.deliver(ow, func() { ow.core.Overtaken("the row is another's") })
+		md.deliver(ow, func() { ow.core.Overtaken("the row names another owner") })
 		return
 	}
 	for _, row := range sv.Rows {
 		if md.progress[row.ID].Version != row.Version {
-			md.violatef("progress of %s has version %d, the owner believes %d", row.ID, md.progress[row.ID].Version, row.Version)
+			md.violatef("progress of %s has version %d, the owner expects %d", row.ID, md.progress[row.ID].Version, row.Version)
 		}
 	}
 	md.version++
@@ -678,6 +690,7 @@
 	md.schedule(md.millis(1, 400), func() { md.deliver(ow, func() { ow.core.Saved(md.now, version) }) })
 }
 
+// recordWorkers writes the workers in use to the cell's row if the owner still owns the cell.
 func (md *model) recordWorkers(ow *modelOwner, en RecordWorkers) {
 	if !md.ownsRow(ow) || md.now.Before(ow.storeCutUntil) {
 		md.deliver(ow, ow.core.EnlistFailed)
@@ -691,7 +704,7 @@
 	})
 }
 
-// playEvent plays one event.
+// playEvent runs the next event. It returns false if there is none or an invariant is violated.
 func (md *model) playEvent() bool {
 	if md.events.Len() == 0 || md.violation != "" {
 		return false
@@ -705,8 +718,8 @@
 	return true
 }
 
-// finish ends the troubles and lets the last owner finish. The workers have all their room again: some tasks need more than one that has shrunk
-// has.
+// finish stops the faults and lets a last owner complete the jobs. The workers get their full room back, because some tasks need more than a worker
+// with reduced room has.
 func (md *model) finish() {
 	md.faultsOff = true
 	for _, ow := range md.owners {
