--- a/cell/ledger_model_test.go
+++ b/cell/ledger_model_test.go
@@ -17,72 +17,72 @@
 	ledgerSeed  = flag.Int64("ledgerseed", 1, "first seed of the model of ledgers")
 )
 
-// Sizes of the worlds of the model of ledgers.
+// Parameters of the model of ledgers.
 const (
 	ledgerEventCount  = 2500
 	ledgerCellCount   = 4
 	ledgerWorkerCount = 3
 	ledgerOrgCount    = 3
 	ledgerTick        = 10 * time.Millisecond
-	// ledgerMaxWait is for how long nothing fails before it is checked that nobody is left waiting, as the users' rule has it.
+	// ledgerMaxWait is how long tasks may wait without a start while no faults are injected, according to the users' rule.
 	ledgerMaxWait = 3 * time.Second
 )
 
-// ledgerFault is a rule that is left out on purpose, to see that the checks find it.
+// ledgerFault is a deliberate violation of one rule, which the checks of the model must detect.
 type ledgerFault string
 
 const (
 	noFault               ledgerFault = "none"
-	writeConditionIgnored ledgerFault = "the store takes writes whose condition does not hold"
-	reconciledAtOnce      ledgerFault = "a successor counts nothing of what its predecessor may have running"
-	epochIgnored          ledgerFault = "a successor uses its predecessor's part without taking it over"
-	othersIgnored         ledgerFault = "the other cells' parts are not looked at when a maximum is lowered"
-	nothingReturned       ledgerFault = "what is not needed is kept"
+	writeConditionIgnored ledgerFault = "the store accepts writes whose condition does not hold"
+	reconciledAtOnce      ledgerFault = "a successor does not count the running tasks of its predecessor"
+	epochIgnored          ledgerFault = "a successor uses the allowance of its predecessor without taking it over"
+	othersIgnored         ledgerFault = "the allowances of other cells are ignored when a maximum is lowered"
+	nothingReturned       ledgerFault = "surplus allowances are not returned"
 	endsNeverCounted      ledgerFault = "ends are not counted"
-	runningNotAdopted     ledgerFault = "what runs already is not counted when a worker is looked at"
+	runningNotAdopted     ledgerFault = "running tasks are not counted when a worker is fenced"
 )
 
-// ledgerTask is a task as it really is.
+// ledgerTask is the true state of a task.
 type ledgerTask struct {
 	org    job.OrganisationID
 	size   job.Size
 	cell   int
 	worker int
-	// owner counts it, nil once nobody does.
+	// owner is the owner that counts the task, or nil if there is none.
 	owner  *ledgerOwner
 	endsAt time.Time
-	// maximum is the maximum that counted when it was ordered: an order that is carried out late cannot know of a lower one.
+	// maximum is the maximum in force when the task was ordered. An order that is executed late cannot take a lower one into account.
 	maximum job.Size
 }
 
-// ledgerOwner is the owner of a cell, with what it knows.
+// ledgerOwner is an owner of a cell with its view of the system.
 type ledgerOwner struct {
 	lg    *Ledger
 	cell  int
 	epoch job.Epoch
 	dead  bool
-	// storeCutUntil is until when it reaches the store in no way.
+	// storeCutUntil is when the owner can reach the store again.
 	storeCutUntil time.Time
-	// fenced are the workers that it has looked at.
+	// fenced holds the workers that the owner has polled.
 	fenced map[int]bool
-	// configIndex is the newest configuration known to it.
+	// configIndex is the newest configuration that the owner knows.
 	configIndex int
 	waiting     map[job.OrganisationID][]job.Size
 	startedAt   map[job.OrganisationID]time.Time
 }
 
-// ledgerWorld is a world of several cells with one store.
+// ledgerWorld simulates several cells with one store.
 type ledgerWorld struct {
 	rnd            *rand.Rand
 	fault          ledgerFault
 	now            time.Time
 	faultsOffSince time.Time
 	rows           map[job.OrganisationID]AccountRow
-	// history are the times at which versions were written.
+	// history holds all versions of the rows. writtenAt is when each version was written.
 	history   map[job.OrganisationID][]AccountRow
 	writtenAt map[int64]time.Time
 	version   int64
-	// configs are the maxima as they were put in force, at the times.
+	// configs holds the maxima of all configurations. configuredAt is when each came into force.
 	configs      []map[job.OrganisationID]job.Size
 	configuredAt []time.Time
 	owners       []*ledgerOwner
@@ -99,51 +99,52 @@
 		rows: map[job.OrganisationID]AccountRow{}, history: map[job.OrganisationID][]AccountRow{}, writtenAt: map[int64]time.Time{},
 	}
 	lw.configure()
-	for at := range ledgerCellCount {
-		lw.replaceOwner(at)
+	for i := range ledgerCellCount {
+		lw.replaceOwner(i)
 	}
 	return lw
 }
 
-func ledgerOrg(at int) job.OrganisationID { return job.OrganisationID(fmt.Sprintf("org%d", at)) }
+func ledgerOrg(i int) job.OrganisationID { return job.OrganisationID(fmt.Sprintf("org%d", i)) }
 
-// configure puts new maxima in force; owners learn of them by and by.
+// configure puts random maxima in force. The owners apply them later.
 func (lw *ledgerWorld) configure() {
 	maxima := map[job.OrganisationID]job.Size{}
-	for at := range ledgerOrgCount {
-		maxima[ledgerOrg(at)] = job.Size{CPUMillis: 1000 * (4 + lw.rnd.Intn(40)), MemoryMB: 1000 * (10 + lw.rnd.Intn(40))}
+	for i := range ledgerOrgCount {
+		maxima[ledgerOrg(i)] = job.Size{CPUMillis: 1000 * (4 + lw.rnd.Intn(40)), MemoryMB: 1000 * (10 + lw.rnd.Intn(40))}
 	}
 	lw.configs, lw.configuredAt = append(lw.configs, maxima), append(lw.configuredAt, lw.now)
 }
 
+// applyConfig applies the newest configuration to the ledger of an owner.
 func (lw *ledgerWorld) applyConfig(ow *ledgerOwner) {
 	ow.configIndex = len(lw.configs) - 1
 	cf := &job.Configuration{}
-	for at := range ledgerCellCount {
-		cf.Queues = append(cf.Queues, job.Queue{Pool: job.PoolID(fmt.Sprint(at))})
+	for i := range ledgerCellCount {
+		cf.Queues = append(cf.Queues, job.Queue{Pool: job.PoolID(fmt.Sprint(i))})
 	}
 	var list []job.Organisation
-	for id, most := range lw.configs[ow.configIndex] {
-		list = append(list, job.Organisation{ID: id, Maximum: most})
+	for id, maximum := range lw.configs[ow.configIndex] {
+		list = append(list, job.Organisation{ID: id, Maximum: maximum})
 	}
 	cf.Organisations = job.NewDirectory(list)
 	ow.lg.Configure(cf)
 }
 
-// replaceOwner gives a cell a new owner, which does not know yet what runs there. The one before may go on for a while.
-func (lw *ledgerWorld) replaceOwner(at int) {
+// replaceOwner gives a cell a new owner, which does not yet know the running tasks. The previous owner may continue for a while.
+func (lw *ledgerWorld) replaceOwner(cell int) {
 	lw.version++
-	ow := &ledgerOwner{cell: at, epoch: job.Epoch(lw.version), fenced: map[int]bool{}, waiting: map[job.OrganisationID][]job.Size{}, startedAt: map[job.OrganisationID]time.Time{}}
-	ow.lg = NewLedger(fmt.Sprint(at), ow.epoch)
-	if before := lw.current[at]; before != nil {
-		// What waits is the cell's; each organisation begins to wait anew for what is checked.
-		ow.waiting = before.waiting
-		before.waiting = map[job.OrganisationID][]job.Size{}
+	ow := &ledgerOwner{cell: cell, epoch: job.Epoch(lw.version), fenced: map[int]bool{}, waiting: map[job.OrganisationID][]job.Size{}, startedAt: map[job.OrganisationID]time.Time{}}
+	ow.lg = NewLedger(fmt.Sprint(cell), ow.epoch)
+	if previous := lw.current[cell]; previous != nil {
+		// The waiting tasks belong to the cell. The waiting times that are checked start over.
+		ow.waiting = previous.waiting
+		previous.waiting = map[job.OrganisationID][]job.Size{}
 		if lw.rnd.Intn(3) > 0 {
-			lw.stopOwner(before)
+			lw.stopOwner(previous)
 		}
 	}
-	lw.current[at] = ow
+	lw.current[cell] = ow
 	lw.owners = append(lw.owners, ow)
 	lw.applyConfig(ow)
 	if lw.fault == reconciledAtOnce {
@@ -162,7 +163,7 @@
 	}
 }
 
-// stopOwner ends an owner's process.
+// stopOwner ends the process of an owner.
 func (lw *ledgerWorld) stopOwner(ow *ledgerOwner) {
 	ow.dead = true
 	lw.owners = slices.DeleteFunc(lw.owners, func(other *ledgerOwner) bool { return other == ow })
@@ -173,7 +174,7 @@
 	}
 }
 
-// fenceWorker has an owner fence a worker and count what runs there.
+// fenceWorker makes an owner fence a worker and count the tasks that run there.
 func (lw *ledgerWorld) fenceWorker(ow *ledgerOwner, worker int) {
 	if ow.fenced[worker] || lw.workerEpochs[ow.cell][worker] > ow.epoch {
 		return
@@ -191,10 +192,10 @@
 	}
 }
 
-// startTasks has an owner startTasks what waits, as far as its ledger allows. Some orders are carried out late.
+// startTasks makes an owner start the waiting tasks that its ledger allows. Some starts are executed late.
 func (lw *ledgerWorld) startTasks(ow *ledgerOwner) {
-	for at := range ledgerOrgCount {
-		id := ledgerOrg(at)
+	for i := range ledgerOrgCount {
+		id := ledgerOrg(i)
 		for len(ow.waiting[id]) > 0 {
 			size := ow.waiting[id][0]
 			worker := lw.rnd.Intn(ledgerWorkerCount)
@@ -214,7 +215,7 @@
 	}
 }
 
-// executeStart carries an order out unless its worker has seen a later owner, and checks the maximum.
+// executeStart executes a start unless its worker has seen a later owner, and checks the maximum.
 func (lw *ledgerWorld) executeStart(lt *ledgerTask, ow *ledgerOwner) {
 	if lw.workerEpochs[lt.cell][lt.worker] > ow.epoch {
 		ow.lg.addRunning(lt.org, lt.size, -1)
@@ -224,21 +225,21 @@
 		lt.owner = nil
 	}
 	lw.running = append(lw.running, lt)
-	sum, alone := job.Size{}, 0
+	sum, count := job.Size{}, 0
 	for _, other := range lw.running {
 		if other.org == lt.org {
 			sum = sum.Add(other.size)
-			alone++
+			count++
 		}
 	}
-	most := lt.maximum.Max(lw.highestKnownMaximum(ow, lt.org))
-	if alone > 1 && !within(sum, most, most) && lw.err == nil {
-		lw.err = fmt.Errorf("%v has %v running, its maximum is %v", lt.org, sum, most)
+	maximum := lt.maximum.Max(lw.highestKnownMaximum(ow, lt.org))
+	if count > 1 && !within(sum, maximum, maximum) && lw.err == nil {
+		lw.err = fmt.Errorf("%v has %v running, its maximum is %v", lt.org, sum, maximum)
 	}
 }
 
-// highestKnownMaximum is the highest maximum that may count: of all configurations since the oldest that a living owner knows, and since the row that
-// the starting one knows was the newest, by which it judges what the others hold.
+// highestKnownMaximum returns the highest maximum that an owner may still apply to an organisation. It covers all configurations since the oldest one
+// that a living owner uses, and since the row that the owner knows was the newest, because that row determines what it assumes the others to hold.
 func (lw *ledgerWorld) highestKnownMaximum(ow *ledgerOwner, id job.OrganisationID) job.Size {
 	since := lw.now
 	for _, other := range lw.owners {
@@ -253,32 +254,32 @@
 			break
 		}
 	}
-	most := lw.configs[len(lw.configs)-1][id]
-	for at := len(lw.configs) - 2; at >= 0; at-- {
-		if lw.configuredAt[at+1].Before(since) {
+	maximum := lw.configs[len(lw.configs)-1][id]
+	for i := len(lw.configs) - 2; i >= 0; i-- {
+		if lw.configuredAt[i+1].Before(since) {
 			break
 		}
-		most = most.Max(lw.configs[at][id])
+		maximum = maximum.Max(lw.configs[i][id])
 	}
-	return most
+	return maximum
 }
 
-// delay puts something off.
-func (lw *ledgerWorld) delay(do func()) { lw.delayed = append(lw.delayed, do) }
+// delay queues an action that is executed at a later event.
+func (lw *ledgerWorld) delay(run func()) { lw.delayed = append(lw.delayed, run) }
 
-// faultsOn reports whether things fail at this time.
+// faultsOn reports whether faults are injected at this time.
 func (lw *ledgerWorld) faultsOn() bool { return lw.faultsOffSince.IsZero() }
 
-// writeAccounts has an owner write what it needs or gives back.
+// writeAccounts makes an owner write the allowances that it requests or returns.
 func (lw *ledgerWorld) writeAccounts(ow *ledgerOwner) {
 	if ow.storeCutUntil.After(lw.now) {
 		return
 	}
 	waiting := map[job.OrganisationID]Demand{}
 	for id, list := range ow.waiting {
-		for at, size := range list {
+		for i, size := range list {
 			dm := waiting[id]
-			if at == 0 {
+			if i == 0 {
 				dm.Unit = size
 			}
 			dm.Waiting = dm.Waiting.Add(size)
@@ -288,8 +289,8 @@
 	rows := ow.lg.PendingWrites(lw.now, waiting)
 	if lw.fault == nothingReturned {
 		rows = slices.DeleteFunc(rows, func(rw AccountRow) bool {
-			was, known := ow.lg.account(rw.Organisation).Account[ow.lg.cell]
-			return known && was.Epoch == ow.epoch && within(rw.Account[ow.lg.cell].Held, was.Held, was.Held)
+			own, known := ow.lg.account(rw.Organisation).Account[ow.lg.cell]
+			return known && own.Epoch == ow.epoch && within(rw.Account[ow.lg.cell].Held, own.Held, own.Held)
 		})
 	}
 	if len(rows) == 0 {
@@ -319,7 +320,7 @@
 	}
 }
 
-// commit writes rows if their conditions hold.
+// commit writes rows if their conditions hold. It returns the new version, or the current rows in conflict.
 func (lw *ledgerWorld) commit(rows []AccountRow) (int64, []AccountRow) {
 	var conflicts []AccountRow
 	for _, rw := range rows {
@@ -340,13 +341,13 @@
 	return lw.version, nil
 }
 
-// readFeed has an owner take the rows of the feed.
+// readFeed makes an owner apply the rows of the feed.
 func (lw *ledgerWorld) readFeed(ow *ledgerOwner) {
 	if ow.storeCutUntil.After(lw.now) {
 		return
 	}
-	for at := range ledgerOrgCount {
-		rw, ok := lw.rows[ledgerOrg(at)]
+	for i := range ledgerOrgCount {
+		rw, ok := lw.rows[ledgerOrg(i)]
 		if !ok || lw.faultsOn() && lw.rnd.Intn(3) == 0 {
 			continue
 		}
@@ -354,7 +355,7 @@
 	}
 }
 
-// endTasks ends tasks whose time has come and has their owners count it, some of them later.
+// endTasks ends the tasks that are due. Their owners count the ends, some of them later.
 func (lw *ledgerWorld) endTasks() {
 	lw.running = slices.DeleteFunc(lw.running, func(lt *ledgerTask) bool {
 		if lt.endsAt.After(lw.now) {
@@ -372,23 +373,23 @@
 	})
 }
 
-// dropOtherCells leaves out that a lowered maximum is shared with the others.
+// dropOtherCells injects the fault othersIgnored: it removes the allowances of the other cells from an owner's ledger.
 func (lw *ledgerWorld) dropOtherCells(ow *ledgerOwner) {
 	if lw.fault != othersIgnored {
 		return
 	}
-	for _, en := range ow.lg.accounts {
-		for name := range en.Account {
+	for _, as := range ow.lg.accounts {
+		for name := range as.Account {
 			if name != ow.lg.cell {
-				ac := maps.Clone(en.Account)
+				ac := maps.Clone(as.Account)
 				delete(ac, name)
-				en.Account = ac
+				as.Account = ac
 			}
 		}
 	}
 }
 
-// playEvent plays one event.
+// playEvent plays one random event.
 func (lw *ledgerWorld) playEvent() {
 	lw.now = lw.now.Add(time.Duration(1+lw.rnd.Intn(10)) * ledgerTick)
 	lw.endTasks()
@@ -408,10 +409,10 @@
 		lw.fenceWorker(ow, lw.rnd.Intn(ledgerWorkerCount))
 	case 11:
 		if len(lw.delayed) > 0 {
-			at := lw.rnd.Intn(len(lw.delayed))
-			do := lw.delayed[at]
-			lw.delayed = slices.Delete(lw.delayed, at, at+1)
-			do()
+			i := lw.rnd.Intn(len(lw.delayed))
+			run := lw.delayed[i]
+			lw.delayed = slices.Delete(lw.delayed, i, i+1)
+			run()
 		}
 	case 12:
 		switch lw.rnd.Intn(12) {
@@ -431,11 +432,11 @@
 	lw.startTasks(ow)
 }
 
-// playWithoutFaults lets everything become calm and checks that nobody waits whose organisation holds little.
+// playWithoutFaults plays the world without faults and checks that no tasks keep waiting while their organisation uses little of its maximum.
 func (lw *ledgerWorld) playWithoutFaults() {
 	lw.faultsOffSince = lw.now
-	for _, do := range lw.delayed {
-		do()
+	for _, run := range lw.delayed {
+		run()
 	}
 	lw.delayed = nil
 	for _, ow := range slices.Clone(lw.owners) {
@@ -449,7 +450,7 @@
 			lw.fenceWorker(ow, worker)
 		}
 	}
-	most := lw.configs[len(lw.configs)-1]
+	maxima := lw.configs[len(lw.configs)-1]
 	for lw.now.Before(lw.faultsOffSince.Add(2 * ledgerMaxWait)) {
 		lw.now = lw.now.Add(5 * ledgerTick)
 		lw.endTasks()
@@ -459,15 +460,15 @@
 			lw.writeAccounts(ow)
 			lw.startTasks(ow)
 			for id, list := range ow.waiting {
-				lw.checkWait(ow, id, list, most[id])
+				lw.checkWait(ow, id, list, maxima[id])
 			}
 		}
 	}
 	lw.faultsOffSince = time.Time{}
 }
 
-// checkWait fails if tasks of an organisation that holds under half of its maximum have waited for too long at a cell without a start.
-func (lw *ledgerWorld) checkWait(ow *ledgerOwner, id job.OrganisationID, list []job.Size, most job.Size) {
+// checkWait fails if the tasks of an organisation have waited for too long in a cell without a start although it uses less than half of its maximum.
+func (lw *ledgerWorld) checkWait(ow *ledgerOwner, id job.OrganisationID, list []job.Size, maximum job.Size) {
 	var sum job.Size
 	for _, lt := range lw.running {
 		if lt.org == id {
@@ -478,32 +479,33 @@
 	if since.Before(lw.faultsOffSince) {
 		since = lw.faultsOffSince
 	}
-	if len(list) == 0 || 2*sum.CPUMillis >= most.CPUMillis || 2*sum.MemoryMB >= most.MemoryMB {
+	if len(list) == 0 || 2*sum.CPUMillis >= maximum.CPUMillis || 2*sum.MemoryMB >= maximum.MemoryMB {
 		ow.startedAt[id] = lw.now
 		return
 	}
 	if lw.now.Sub(since) > ledgerMaxWait && lw.err == nil {
-		lw.err = fmt.Errorf("%v of cell %d waits since %v though %v of %v is in use; row %+v", id, ow.cell, lw.now.Sub(since), sum, most, lw.rows[id].Account)
+		lw.err = fmt.Errorf("%v has waited in cell %d for %v although %v of %v is in use; row %+v", id, ow.cell, lw.now.Sub(since), sum, maximum, lw.rows[id].Account)
 	}
 }
 
-// play plays a world and returns what its checks found.
+// playLedgers plays a world and returns the first violation that its checks find.
 func playLedgers(seed int64, fault ledgerFault) error {
 	lw := newLedgerWorld(seed, fault)
-	for at := range ledgerEventCount {
+	for i := range ledgerEventCount {
 		lw.playEvent()
-		if at%500 == 499 {
+		if i%500 == 499 {
 			lw.playWithoutFaults()
 		}
 		if lw.err != nil {
-			return fmt.Errorf("seed %d, event %d: %w", seed, at, lw.err)
+			return fmt.Errorf("seed %d, event %d: %w", seed, i, lw.err)
 		}
 	}
 	return nil
 }
 
-// TestModelOfLedgers: owners of several cells start what they may under lost and late writes, stale rows, cuts, takeovers with late orders of
-// the former owner, and maxima that change. What an organisation has running stays within its maximum, and nobody is left waiting in calm.
+// TestModelOfLedgers plays worlds in which the owners of several cells start the tasks that their ledgers allow, under lost and late writes, stale
+// rows, network partitions, takeovers with late orders of the previous owner, and changing maxima. The running tasks of an organisation must stay
+// within its maximum. Without faults, no tasks may be left waiting.
 func TestModelOfLedgers(t *testing.T) {
 	for seed := *ledgerSeed; seed < *ledgerSeed+int64(max(1, *ledgerSteps/ledgerEventCount)); seed++ {
 		if err := playLedgers(seed, noFault); err != nil {
@@ -512,8 +514,8 @@
 	}
 }
 
-// TestModelOfLedgersFindsFaults: each rule that is left out is found within some worlds. Searching begins near a world that shows it. Writes
-// without an answer have a test of their own.
+// TestModelOfLedgersFindsFaults checks that the model detects each deliberate fault within some worlds. The search starts near a seed that shows the
+// fault. Unanswered writes have a separate test.
 func TestModelOfLedgersFindsFaults(t *testing.T) {
 	for fault, first := range map[ledgerFault]int64{writeConditionIgnored: 1, reconciledAtOnce: 309, epochIgnored: 210, othersIgnored: 1, nothingReturned: 1, endsNeverCounted: 1, runningNotAdopted: 25} {
 		var err error
@@ -521,7 +523,7 @@
 			err = playLedgers(seed, fault)
 		}
 		if err == nil {
-			t.Errorf("not found: %s", fault)
+			t.Errorf("fault not detected: %s", fault)
 			continue
 		}
 		t.Logf("%s: %v", fault, err)
--- a/cell/share_test.go
+++ b/cell/share_test.go
@@ -8,7 +8,7 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// Shape of a flood: twenty organisations of one weight that use nine tenths of a pool together.
+// Parameters of a flood: twenty organisations of equal weight that together use nine tenths of a pool.
 const (
 	floodOrgCount      = 20
 	floodWorkerCount   = 40
@@ -16,48 +16,50 @@
 	floodDuration      = 12 * time.Second
 )
 
-// simulateFlood plays the load with the first organisation handing in a multiple of its part, and returns which part of the others' jobs was in time.
-func simulateFlood(times float64, shares bool) float64 {
+// simulateFlood simulates a load in which the first organisation submits a multiple of its share. It returns the fraction of the other
+// organisations' jobs that met their objective.
+func simulateFlood(factor float64, shares bool) float64 {
 	bt := newBurst(floodWorkerCount, 3)
 	if shares {
 		var list []job.Organisation
-		for at := range floodOrgCount {
-			list = append(list, job.Organisation{ID: floodOrg(at), Weight: floodJobsPerSecond / floodOrgCount})
+		for i := range floodOrgCount {
+			list = append(list, job.Organisation{ID: floodOrg(i), Weight: floodJobsPerSecond / floodOrgCount})
 		}
 		bt.core.SetOrganisations(&job.Configuration{Organisations: job.NewDirectory(list)})
 	}
-	for at := range floodOrgCount {
+	for i := range floodOrgCount {
 		rate := floodJobsPerSecond / floodOrgCount
-		if at == 0 {
-			rate *= times
+		if i == 0 {
+			rate *= factor
 		}
-		bt.arriveFor(floodOrg(at), rate, floodDuration)
+		bt.arriveFor(floodOrg(i), rate, floodDuration)
 	}
 	bt.run(floodDuration + 10*time.Second)
-	inTime, all := 0, 0
+	inTime, total := 0, 0
 	for id, og := range bt.organisations {
 		if og == floodOrg(0) {
 			continue
 		}
-		all++
+		total++
 		if bt.punctual[id] {
 			inTime++
 		}
 	}
-	return float64(inTime) / float64(all)
+	return float64(inTime) / float64(total)
 }
 
-func floodOrg(at int) job.OrganisationID { return job.OrganisationID(fmt.Sprintf("org%02d", at)) }
+// floodOrg returns the id of one of the organisations.
+func floodOrg(i int) job.OrganisationID { return job.OrganisationID(fmt.Sprintf("org%02d", i)) }
 
-// TestFloodDoesNotDelayOtherOrganisations replays a flood by one of twenty organisations, ten times its part: what the others have in time stays above 0.95
-// of a day without it. Without shares 0.865 were; with the share after the urgency of a job 0.907.
+// TestFloodDoesNotDelayOtherOrganisations checks that a flood by one of twenty organisations, ten times its share, leaves the others at least 0.95 of
+// the jobs in time that they have without the flood. Without shares the fraction was 0.865, and with shares ranked after the urgency of a job 0.907.
 func TestFloodDoesNotDelayOtherOrganisations(t *testing.T) {
-	calm, flood, without := simulateFlood(1, true), simulateFlood(10, true), simulateFlood(10, false)
-	t.Logf("in time: calm %.3f, flood %.3f, flood without shares %.3f", calm, flood, without)
-	if flood < 0.95*calm {
-		t.Errorf("in time %.3f under a flood, %.3f without", flood, calm)
+	noFlood, flood, unshared := simulateFlood(1, true), simulateFlood(10, true), simulateFlood(10, false)
+	t.Logf("in time: no flood %.3f, flood %.3f, flood without shares %.3f", noFlood, flood, unshared)
+	if flood < 0.95*noFlood {
+		t.Errorf("%.3f of the jobs are in time with a flood, %.3f without", flood, noFlood)
 	}
-	if without > 0.9*calm {
-		t.Errorf("the load is no flood: %.3f without shares", without)
+	if unshared > 0.9*noFlood {
+		t.Errorf("the load is not a flood: %.3f of the jobs are in time without shares", unshared)
 	}
 }
