--- a/fleet/accounts_test.go
+++ b/fleet/accounts_test.go
@@ -125,7 +125,7 @@
 		})
 	}
 	var og OrganisationStatus
-	cl.eventually("a job to wait at the maximum", func() bool {
+	cl.eventually("a job waits at the maximum", func() bool {
 		rp, err := ReadOrganisations(t.Context(), one.faultyStore, maximumFormat{})
 		if err != nil || len(rp.Organisations) != 1 || len(rp.Unreachable) > 0 {
 			return false
--- a/fleet/fakes_test.go
+++ b/fleet/fakes_test.go
@@ -481,7 +481,7 @@
 	cl.t.Helper()
 	for until := time.Now().Add(testTimeout); !holds(); time.Sleep(testPollInterval) {
 		if time.Now().After(until) {
-			cl.t.Fatalf("timed out waiting for %s", what)
+			cl.t.Fatalf("timed out waiting: %s", what)
 		}
 	}
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -17,7 +17,7 @@
 	cl := newCluster(t, 30*time.Millisecond)
 	one, two := cl.start("one"), cl.start("two")
 	cl.waitOwner(one, two)
-	cl.eventually("both nodes to be ready", func() bool { return one.Ready() && two.Ready() })
+	cl.eventually("both nodes are ready", func() bool { return one.Ready() && two.Ready() })
 	if result := cl.submit(two, "a1"); result != Accepted {
 		t.Fatalf("submit: result %d", result)
 	}
@@ -55,7 +55,7 @@
 		t.Fatal("the repeated submission reached the owner")
 	}
 	cl.write(Row{Table: jobTable("pool"), Part: part, Key: "b1", Value: raw})
-	cl.eventually("the owner to read the job from the store", func() bool {
+	cl.eventually("the owner has read the job from the store", func() bool {
 		_, known := one.ownerOf("pool").jobStatus("b1")
 		return known
 	})
@@ -96,11 +96,11 @@
 	if first == one {
 		next = two
 	}
-	cl.eventually("the other node to be ready", next.Ready)
+	cl.eventually("the other node is ready", next.Ready)
 	if result := cl.submit(next, "d1"); result != Accepted {
 		t.Fatalf("submit: result %d", result)
 	}
-	cl.eventually("a task to run", func() bool { return cl.workers.startCount(job.Task{Job: "d1"}) == 1 })
+	cl.eventually("a task runs", func() bool { return cl.workers.startCount(job.Task{Job: "d1"}) == 1 })
 	first.stop()
 	<-first.done
 	cl.waitOwner(next)
@@ -118,7 +118,7 @@
 	if first == one {
 		next = two
 	}
-	cl.eventually("the other node to be ready", next.Ready)
+	cl.eventually("the other node is ready", next.Ready)
 	if result := cl.submit(first, "e1"); result != Accepted {
 		t.Fatalf("submit: result %d", result)
 	}
@@ -141,9 +141,9 @@
 func TestNodeRefusedByStoreUsesPeers(t *testing.T) {
 	cl := newCluster(t, 30*time.Millisecond)
 	one, two := cl.start("one"), cl.start("two")
-	cl.eventually("both nodes to be ready", func() bool { return one.Ready() && two.Ready() })
+	cl.eventually("both nodes are ready", func() bool { return one.Ready() && two.Ready() })
 	cl.waitOwner(one, two)
-	cl.eventually("the nodes to know each other", func() bool { return len(two.members.others("two")) == 1 })
+	cl.eventually("the nodes know each other", func() bool { return len(two.members.others("two")) == 1 })
 	two.faultyStore.set(func(fs *faultyStore) { fs.refuse = true })
 	if result := cl.submit(two, "f1"); result != Accepted {
 		t.Fatalf("submit: result %d", result)
@@ -197,11 +197,11 @@
 	if result := cl.submit(two, "i1"); result != Accepted {
 		t.Fatalf("submit: result %d", result)
 	}
-	cl.eventually("a task to run", func() bool { return cl.workers.startCount(job.Task{Job: "i1"}) == 1 })
+	cl.eventually("a task runs", func() bool { return cl.workers.startCount(job.Task{Job: "i1"}) == 1 })
 	if err := two.Cancel(context.Background(), "", "i1"); err != nil {
 		t.Fatal(err)
 	}
-	cl.eventually("both nodes to return the cancellation", func() bool {
+	cl.eventually("both nodes return the cancellation", func() bool {
 		for _, nd := range []*testNode{one, two} {
 			if state, err := nd.State(context.Background(), "", &testQueue, "i1"); err != nil || state != job.Cancelled {
 				return false
@@ -209,7 +209,7 @@
 		}
 		return true
 	})
-	cl.eventually("all tasks to stop", func() bool {
+	cl.eventually("all tasks have stopped", func() bool {
 		cl.workers.mu.Lock()
 		defer cl.workers.mu.Unlock()
 		for _, runs := range cl.workers.runs {
@@ -243,7 +243,7 @@
 	if result := cl.submit(one, "k1"); result != Accepted {
 		t.Fatalf("submit: result %d", result)
 	}
-	cl.eventually("the job's rows to be deleted", func() bool {
+	cl.eventually("the job's rows are deleted", func() bool {
 		cl.mem.mu.Lock()
 		defer cl.mem.mu.Unlock()
 		for at := range cl.mem.rows {
@@ -324,7 +324,7 @@
 	one := cl.start("one")
 	cl.waitOwner(one)
 	two := cl.start("two")
-	cl.eventually("the node to be ready without registrations", func() bool { return two.Ready() && len(two.workerCache.inPool("pool")) == 0 })
+	cl.eventually("the node is ready without registrations", func() bool { return two.Ready() && len(two.workerCache.inPool("pool")) == 0 })
 	if two.heartbeatDelay() != idleHeartbeatInterval || one.heartbeatDelay() != heartbeatInterval {
 		t.Errorf("heartbeat intervals of %v and %v", two.heartbeatDelay(), one.heartbeatDelay())
 	}
@@ -334,7 +334,7 @@
 	}
 	one.stop()
 	cl.waitOwner(two)
-	cl.eventually("the new owner to know the workers", func() bool {
+	cl.eventually("the new owner knows the workers", func() bool {
 		var ids []string
 		for _, wk := range two.workerCache.inPool("pool") {
 			ids = append(ids, string(wk.ID))
--- a/fleet/pause_test.go
+++ b/fleet/pause_test.go
@@ -16,13 +16,13 @@
 	if first == one {
 		next = two
 	}
-	cl.eventually("the other node to be ready", next.Ready)
+	cl.eventually("the other node is ready", next.Ready)
 	ctx := t.Context()
 	if err := PauseQueue(ctx, one.faultyStore, Pause{Queue: "q", By: "op", Why: "crashes", At: time.Now()}); err != nil {
 		t.Fatal(err)
 	}
 	for _, nd := range []*testNode{one, two} {
-		cl.eventually("the queue to be paused", func() bool { return nd.pausedQueues()["q"] })
+		cl.eventually("the queue is paused", func() bool { return nd.pausedQueues()["q"] })
 		if result := cl.submit(nd, "p1"); result != Refused {
 			t.Errorf("submit to a paused queue: result %d", result)
 		}
@@ -40,7 +40,7 @@
 	if err := ResumeQueue(ctx, next.faultyStore, "q"); err != nil {
 		t.Fatal(err)
 	}
-	cl.eventually("the queue to be resumed", func() bool { return !next.pausedQueues()["q"] })
+	cl.eventually("the queue is resumed", func() bool { return !next.pausedQueues()["q"] })
 	if result := cl.submit(next, "p2"); result != Accepted {
 		t.Fatalf("submit after the queue was resumed: result %d", result)
 	}
--- a/fleet/payloads_test.go
+++ b/fleet/payloads_test.go
@@ -42,7 +42,7 @@
 	if owner == one {
 		other = two
 	}
-	cl.eventually("all nodes to agree on the layout", func() bool { return one.separatePayloads.Load() && two.separatePayloads.Load() && other.Ready() })
+	cl.eventually("all nodes agree on the layout", func() bool { return one.separatePayloads.Load() && two.separatePayloads.Load() && other.Ready() })
 	for i, gone := range []bool{false, true} {
 		sp := testSpec(job.ID(fmt.Sprintf("%016x", i)))
 		sp.Payload = fmt.Sprintf("payload %d", i)
--- a/fleet/release_test.go
+++ b/fleet/release_test.go
@@ -25,7 +25,7 @@
 		ow.claimedAt = time.Time{}
 		return ow.core.HasPending(one.opts.Now())
 	}
-	cl.eventually("a job to wait", waits)
+	cl.eventually("a job waits", waits)
 	if ow.canMove(one.opts.Now(), false) {
 		t.Error("a cell with a waiting job can move")
 	}
