--- a/cell/cell_test.go
+++ b/cell/cell_test.go
@@ -7,7 +7,8 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// TestRepeatedFailedEndCountsOnce: an end that was kept but not acknowledged is listed again to the next owner.
+// TestRepeatedFailedEndCountsOnce checks that a failed end which was saved but not acknowledged, and is therefore reported again to the next owner,
+// counts once.
 func TestRepeatedFailedEndCountsOnce(t *testing.T) {
 	bd := newTestBed(t, 1)
 	pg := &job.Progress{FailedAttempts: map[string][]string{"0.0.0": {"1@w0"}}}
@@ -15,9 +16,9 @@
 	if st := bd.wantStarts(bd.plan(), 1)[0]; st.Attempt != 2 {
 		t.Fatalf("attempt %d, want 2", st.Attempt)
 	}
-	lk := bd.waitForPoll("w0")
+	poll := bd.waitForPoll("w0")
 	task := job.Task{Job: "j"}
-	bd.answerPoll(lk, []Running{{Task: task, Attempt: 2}}, []End{{Number: 1, Task: task, Attempt: 1, Reason: EndFailed}})
+	bd.answerPoll(poll, []Running{{Task: task, Attempt: 2}}, []End{{Number: 1, Task: task, Attempt: 1, Reason: EndFailed}})
 	bd.autoSave = true
 	bd.advance(time.Second)
 	bd.plan()
@@ -26,7 +27,7 @@
 	}
 }
 
-// TestJobFailsAfterMaxAttempts: as many failed attempts as the queue allows, and not one start more.
+// TestJobFailsAfterMaxAttempts checks that a job fails after as many failed attempts as its queue allows, without another start.
 func TestJobFailsAfterMaxAttempts(t *testing.T) {
 	bd := newTestBed(t, 2)
 	bd.addJob("j", testEpoch, taskStep(1))
@@ -46,7 +47,8 @@
 	}
 }
 
-// TestEndIsAcknowledgedAfterSave: also that of a member of a gang whose end another member has brought already.
+// TestEndIsAcknowledgedAfterSave checks that an end is acknowledged only after it is saved. This includes the end of a gang member that is reported
+// after the end of another member.
 func TestEndIsAcknowledgedAfterSave(t *testing.T) {
 	bd := newTestBed(t, 2)
 	gang := taskStep(2)
@@ -61,17 +63,17 @@
 	}
 	for range 20 {
 		bd.advance(100 * time.Millisecond)
-		for id, lk := range pollsByWorker(bd.plan()) {
-			if lk.AckedEnd > 0 {
-				t.Fatalf("end %d of %s is acknowledged before it is kept", lk.AckedEnd, id)
+		for id, poll := range pollsByWorker(bd.plan()) {
+			if poll.AckedEnd > 0 {
+				t.Fatalf("end %d of %s is acknowledged before it is saved", poll.AckedEnd, id)
 			}
-			bd.answerPoll(lk, nil, nil)
+			bd.answerPoll(poll, nil, nil)
 		}
 	}
 	bd.core.Saved(bd.now, 9)
 	for _, st := range list {
-		if lk := bd.waitForPoll(st.Worker); lk.AckedEnd != 1 {
-			t.Fatalf("acknowledged up to %d, want 1", lk.AckedEnd)
+		if poll := bd.waitForPoll(st.Worker); poll.AckedEnd != 1 {
+			t.Fatalf("acknowledged up to %d, want 1", poll.AckedEnd)
 		}
 	}
 	if state, _ := bd.core.State("j"); state != job.Completed {
@@ -79,41 +81,42 @@
 	}
 }
 
-// TestPollWaitFollowsExpectedEnds: an answer that is lost is then missed soon; a worker without short tasks is looked at
-// rarely, since each look has its price.
+// TestPollWaitFollowsExpectedEnds checks that a poll waits no longer than ends are expected to take, so that a lost answer is noticed soon. A worker
+// without short tasks is polled rarely, because every poll has a cost.
 func TestPollWaitFollowsExpectedEnds(t *testing.T) {
 	bd := newTestBed(t, 2)
-	lasting := taskStep(1)
-	lasting.LongRunning = true
-	bd.addJob("l", testEpoch, lasting)
+	longRunning := taskStep(1)
+	longRunning.LongRunning = true
+	bd.addJob("l", testEpoch, longRunning)
 	bd.answerOrder(bd.wantStarts(bd.plan(), 1)[0], Done)
 	bd.advance(100 * time.Millisecond)
 	waits := map[WorkerID]time.Duration{}
-	for id, lk := range pollsByWorker(bd.plan()) {
-		waits[id] = lk.Wait
+	for id, poll := range pollsByWorker(bd.plan()) {
+		waits[id] = poll.Wait
 	}
 	for id := range waits {
 		if waits[id] != bd.core.opts.PollWait {
-			t.Errorf("a worker with a task that lasts is waited for %v", waits[id])
+			t.Errorf("the poll of a worker without short tasks waits for %v", waits[id])
 		}
 	}
 	if len(waits) == 0 {
-		t.Fatal("nothing is looked at")
+		t.Fatal("no worker is polled")
 	}
 	wk := bd.core.workers["w0"]
 	for _, short := range []int{1, 8, 40} {
-		for at := range short {
-			pl := &placement{task: job.Task{Job: "s", Index: 100*short + at}, step: &step{job: &jobState{spec: &job.Spec{Queue: "q"}}, spec: &job.Step{}}, worker: wk, phase: running}
+		for i := range short {
+			pl := &placement{task: job.Task{Job: "s", Index: 100*short + i}, step: &step{job: &jobState{spec: &job.Spec{Queue: "q"}}, spec: &job.Step{}}, worker: wk, phase: running}
 			wk.addPlacement(pl)
 		}
 		got := bd.core.lookWait(wk)
 		if want := min(bd.core.opts.PollWait, max(lookWaitMin, lookWaitFactor*defaultRunTime/time.Duration(len(wk.placed)-wk.longRunning))); got != want {
-			t.Errorf("%d short tasks: the answer is waited for %v, want %v", short, got, want)
+			t.Errorf("%d short tasks: the poll waits for %v, want %v", short, got, want)
 		}
 	}
 }
 
-// TestObjectiveGrowsWithTaskCount: the longest of many tasks takes longer than that of few, by what was learned of the queue.
+// TestObjectiveGrowsWithTaskCount checks that the estimate for the longest of several tasks grows with their number, based on the observed run times
+// of the queue.
 func TestObjectiveGrowsWithTaskCount(t *testing.T) {
 	rt := runTimes{}
 	spec := &job.Spec{Queue: "q"}
@@ -127,14 +130,14 @@
 	}
 	known := rt.get("q")
 	if off := known.longestOf(4) - 1600*time.Millisecond; off.Abs() > 160*time.Millisecond {
-		t.Errorf("the longest of 4 tasks is taken for %v, it is 1.6 s", known.longestOf(4))
+		t.Errorf("the estimate for the longest of 4 tasks is %v, want about 1.6 s", known.longestOf(4))
 	}
 	if one, two, many := known.longestOf(1), known.longestOf(2), known.longestOf(16); one != known.mean || one >= two || two >= many {
-		t.Errorf("the longest of 1, 2 and 16 tasks: %v, %v, %v; the mean is %v", one, two, many, known.mean)
+		t.Errorf("the estimates for the longest of 1, 2 and 16 tasks are %v, %v and %v with a mean of %v", one, two, many, known.mean)
 	}
 }
 
-// TestUsedRoomIsSumOfPlacements: it is kept along with each attempt.
+// TestUsedRoomIsSumOfPlacements checks that the used room of a worker, which is updated with each attempt, equals the sum of its placements.
 func TestUsedRoomIsSumOfPlacements(t *testing.T) {
 	bd := newTestBed(t, 2)
 	bd.addJob("j", testEpoch, taskStep(5))
@@ -148,12 +151,12 @@
 			sum = sum.Add(pl.room)
 		}
 		if sum != wk.used {
-			t.Errorf("%s uses %+v, its attempts take %+v", wk.info.ID, wk.used, sum)
+			t.Errorf("%s has used room %+v, its placements take %+v", wk.info.ID, wk.used, sum)
 		}
 	}
 }
 
-// TestGangStartsCompleteOrNotAtAll: and all members under one number.
+// TestGangStartsCompleteOrNotAtAll checks that a gang starts only as a whole, and that all members have the same attempt number.
 func TestGangStartsCompleteOrNotAtAll(t *testing.T) {
 	bd := newTestBed(t, 2)
 	bd.addJob("full", testEpoch, job.Step{Count: 2, Size: job.Size{CPUMillis: 3000}})
@@ -168,16 +171,16 @@
 	bd.answerDuePolls()
 	for _, st := range bd.wantStarts(bd.plan(), 3) {
 		if st.Attempt != 1 {
-			t.Fatalf("attempt %d", st.Attempt)
+			t.Fatalf("attempt %d, want 1", st.Attempt)
 		}
 	}
 }
 
-// TestSaveFitsInTransaction: one row of the cell, and a condition and a write for each job, are at most 100 entries.
+// TestSaveFitsInTransaction checks that a save has at most 100 entries: one for the row of the cell, and a condition and a write for each job.
 func TestSaveFitsInTransaction(t *testing.T) {
 	bd := newTestBed(t, 1)
-	for at := range 80 {
-		id := job.ID(string(rune('a'+at/26)) + string(rune('a'+at%26)))
+	for i := range 80 {
+		id := job.ID(string(rune('a'+i/26)) + string(rune('a'+i%26)))
 		bd.addJob(id, testEpoch, taskStep(1))
 		bd.core.Cancel(bd.now, id)
 	}
@@ -196,11 +199,11 @@
 		}
 	}
 	if saved != 80-maxRowsPerSave {
-		t.Fatalf("the second save has %d jobs, want the %d left", saved, 80-maxRowsPerSave)
+		t.Fatalf("the second save has %d jobs, want the remaining %d", saved, 80-maxRowsPerSave)
 	}
 }
 
-// TestDueTimesAndRepeats: a run starts at its time, and the job is over when all runs are.
+// TestDueTimesAndRepeats checks that each run starts at its due time, and that the job completes with its last run.
 func TestDueTimesAndRepeats(t *testing.T) {
 	bd := newTestBed(t, 1)
 	sp := &job.Spec{ID: "j", Queue: "q", Pool: testPool, Steps: []job.Step{taskStep(1)}, Epoch: testEpoch, Repeats: 2, FirstDue: bd.now.Add(time.Second), Interval: 3 * time.Second}
@@ -223,67 +226,70 @@
 	}
 }
 
-// TestTicketsAreRequestedAndSentWithStarts: a queue whose placements need approval.
+// TestTicketsAreRequestedAndSentWithStarts checks that tickets are requested for a queue whose placements need approval, and that starts carry them.
 func TestTicketsAreRequestedAndSentWithStarts(t *testing.T) {
 	bd := newTestBed(t, 2)
 	bd.core.Configure([]job.Queue{{ID: "q", Pool: testPool, MaxAttempts: 2, Advice: &job.Advice{ValidFor: 3 * time.Second}}})
 	bd.addJob("j", testEpoch, taskStep(2))
-	var ask Advise
+	var request Advise
 	orders := bd.plan()
 	bd.wantStarts(orders, 0)
 	for _, od := range orders {
 		if ad, ok := od.(Advise); ok {
-			ask = ad
+			request = ad
 		}
 	}
-	if len(ask.Workers) != 2 {
-		t.Fatalf("asked for %v", ask.Workers)
+	if len(request.Workers) != 2 {
+		t.Fatalf("tickets are requested for %v, want two workers", request.Workers)
 	}
-	bd.core.Advised(bd.now, ask, []Ticket{{Worker: "w1", Text: "t1"}}, 3*time.Second)
+	bd.core.Advised(bd.now, request, []Ticket{{Worker: "w1", Text: "t1"}}, 3*time.Second)
 	for _, st := range bd.wantStarts(bd.plan(), 2) {
 		if st.Worker != "w1" || st.Ticket != "t1" {
-			t.Fatalf("%+v", st)
+			t.Fatalf("want a start on w1 with ticket t1, got %+v", st)
 		}
 	}
 }
 
-// TestBestEffortTasksAreThrottledNearLatencyObjective: and released again.
+// TestBestEffortTasksAreThrottledNearLatencyObjective checks that best-effort tasks are throttled before serving tasks miss their latency objective,
+// and that the throttle is released again.
 func TestBestEffortTasksAreThrottledNearLatencyObjective(t *testing.T) {
 	for _, tc := range []struct {
-		pace  int
-		worst float64
-		want  int
+		throttle int
+		worst    float64
+		want     int
 	}{{100, 0.3, 100}, {100, 0.9, 50}, {50, 1.2, 0}, {0, 0.4, 10}, {50, 0.7, 50}, {throttleUnknown, 0.4, throttleInitial}, {throttleUnknown, 0, 100}} {
-		if got := nextThrottle(tc.pace, tc.worst); got != tc.want {
-			t.Errorf("throttle after %d at %.1f of the objective: %d, want %d", tc.pace, tc.worst, got, tc.want)
+		if got := nextThrottle(tc.throttle, tc.worst); got != tc.want {
+			t.Errorf("throttle after %d at %.1f of the objective: %d, want %d", tc.throttle, tc.worst, got, tc.want)
 		}
 	}
 }
 
-// TestOnlySeveralFailingJobsQuarantineWorker: several jobs must fail there, and one that fails everywhere condemns nobody.
-func TestOnlySeveralFailingJobsQuarantineWorker(t *testing.T) {
+// TestOnlySeveralFailingJobsEjectWorker checks that a worker is ejected only if several jobs fail on it. A single job that fails everywhere must not
+// eject workers.
+func TestOnlySeveralFailingJobsEjectWorker(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	var jd failureTracker
+	var ft failureTracker
 	for range 10 {
-		jd.failed(now, "same")
+		ft.failed(now, "same")
 	}
-	if jd.ejected(now) {
-		t.Fatal("one bad job condemned a worker")
+	if ft.ejected(now) {
+		t.Fatal("a single failing job ejected a worker")
 	}
 	for _, id := range []job.ID{"a", "b"} {
-		jd.failed(now, id)
+		ft.failed(now, id)
 	}
-	if !jd.ejected(now) || jd.ejected(now.Add(ejectMin)) {
-		t.Fatal("failing jobs of three kinds leave a worker alone for a while")
+	if !ft.ejected(now) || ft.ejected(now.Add(ejectMin)) {
+		t.Fatal("three failing jobs must eject a worker for ejectMin")
 	}
-	jd.failed(now.Add(ejectMin), "d")
-	if !jd.ejected(now.Add(ejectMin + ejectMin)) {
-		t.Fatal("a failure after the pause condemns it again, for longer")
+	ft.failed(now.Add(ejectMin), "d")
+	if !ft.ejected(now.Add(ejectMin + ejectMin)) {
+		t.Fatal("a failure after the ejection must eject the worker again, for longer")
 	}
 }
 
-// TestGrabTakesOnlyIdleWorkers: a machine that moves takes what runs there with it.
-func TestGrabTakesOnlyIdleWorkers(t *testing.T) {
+// TestReserveForMoveTakesOnlyIdleWorkers checks that only idle workers are reserved for a move, because running tasks do not survive the move of
+// their machine.
+func TestReserveForMoveTakesOnlyIdleWorkers(t *testing.T) {
 	bd := newTestBed(t, 2)
 	bd.addJob("j", testEpoch, taskStep(1))
 	st := bd.wantStarts(bd.plan(), 1)[0]
@@ -294,7 +300,7 @@
 	bd.addJob("k", testEpoch, taskStep(4))
 	for _, next := range startsIn(bd.plan()) {
 		if next.Worker.Name() == granted[0] {
-			t.Fatal("a worker that was given up gets a task")
+			t.Fatal("a worker reserved for a move gets a task")
 		}
 	}
 }
--- a/cell/takeover_test.go
+++ b/cell/takeover_test.go
@@ -7,7 +7,8 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// TestUnansweredStartIsResolvedByPollWithHigherToken: the room counts as taken and the task as running until the look.
+// TestUnansweredStartIsResolvedByPollWithHigherToken checks that after an unanswered start the room counts as used and the task as running until a
+// poll with a higher token has been answered.
 func TestUnansweredStartIsResolvedByPollWithHigherToken(t *testing.T) {
 	bd := newTestBed(t, 1)
 	bd.addJob("j", testEpoch, taskStep(1))
@@ -16,29 +17,30 @@
 	bd.answerOrder(first, NoAnswer)
 	orders := bd.plan()
 	bd.wantStarts(orders, 0)
-	lk := pollsByWorker(orders)["w0"]
-	if lk.Token <= first.Token {
-		t.Fatalf("looked at with token %d, the start had %d", lk.Token, first.Token)
+	poll := pollsByWorker(orders)["w0"]
+	if poll.Token <= first.Token {
+		t.Fatalf("the poll has token %d, the start had %d", poll.Token, first.Token)
 	}
-	// An answer to an older look proves nothing.
-	older := lk
+	// The answer to an older poll does not show whether the start was executed.
+	older := poll
 	older.Token = first.Token
 	bd.answerPoll(older, nil, nil)
 	bd.wantStarts(bd.plan(), 0)
-	bd.answerPoll(lk, nil, nil)
+	bd.answerPoll(poll, nil, nil)
 	if again := bd.wantStarts(bd.plan(), 1)[0]; again.Token <= first.Token {
-		t.Fatalf("started again with token %d", again.Token)
+		t.Fatalf("the second start has token %d", again.Token)
 	}
 }
 
-// TestRunReportedBeforeItsJobIsAdopted: the owner before may hear of a job sooner.
+// TestRunReportedBeforeItsJobIsAdopted checks that a running attempt is adopted although the owner receives its job later. The previous owner may
+// have received the job sooner.
 func TestRunReportedBeforeItsJobIsAdopted(t *testing.T) {
 	bd := newTestBed(t, 2)
 	bd.addJob("other", testEpoch, taskStep(1))
 	st := bd.wantStarts(bd.plan(), 1)[0]
 	bd.answerOrder(st, Done)
-	stranger := job.Task{Job: "late"}
-	bd.answerPoll(bd.waitForPoll(st.Worker), []Running{{Task: st.Task, Attempt: 1}, {Task: stranger, Attempt: 1}}, nil)
+	unknown := job.Task{Job: "late"}
+	bd.answerPoll(bd.waitForPoll(st.Worker), []Running{{Task: st.Task, Attempt: 1}, {Task: unknown, Attempt: 1}}, nil)
 	bd.addJob("late", 1, taskStep(1))
 	bd.wantStarts(bd.plan(), 0)
 	if state, _ := bd.core.State("late"); state != job.Running {
@@ -46,7 +48,8 @@
 	}
 }
 
-// TestLeaseOfUnresponsiveWorkerAllowsForClockDrift: at 2% slow, and only for an owner confirmed later than that.
+// TestLeaseOfUnresponsiveWorkerAllowsForClockDrift checks that the lease of an unresponsive worker counts as expired only after the time that a clock
+// running 2% slow needs, and only for an owner whose ownership was confirmed after that.
 func TestLeaseOfUnresponsiveWorkerAllowsForClockDrift(t *testing.T) {
 	const lease = time.Minute
 	bd := newTestBed(t, 2)
@@ -65,7 +68,7 @@
 	}
 	for range 20 {
 		bd.advance(100 * time.Millisecond)
-		// The owner was confirmed last before that time.
+		// The ownership was last confirmed before the lease expired.
 		bd.core.confirmedAt = given.Add(lease)
 		bd.wantStarts(bd.planUnconfirmed(), 0)
 		bd.failPoll(st.Worker)
@@ -75,7 +78,8 @@
 	bd.wantStarts(bd.plan(), 1)
 }
 
-// TestLostTaskRestartsAfterOwnershipConfirmed: a successor that this owner has not heard of may have noted its end.
+// TestLostTaskRestartsAfterOwnershipConfirmed checks that a task which was lost with its worker is restarted only after the ownership is confirmed. A
+// successor that this owner does not know about may have recorded the end of the task.
 func TestLostTaskRestartsAfterOwnershipConfirmed(t *testing.T) {
 	bd := newTestBed(t, 2)
 	bd.addJob("j", testEpoch, taskStep(1))
@@ -90,7 +94,8 @@
 	bd.wantStartsAfterSave(1)
 }
 
-// TestInheritedJobsWaitForUnresolvedWorkers: jobs that name this owner do not.
+// TestInheritedJobsWaitForUnresolvedWorkers checks that inherited jobs wait until the workers of the previous owner are resolved. Jobs accepted under
+// this owner's epoch do not wait.
 func TestInheritedJobsWaitForUnresolvedWorkers(t *testing.T) {
 	bd := newTestBed(t, 1)
 	bd.core.TakeOver(bd.now, bd.now, []WorkerRef{{ID: "gone", Address: "gone"}}, false)
@@ -107,7 +112,8 @@
 	}
 }
 
-// TestInheritedLeasesExpireOnlyForConfirmedOwner: a later owner that this one has not heard of may have renewed them.
+// TestInheritedLeasesExpireOnlyForConfirmedOwner checks that leases given by an earlier owner count as expired only for an owner whose ownership is
+// confirmed. A later owner that this one does not know about may have renewed them.
 func TestInheritedLeasesExpireOnlyForConfirmedOwner(t *testing.T) {
 	bd := newTestBed(t, 1)
 	bd.core.TakeOver(bd.now, bd.now, []WorkerRef{{ID: "far", Address: "far"}}, true)
@@ -119,7 +125,8 @@
 	bd.wantStartsAfterSave(1)
 }
 
-// TestWorkerWithUnansweredStartGetsNoNewTasks: until a look has settled what became of the start without an answer.
+// TestWorkerWithUnansweredStartGetsNoNewTasks checks that a worker with an unanswered start gets no new tasks until a poll has shown whether the
+// start was executed.
 func TestWorkerWithUnansweredStartGetsNoNewTasks(t *testing.T) {
 	bd := newTestBed(t, 1)
 	bd.addJob("j", testEpoch, taskStep(1))
@@ -131,70 +138,72 @@
 	bd.wantStarts(bd.plan(), 2)
 }
 
-// TestEndReportedBeforeItsJobCounts: also where it was listed behind one that is not kept yet.
+// TestEndReportedBeforeItsJobCounts checks that an end which was reported before the owner received its job counts, even if an unsaved end precedes
+// it in the worker's list.
 func TestEndReportedBeforeItsJobCounts(t *testing.T) {
 	bd := newTestBed(t, 1)
 	bd.addJob("known", testEpoch, taskStep(1))
 	st := bd.wantStarts(bd.plan(), 1)[0]
 	bd.answerOrder(st, Done)
-	before := End{Number: 2, Task: job.Task{Job: "late"}, Attempt: 1, Reason: EndDone}
-	bd.answerPoll(bd.waitForPoll("w0"), nil, []End{bd.newEnd(st, EndDone), before})
+	early := End{Number: 2, Task: job.Task{Job: "late"}, Attempt: 1, Reason: EndDone}
+	bd.answerPoll(bd.waitForPoll("w0"), nil, []End{bd.newEnd(st, EndDone), early})
 	bd.addJob("late", 1, taskStep(2))
 	for _, st := range startsIn(bd.plan()) {
 		if st.Task.Index == 0 {
-			t.Error("a task is started whose end was seen before its job")
+			t.Error("a task is started although its end was reported before its job arrived")
 		}
 	}
 }
 
-// TestWorkerWithoutRegistrationIsDrained: some workers never say that they drain. Registrations that lapsed while the store was away
-// come back within two seconds of its return.
+// TestWorkerWithoutRegistrationIsDrained checks that a worker whose registration is gone is drained, because some workers never announce that they
+// drain. Registrations that expired during an outage of the store are written again within two seconds after it.
 func TestWorkerWithoutRegistrationIsDrained(t *testing.T) {
-	for name, away := range map[string]bool{"the store was there": false, "the store was away": true} {
+	for name, storeAway := range map[string]bool{"the store was there": false, "the store was away": true} {
 		t.Run(name, func(t *testing.T) {
 			bd := newTestBed(t, 1)
-			lasting := taskStep(1)
-			lasting.LongRunning = true
-			bd.addJob("l", testEpoch, lasting)
+			longRunning := taskStep(1)
+			longRunning.LongRunning = true
+			bd.addJob("l", testEpoch, longRunning)
 			st := bd.wantStarts(bd.plan(), 1)[0]
 			bd.answerOrder(st, Done)
 			for range 20 {
 				bd.advance(200 * time.Millisecond)
 				bd.answerPoll(bd.waitForPoll("w0"), []Running{{Task: st.Task, Attempt: 1, Progress: 100}}, nil)
 			}
-			if away {
+			if storeAway {
 				bd.core.confirmedAt = bd.now.Add(-awayAfter - time.Second)
 			}
 			bd.core.Unregister(bd.now, "w0")
 			bd.addJob("j", testEpoch, taskStep(1))
-			stops, began := 0, 0
+			stops, starts := 0, 0
 			for _, od := range bd.plan() {
 				switch od.(type) {
 				case Stop:
 					stops++
 				case Start:
-					began++
+					starts++
 				}
 			}
-			if away && (began != 1 || stops != 0) {
-				t.Errorf("%d starts and %d stops while its registration may come back", began, stops)
+			if storeAway && (starts != 1 || stops != 0) {
+				t.Errorf("%d starts and %d stops while its registration may come back", starts, stops)
 			}
-			if !away && (began != 0 || stops != 1) {
-				t.Errorf("%d starts and %d stops on a worker that leaves", began, stops)
+			if !storeAway && (starts != 0 || stops != 1) {
+				t.Errorf("%d starts and %d stops on a worker that is about to end", starts, stops)
 			}
 		})
 	}
 }
 
-// TestStopInFlightCountsAgainstDisruptionBudget: a stop of the owner before is listed as running until it takes effect.
+// TestStopInFlightCountsAgainstDisruptionBudget checks that stops of the previous owner count against the disruption budget. Their tasks are reported
+// as running until the stops take effect.
 func TestStopInFlightCountsAgainstDisruptionBudget(t *testing.T) {
 	bd := newTestBed(t, 2)
-	lasting := taskStep(2)
-	lasting.LongRunning, lasting.DisruptionBudget, lasting.HasDisruptionBudget = true, 1, true
+	longRunning := taskStep(2)
+	longRunning.LongRunning, longRunning.DisruptionBudget, longRunning.HasDisruptionBudget = true, 1, true
 	bd.core = New(testPool, testEpoch+1, Options{MaxStopTime: 400 * time.Millisecond})
 	bd.core.TakeOver(bd.now, bd.now, []WorkerRef{{ID: "w0", Address: "w0"}, {ID: "w1", Address: "w1"}}, false)
 	bd.core.Configure([]job.Queue{{ID: "q", Pool: testPool, MaxAttempts: 2}})
-	bd.addJob("j", 1, lasting)
+	bd.addJob("j", 1, longRunning)
 	bd.register("w0")
 	bd.register("w1")
 	bd.core.Cordon(map[WorkerName]bool{"w0": true, "w1": true})
@@ -204,7 +213,7 @@
 		stops += bd.countStops()
 	}
 	if stops != 0 {
-		t.Fatalf("%d stops while one of the owner before may be under way", stops)
+		t.Fatalf("%d stops while one of the previous owner may be in flight", stops)
 	}
 	bd.advance(2 * time.Second)
 	for range 40 {
@@ -215,7 +224,7 @@
 	}
 }
 
-// countStops answers the looks that are due at two workers, each with its task of the job at work, counts the stops, and lets a moment pass.
+// countStops answers the polls of the two workers, each with its running task of the job, counts the stops and advances the time by 20 ms.
 func (bd *testBed) countStops() (stops int) {
 	for _, od := range bd.plan() {
 		switch order := od.(type) {
--- a/cell/testbed_test.go
+++ b/cell/testbed_test.go
@@ -7,15 +7,16 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// testBed is a core with workers that do what the test says.
+// testBed is a core with simulated workers that are controlled by the test.
 type testBed struct {
 	t    *testing.T
 	now  time.Time
 	core *Core
-	// endCounts counts each worker's endCounts, open holds the looks that have no answer yet.
-	endCounts    map[WorkerID]int64
+	// endCounts is the number of ends that each worker has reported.
+	endCounts map[WorkerID]int64
+	// pendingPolls holds the polls without an answer.
 	pendingPolls map[WorkerID]Poll
-	// autoSave makes every save that is ordered kept at once.
+	// autoSave confirms every save as soon as it is ordered.
 	autoSave bool
 }
 
@@ -24,43 +25,45 @@
 	testPool  = job.PoolID("pool")
 )
 
+// newTestBed returns a test bed with a number of workers that have answered their first poll.
 func newTestBed(t *testing.T, workers int) *testBed {
 	t.Helper()
 	bd := &testBed{t: t, now: time.Unix(1_700_000_000, 0), endCounts: map[WorkerID]int64{}, pendingPolls: map[WorkerID]Poll{}}
 	bd.core = New(testPool, testEpoch, Options{MaxStopTime: 400 * time.Millisecond, LeaseDuration: 5 * time.Second})
 	bd.core.TakeOver(bd.now, bd.now, nil, true)
 	bd.core.Configure([]job.Queue{{ID: "q", Pool: testPool, MaxAttempts: 2, Stretch: 1.5, Slack: time.Second}})
-	for at := range workers {
-		bd.register(testWorkerID(at))
+	for i := range workers {
+		bd.register(testWorkerID(i))
 	}
 	bd.answerDuePolls()
 	return bd
 }
 
-func testWorkerID(at int) WorkerID { return WorkerID([]string{"w0", "w1", "w2", "w3"}[at]) }
+func testWorkerID(i int) WorkerID { return WorkerID([]string{"w0", "w1", "w2", "w3"}[i]) }
 
+// register registers a worker and records it as in use.
 func (bd *testBed) register(id WorkerID) {
 	bd.core.Register(bd.now, Worker{ID: id, Pool: testPool, Address: string(id), Rack: "r" + string(id), Labels: []string{"a", "r" + string(id)}, Room: job.Size{CPUMillis: 4000, MemoryMB: 4000}})
 	bd.core.WorkersRecorded([]WorkerRef{{ID: id, Address: string(id)}})
 }
 
-// clock is every worker's.
+// clock returns the time of the workers' clocks in milliseconds.
 func (bd *testBed) clock() int64 { return bd.now.UnixMilli() - 1_699_999_000_000 }
 
 func (bd *testBed) advance(span time.Duration) { bd.now = bd.now.Add(span) }
 
-// plan returns the orders that are due.
+// plan confirms the ownership and returns the orders that are due.
 func (bd *testBed) plan() []Order {
 	bd.core.OwnershipConfirmed(bd.now)
 	bd.core.RegistrationsRead(bd.now)
 	return bd.planUnconfirmed()
 }
 
-// planUnconfirmed does so for an owner that is not confirmed anew.
+// planUnconfirmed returns the orders that are due without confirming the ownership.
 func (bd *testBed) planUnconfirmed() []Order {
 	orders := bd.core.Plan(bd.now)
-	for id, lk := range pollsByWorker(orders) {
-		bd.pendingPolls[id] = lk
+	for id, poll := range pollsByWorker(orders) {
+		bd.pendingPolls[id] = poll
 	}
 	if bd.autoSave {
 		bd.confirmSaves(orders)
@@ -68,33 +71,34 @@
 	return orders
 }
 
-// answerDuePolls answers the looks that are due with nothing.
+// answerDuePolls answers the polls that are due without reporting any attempts.
 func (bd *testBed) answerDuePolls() {
 	for _, od := range bd.plan() {
-		if lk, ok := od.(Poll); ok {
-			bd.answerPoll(lk, nil, nil)
+		if poll, ok := od.(Poll); ok {
+			bd.answerPoll(poll, nil, nil)
 		}
 	}
 }
 
-// answerPendingPolls answers the looks that are open with nothing.
+// answerPendingPolls answers the pending polls without reporting any attempts.
 func (bd *testBed) answerPendingPolls() {
-	for _, lk := range bd.pendingPolls {
-		bd.answerPoll(lk, nil, nil)
+	for _, poll := range bd.pendingPolls {
+		bd.answerPoll(poll, nil, nil)
 	}
 }
 
-// answerPoll answers a look.
-func (bd *testBed) answerPoll(lk Poll, running []Running, ended []End) {
-	delete(bd.pendingPolls, lk.Worker)
-	bd.core.HandlePoll(bd.now, PollResult{Poll: lk, Outcome: Done, Sent: bd.now, Received: bd.now, Clock: bd.clock(), Running: running, Ended: ended})
+// answerPoll answers a poll with running and ended attempts.
+func (bd *testBed) answerPoll(poll Poll, running []Running, ended []End) {
+	delete(bd.pendingPolls, poll.Worker)
+	bd.core.HandlePoll(bd.now, PollResult{Poll: poll, Outcome: Done, Sent: bd.now, Received: bd.now, Clock: bd.clock(), Running: running, Ended: ended})
 }
 
+// addJob adds a job that was accepted under an epoch.
 func (bd *testBed) addJob(id job.ID, epoch job.Epoch, steps ...job.Step) {
 	bd.core.Add(bd.now, StoredJob{Spec: &job.Spec{ID: id, Queue: "q", Pool: testPool, Steps: steps, Epoch: epoch, AcceptedAt: bd.now}})
 }
 
-// startsIn are the startsIn among some orders.
+// startsIn returns the starts among orders.
 func startsIn(orders []Order) []Start {
 	var list []Start
 	for _, od := range orders {
@@ -105,16 +109,18 @@
 	return list
 }
 
+// pollsByWorker returns the polls among orders by worker.
 func pollsByWorker(orders []Order) map[WorkerID]Poll {
 	list := map[WorkerID]Poll{}
 	for _, od := range orders {
-		if lk, ok := od.(Poll); ok {
-			list[lk.Worker] = lk
+		if poll, ok := od.(Poll); ok {
+			list[poll.Worker] = poll
 		}
 	}
 	return list
 }
 
+// wantStarts fails the test unless the orders contain a number of starts, and returns the starts.
 func (bd *testBed) wantStarts(orders []Order, want int) []Start {
 	bd.t.Helper()
 	got := startsIn(orders)
@@ -124,7 +130,7 @@
 	return got
 }
 
-// wantStartsAfterSave wants starts that come only once their intents are kept.
+// wantStartsAfterSave fails the test unless a number of starts is ordered, and only once their intents are saved.
 func (bd *testBed) wantStartsAfterSave(want int) []Start {
 	bd.t.Helper()
 	orders := bd.plan()
@@ -134,35 +140,37 @@
 	return bd.wantStarts(bd.plan(), want)
 }
 
+// answerOrder answers an order with an outcome.
 func (bd *testBed) answerOrder(od Order, oc Outcome) {
 	bd.core.HandleOrder(bd.now, OrderResult{Order: od, Outcome: oc, Sent: bd.now, Received: bd.now, Clock: bd.clock()})
 }
 
-// newEnd makes an newEnd with the worker's next number.
-func (bd *testBed) newEnd(st Start, how EndReason) End {
+// newEnd returns an end of a started attempt with the worker's next number.
+func (bd *testBed) newEnd(st Start, reason EndReason) End {
 	bd.endCounts[st.Worker]++
-	return End{Number: bd.endCounts[st.Worker], Task: st.Task, Attempt: st.Attempt, Reason: how}
+	return End{Number: bd.endCounts[st.Worker], Task: st.Task, Attempt: st.Attempt, Reason: reason}
 }
 
-// waitForPoll waits for a look at a worker.
+// waitForPoll advances the time until a worker is polled.
 func (bd *testBed) waitForPoll(id WorkerID) Poll {
 	bd.t.Helper()
 	for range 50 {
 		bd.plan()
-		if lk, ok := bd.pendingPolls[id]; ok {
-			return lk
+		if poll, ok := bd.pendingPolls[id]; ok {
+			return poll
 		}
 		bd.advance(50 * time.Millisecond)
 	}
-	bd.t.Fatalf("%s is not looked at", id)
+	bd.t.Fatalf("%s is not polled", id)
 	return Poll{}
 }
 
+// taskStep returns a step of small tasks.
 func taskStep(count int) job.Step {
 	return job.Step{Count: count, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}}
 }
 
-// confirmSaves tells the core that the save among some orders is kept.
+// confirmSaves confirms the saves among orders to the core.
 func (bd *testBed) confirmSaves(orders []Order) {
 	for _, od := range orders {
 		if _, ok := od.(Save); ok {
@@ -171,21 +179,21 @@
 	}
 }
 
-// failPoll leaves the open look at a worker without an answer.
+// failPoll reports that the pending poll of a worker got no answer.
 func (bd *testBed) failPoll(id WorkerID) {
 	bd.t.Helper()
-	lk, open := bd.pendingPolls[id]
-	if !open {
+	poll, pending := bd.pendingPolls[id]
+	if !pending {
 		return
 	}
-	if wk := bd.core.workers[id]; lk.LeaseUntil != 0 && wk.failedPolls > 0 {
-		bd.t.Fatal("a silent worker's lease is renewed")
+	if wk := bd.core.workers[id]; poll.LeaseUntil != 0 && wk.failedPolls > 0 {
+		bd.t.Fatal("the lease of an unresponsive worker is renewed")
 	}
 	delete(bd.pendingPolls, id)
-	bd.core.HandlePoll(bd.now, PollResult{Poll: lk, Outcome: NoAnswer, Sent: bd.now, Received: bd.now})
+	bd.core.HandlePoll(bd.now, PollResult{Poll: poll, Outcome: NoAnswer, Sent: bd.now, Received: bd.now})
 }
 
-// runUnresponsive lets a time pass in which one worker answers nothing and the others do. It returns how many starts were ordered.
+// runUnresponsive advances the time while one worker answers no polls and the others answer all. It returns the number of starts that were ordered.
 func (bd *testBed) runUnresponsive(id WorkerID, span time.Duration) int {
 	bd.t.Helper()
 	const step = 250 * time.Millisecond
