--- a/fleet/fakes_test.go
+++ b/fleet/fakes_test.go
@@ -358,7 +358,7 @@
 type noMachines struct{}
 
 func (noMachines) List(context.Context) ([]machine.Machine, error) { return nil, nil }
-func (noMachines) Service(context.Context, cell.MachineID, int, string, cell.Token) machine.Outcome {
+func (noMachines) StartMaintenance(context.Context, cell.MachineID, int, string, cell.Token) machine.Outcome {
 	return machine.Refused
 }
 func (noMachines) Move(context.Context, cell.MachineID, job.PoolID, string, cell.Token) machine.Outcome {
--- a/fleet/machinecontroller.go
+++ b/fleet/machinecontroller.go
@@ -35,7 +35,7 @@
 // Machines lists machines and sends orders for them.
 type Machines interface {
 	List(ctx context.Context) ([]machine.Machine, error)
-	Service(ctx context.Context, id cell.MachineID, wave int, holder string, token cell.Token) machine.Outcome
+	StartMaintenance(ctx context.Context, id cell.MachineID, wave int, holder string, token cell.Token) machine.Outcome
 	Move(ctx context.Context, id cell.MachineID, to job.PoolID, holder string, token cell.Token) machine.Outcome
 }
 
@@ -134,9 +134,9 @@
 		now := ct.fl.opts.Now()
 		ct.updateWaves(now)
 		ct.mu.Lock()
-		busy := ct.waveRunner.Active()
+		active := ct.waveRunner.Active()
 		ct.mu.Unlock()
-		if !busy || !ct.leaseValid(now) {
+		if !active || !ct.leaseValid(now) {
 			continue
 		}
 		if now.Sub(listedAt) >= machineListInterval {
@@ -146,7 +146,7 @@
 		ct.mu.Lock()
 		orders := ct.waveRunner.Plan(now)
 		ct.mu.Unlock()
-		ct.announce(ctx, servicedMachines(orders))
+		ct.announce(ctx, maintenanceMachines(orders))
 		for _, od := range orders {
 			ct.execute(ctx, od)
 		}
@@ -154,11 +154,11 @@
 }
 
 // servicedMachines returns the machines that the orders start maintenance on.
-func servicedMachines(orders []machine.Order) []cell.MachineID {
+func maintenanceMachines(orders []machine.Order) []cell.MachineID {
 	var ids []cell.MachineID
 	for _, od := range orders {
-		if sv, ok := od.(machine.StartMaintenance); ok {
-			ids = append(ids, sv.Machine)
+		if sm, ok := od.(machine.StartMaintenance); ok {
+			ids = append(ids, sm.Machine)
 		}
 	}
 	return ids
@@ -204,7 +204,7 @@
 		ct.fl.opts.Log.Emit(event.MachineWanted, zap.String("machine", string(order.Machine)), zap.String("worker", string(order.Worker)), zap.Int("wave", order.Wave))
 		ct.putRow(drainPrefix+string(order.Machine), drainRow{Machine: order.Machine, Worker: order.Worker, Pool: order.Pool, Wave: order.Wave})
 	case machine.StartMaintenance:
-		ct.spawn(func() { ct.serviceMachine(ctx, order) })
+		ct.spawn(func() { ct.startMaintenance(ctx, order) })
 	case machine.Release:
 		ct.deleteRow(drainPrefix + string(order.Machine))
 	case machine.RecordProgress:
@@ -214,14 +214,14 @@
 	}
 }
 
-func (ct *machineController) serviceMachine(ctx context.Context, sv machine.StartMaintenance) {
-	oc := ct.sendOrder(ctx, sv.Machine, func(ctx context.Context) machine.Outcome {
-		return ct.fl.opts.Machines.Service(ctx, sv.Machine, sv.Wave, ct.fl.opts.Name, ct.token)
+func (ct *machineController) startMaintenance(ctx context.Context, sm machine.StartMaintenance) {
+	oc := ct.sendOrder(ctx, sm.Machine, func(ctx context.Context) machine.Outcome {
+		return ct.fl.opts.Machines.StartMaintenance(ctx, sm.Machine, sm.Wave, ct.fl.opts.Name, ct.token)
 	})
-	ct.fl.opts.Log.Emit(event.MachineServiced, zap.String("machine", string(sv.Machine)), zap.Int("wave", sv.Wave), zap.Int("outcome", int(oc)), zap.Int64("token", int64(ct.token)))
+	ct.fl.opts.Log.Emit(event.MachineServiced, zap.String("machine", string(sm.Machine)), zap.Int("wave", sm.Wave), zap.Int("outcome", int(oc)), zap.Int64("token", int64(ct.token)))
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
-	ct.waveRunner.MaintenanceResult(ct.fl.opts.Now(), sv, oc)
+	ct.waveRunner.MaintenanceResult(ct.fl.opts.Now(), sm, oc)
 }
 
 // reportWave writes a wave's state for the operator. Completion is also stored in the controller's own record, so that a later
