--- a/fleet/metrics.go
+++ b/fleet/metrics.go
@@ -34,7 +34,7 @@
 	writeWait metrics.Histogram
 }
 
-// histogramSize is the number of recent values that a histogram is computed from.
+// histogramSize is the number of sampled values that a histogram is computed from.
 const histogramSize = 512
 
 func newFleetMetrics(rg metrics.Registry) fleetMetrics {
