--- a/cell/cell_test.go
+++ b/cell/cell_test.go
@@ -245,7 +245,7 @@
 	bd.core.Advised(bd.now, request, []Ticket{{Worker: "w1", Text: "t1"}}, 3*time.Second)
 	for _, st := range bd.wantStarts(bd.plan(), 2) {
 		if st.Worker != "w1" || st.Ticket != "t1" {
-			t.Fatalf("want a start on w1 with ticket t1, got %+v", st)
+			t.Fatalf("%+v", st)
 		}
 	}
 }
--- a/cell/model_check_test.go
+++ b/cell/model_check_test.go
@@ -25,7 +25,7 @@
 	if !st.LongRunning && md.failed[tk] >= modelAttempts {
 		md.violatef("%v starts after %d acknowledged failures", tk, md.failed[tk])
 	}
-	if at, completed := md.completedAt[tk.Job]; completed && !md.senderCutOff && md.orderSent.Sub(at) > completionKnownWithin {
+	if completedAt, completed := md.completedAt[tk.Job]; completed && !md.senderCutOff && md.orderSent.Sub(completedAt) > completionKnownWithin {
 		md.violatef("%v starts after its job was completed", tk)
 	}
 	room, same := st.ResourceRequest(), 1
@@ -41,9 +41,9 @@
 	if st.SpreadLimit > 0 && same > st.SpreadLimit {
 		md.violatef("%v is one of %d tasks of its step on %s, above the spread limit", tk, same, wk.info.ID)
 	}
-	for _, on := range st.DependsOn {
-		for at := range md.jobs[tk.Job].spec.Steps[on].Count {
-			if before := (job.Task{Job: tk.Job, Step: on, Index: at}); !md.done[before] {
+	for _, dependency := range st.DependsOn {
+		for i := range md.jobs[tk.Job].spec.Steps[dependency].Count {
+			if before := (job.Task{Job: tk.Job, Step: dependency, Index: i}); !md.done[before] {
 				md.violatef("%v starts before %v is done", tk, before)
 			}
 		}
@@ -65,8 +65,8 @@
 	case !known:
 		md.violatef("job %s is not known", id)
 	case jb.spec.Steps[0].LongRunning && jb.cancelled.IsZero() && state != job.Failed:
-		for at := range jb.spec.Steps[0].Count {
-			md.checkStillRunning(job.Task{Job: id, Index: at})
+		for i := range jb.spec.Steps[0].Count {
+			md.checkStillRunning(job.Task{Job: id, Index: i})
 		}
 	case !state.Ended():
 		md.violatef("job %s is still %s at the end", id, state)
@@ -79,9 +79,9 @@
 	cr := md.currentOwner().core
 	for _, rn := range cr.jobs[id].runs {
 		for _, st := range rn.steps {
-			for at := range st.tasks {
-				ts := &st.tasks[at]
-				md.tracef("step %d %+v task %d done %t attempt %d lost %+v intent %+v placed %+v", st.index, *st.spec, at, ts.done, ts.attempt, ts.lost, ts.intent, ts.placement)
+			for i := range st.tasks {
+				ts := &st.tasks[i]
+				md.tracef("step %d %+v task %d done %t attempt %d lost %+v intent %+v placed %+v", st.index, *st.spec, i, ts.done, ts.attempt, ts.lost, ts.intent, ts.placement)
 			}
 		}
 	}
--- a/cell/model_crash_test.go
+++ b/cell/model_crash_test.go
@@ -104,8 +104,8 @@
 	sp := md.jobs[row.ID].spec
 	cause, faulty := false, false
 	for step := range sp.Steps {
-		for at := range sp.Steps[step].Count {
-			tk := job.Task{Job: row.ID, Step: step, Index: at}
+		for i := range sp.Steps[step].Count {
+			tk := job.Task{Job: row.ID, Step: step, Index: i}
 			faulty = faulty || md.crashes.crashing[tk] || md.crashes.failures[tk] >= modelAttempts
 			cause = cause || md.crashes.lossesUnder[tk] >= 2 || md.crashes.failures[tk] >= modelAttempts
 		}
--- a/cell/options.go
+++ b/cell/options.go
@@ -70,18 +70,18 @@
 
 // WithDefaults returns the options with defaults for the fields that are not set.
 func (op Options) WithDefaults() Options {
-	set := func(at *time.Duration, to time.Duration) {
-		if *at == 0 {
-			*at = to
+	setDefault := func(field *time.Duration, value time.Duration) {
+		if *field == 0 {
+			*field = value
 		}
 	}
-	set(&op.LeaseDuration, DefaultLeaseDuration)
-	set(&op.RenewalWindow, DefaultRenewalWindow)
-	set(&op.PollWait, DefaultPollWait)
-	set(&op.PollInterval, DefaultPollInterval)
-	set(&op.SaveInterval, DefaultSaveInterval)
-	set(&op.Retention, DefaultRetention)
-	set(&op.RegistrationMaxAge, DefaultRegistrationMaxAge)
+	setDefault(&op.LeaseDuration, DefaultLeaseDuration)
+	setDefault(&op.RenewalWindow, DefaultRenewalWindow)
+	setDefault(&op.PollWait, DefaultPollWait)
+	setDefault(&op.PollInterval, DefaultPollInterval)
+	setDefault(&op.SaveInterval, DefaultSaveInterval)
+	setDefault(&op.Retention, DefaultRetention)
+	setDefault(&op.RegistrationMaxAge, DefaultRegistrationMaxAge)
 	if op.MaxClockDrift == 0 {
 		op.MaxClockDrift = DefaultMaxClockDrift
 	}
--- a/cell/organisation.go
+++ b/cell/organisation.go
@@ -89,8 +89,8 @@
 // addStep adds the tasks of a step that are neither done nor placed.
 func (dm Demand) addStep(st *step) Demand {
 	count := 0
-	for at := range st.tasks {
-		if ts := &st.tasks[at]; !ts.done && ts.placement == nil {
+	for i := range st.tasks {
+		if ts := &st.tasks[i]; !ts.done && ts.placement == nil {
 			count++
 		}
 	}
--- a/cell/takeover_test.go
+++ b/cell/takeover_test.go
@@ -229,11 +229,11 @@
 	for _, od := range bd.plan() {
 		switch order := od.(type) {
 		case Poll:
-			at := 0
+			index := 0
 			if order.Worker == "w1" {
-				at = 1
+				index = 1
 			}
-			bd.answerPoll(order, []Running{{Task: job.Task{Job: "j", Index: at}, Attempt: 1, Progress: 100}}, nil)
+			bd.answerPoll(order, []Running{{Task: job.Task{Job: "j", Index: index}, Attempt: 1, Progress: 100}}, nil)
 		case Stop:
 			stops++
 		}
--- a/job/job.go
+++ b/job/job.go
@@ -199,8 +199,8 @@
 		return fmt.Errorf("%w: the interval is negative", ErrInvalidSpec)
 	}
 	tasks := 0
-	for at, st := range sp.Steps {
-		if err := st.validate(at); err != nil {
+	for i, st := range sp.Steps {
+		if err := st.validate(i); err != nil {
 			return err
 		}
 		tasks += st.Count
@@ -211,16 +211,16 @@
 	return nil
 }
 
-func (st *Step) validate(at int) error {
+func (st *Step) validate(index int) error {
 	if st.Count < 1 || st.Count > MaxTasks {
-		return fmt.Errorf("%w: step %d has %d tasks, 1 to %d are allowed", ErrInvalidSpec, at, st.Count, MaxTasks)
+		return fmt.Errorf("%w: step %d has %d tasks, 1 to %d are allowed", ErrInvalidSpec, index, st.Count, MaxTasks)
 	}
 	if st.Size.CPUMillis < 0 || st.Size.MemoryMB < 0 || st.Size.Accelerators < 0 || st.SpreadLimit < 0 || st.DisruptionBudget < 0 {
-		return fmt.Errorf("%w: step %d has a negative number", ErrInvalidSpec, at)
+		return fmt.Errorf("%w: step %d has a negative number", ErrInvalidSpec, index)
 	}
-	for _, on := range st.DependsOn {
-		if on < 0 || on >= at {
-			return fmt.Errorf("%w: step %d depends on step %d, which is not an earlier one", ErrInvalidSpec, at, on)
+	for _, dependency := range st.DependsOn {
+		if dependency < 0 || dependency >= index {
+			return fmt.Errorf("%w: step %d depends on step %d, which is not an earlier one", ErrInvalidSpec, index, dependency)
 		}
 	}
 	return nil
@@ -299,9 +299,9 @@
 
 // Queue returns the queue with an id, or nil if there is none.
 func (cf *Configuration) Queue(id QueueID) *Queue {
-	for at := range cf.Queues {
-		if cf.Queues[at].ID == id {
-			return &cf.Queues[at]
+	for i := range cf.Queues {
+		if cf.Queues[i].ID == id {
+			return &cf.Queues[i]
 		}
 	}
 	return nil
@@ -310,8 +310,8 @@
 // Route returns the queue of a host with the longest prefix of a path, or nil if there is none.
 func (cf *Configuration) Route(host, path string) *Queue {
 	var best *Queue
-	for at := range cf.Queues {
-		qu := &cf.Queues[at]
+	for i := range cf.Queues {
+		qu := &cf.Queues[i]
 		if qu.Host != host || len(path) < len(qu.PathPrefix) || path[:len(qu.PathPrefix)] != qu.PathPrefix {
 			continue
 		}
--- a/job/organisation.go
+++ b/job/organisation.go
@@ -60,7 +60,7 @@
 // all entry instances agree. SharedKeys returns such keys.
 func NewDirectory(list []Organisation) *Directory {
 	dy := &Directory{list: slices.Clone(list), keys: map[Key]OrganisationID{}}
-	slices.SortStableFunc(dy.list, func(one, other Organisation) int { return cmp.Compare(one.ID, other.ID) })
+	slices.SortStableFunc(dy.list, func(a, b Organisation) int { return cmp.Compare(a.ID, b.ID) })
 	for _, og := range dy.list {
 		for _, ky := range og.Keys {
 			owner, taken := dy.keys[ky]
@@ -91,11 +91,11 @@
 	if dy == nil {
 		return nil
 	}
-	at, ok := slices.BinarySearchFunc(dy.list, id, func(og Organisation, id OrganisationID) int { return cmp.Compare(og.ID, id) })
+	i, ok := slices.BinarySearchFunc(dy.list, id, func(og Organisation, id OrganisationID) int { return cmp.Compare(og.ID, id) })
 	if !ok {
 		return nil
 	}
-	return &dy.list[at]
+	return &dy.list[i]
 }
 
 // CallerOrganisation returns the organisation whose key came with a call to a queue. It is empty for a call without a key to a public queue. An
