--- a/cell/answer.go
+++ b/cell/answer.go
@@ -4,11 +4,11 @@
 	"time"
 )
 
-// unpreparedFor is the pause before a task is started again whose payload could not be had.
-const unpreparedFor = 200 * time.Millisecond
+// payloadRetryDelay is the pause before a task is started again whose payload could not be had.
+const payloadRetryDelay = 200 * time.Millisecond
 
-// overtaken handles a refusal for a higher token: the owner's own newer one, or another owner's.
-func (cr *Core) overtaken(wk *worker, token Token) bool {
+// handleSuperseded handles a refusal for a higher token: the owner's own newer one, or another owner's.
+func (cr *Core) handleSuperseded(wk *worker, token Token) bool {
 	if token < cr.token(wk) {
 		return false
 	}
@@ -20,15 +20,15 @@
 func (cr *Core) HandleOrder(now time.Time, od OrderResult) {
 	switch order := od.Order.(type) {
 	case Start:
-		cr.started(now, order, od)
+		cr.handleStart(now, order, od)
 	case Stop:
-		cr.stopped(now, order, od)
+		cr.handleStop(now, order, od)
 	case Throttle:
 		cr.throttled(now, order, od)
 	}
 }
 
-func (cr *Core) started(now time.Time, order Start, od OrderResult) {
+func (cr *Core) handleStart(now time.Time, order Start, od OrderResult) {
 	wk := cr.workers[order.Worker]
 	if wk == nil {
 		return
@@ -63,19 +63,19 @@
 		}
 		wk.nextPoll = now
 	case Superseded:
-		if !cr.overtaken(wk, order.Token) {
+		if !cr.handleSuperseded(wk, order.Token) {
 			cr.release(now, pl, "an own higher token came first")
 		}
 	case AttemptEnded:
 		// The number is used up; the next attempt has a higher one.
 		cr.release(now, pl, "attempt known as ended")
 	default:
-		cr.refused(now, wk, pl, od.Outcome)
+		cr.handleRefusedStart(now, wk, pl, od.Outcome)
 	}
 }
 
-// refused releases a start that the worker did not carry out.
-func (cr *Core) refused(now time.Time, wk *worker, pl *placement, oc Outcome) {
+// handleRefusedStart releases a start that the worker did not carry out.
+func (cr *Core) handleRefusedStart(now time.Time, wk *worker, pl *placement, oc Outcome) {
 	ts := &pl.step.tasks[pl.task.Index]
 	switch oc {
 	case NoRoom:
@@ -91,7 +91,7 @@
 	case Invalid:
 		ts.notBefore = now.Add(foreignTaskGrace)
 	case PayloadMissing:
-		ts.notBefore = now.Add(unpreparedFor)
+		ts.notBefore = now.Add(payloadRetryDelay)
 	}
 	if pl.attempt == ts.attempt {
 		ts.attempt--
@@ -99,7 +99,7 @@
 	cr.release(now, pl, "start refused: "+oc.String())
 }
 
-func (cr *Core) stopped(now time.Time, order Stop, od OrderResult) {
+func (cr *Core) handleStop(now time.Time, order Stop, od OrderResult) {
 	wk := cr.workers[order.Worker]
 	if wk == nil {
 		return
@@ -109,7 +109,7 @@
 	case WrongIncarnation:
 		cr.handleWorkerEnd(now, wk, "another life answers", order.Token)
 	case Superseded:
-		cr.overtaken(wk, order.Token)
+		cr.handleSuperseded(wk, order.Token)
 	case Done:
 		wk.nextPoll = earliest(wk.nextPoll, now.Add(cr.opts.PollInterval))
 	}
--- a/cell/cell.go
+++ b/cell/cell.go
@@ -118,7 +118,7 @@
 	// movedWorkers are workers of earlier owners on which nothing was left when they ended.
 	movedWorkers map[WorkerID]bool
 	// pendingLosses are workers whose end is still to be kept.
-	pendingLosses []grave
+	pendingLosses []pendingLoss
 	// intents are the starts that wait to be kept.
 	intents []*intent
 	// unseenLossEpoch is the owner before which tasks may have been lost with workers that no owner saw again.
@@ -128,7 +128,7 @@
 	crashLoops    map[job.QueueID]time.Time
 	dedicatedRoom job.Size
 	// connBreaks are the newest breaks of workers' connections.
-	connBreaks []breakOff
+	connBreaks []connBreak
 	// machineLimit is how many machines the pool is to have while others lack some, until machineLimitUntil.
 	machineLimit      int
 	machineLimitFirm  bool
@@ -197,7 +197,7 @@
 
 // OwnershipConfirmed tells that the ownership held at a time.
 func (cr *Core) OwnershipConfirmed(at time.Time) {
-	if at.Sub(cr.confirmedAt) > awayAfter {
+	if at.Sub(cr.confirmedAt) > storeAwayAfter {
 		cr.storeBackAt = at
 	}
 	if at.After(cr.confirmedAt) {
@@ -206,15 +206,15 @@
 }
 
 const (
-	// awayAfter is from which gap between two confirmations on the store counts as having been away: a feed call waits up to a second.
-	awayAfter = 2500 * time.Millisecond
-	// relistFor is how long after that registrations which lapsed meanwhile may still come back; the platform's pages say two seconds.
-	relistFor = 2500 * time.Millisecond
+	// storeAwayAfter is from which gap between two confirmations on the store counts as having been away: a feed call waits up to a second.
+	storeAwayAfter = 2500 * time.Millisecond
+	// reregisterGrace is how long after that registrations which lapsed meanwhile may still come back; the platform's pages say two seconds.
+	reregisterGrace = 2500 * time.Millisecond
 )
 
 // leaving reports whether a worker is about to end: it says so, or its registration is gone though the store was there.
 func (cr *Core) leaving(now time.Time, wk *worker) bool {
-	return wk.info.Draining || !wk.registered && !wk.unregisteredAt.IsZero() && now.Sub(cr.storeBackAt) > relistFor
+	return wk.info.Draining || !wk.registered && !wk.unregisteredAt.IsZero() && now.Sub(cr.storeBackAt) > reregisterGrace
 }
 
 // mayRenew reports whether the ownership was confirmed recently enough to give leases.
@@ -254,14 +254,14 @@
 	}
 }
 
-// roomsLag is by how much the registrations may be older than the newest confirmation of the ownership: both come through the store, each by a
+// maxRegistrationLag is by how much the registrations may be older than the newest confirmation of the ownership: both come through the store, each by a
 // call that waits up to a second.
-const roomsLag = 2 * time.Second
+const maxRegistrationLag = 2 * time.Second
 
 // upToDate reports whether what the owner decides by is newer than the last time it stood still: its ownership and the registrations. After an outage of
 // the store it may be confirmed before it hears of rooms that shrank meanwhile.
 func (cr *Core) upToDate() bool {
-	return !cr.confirmedAt.Before(cr.stallSeenAt) && !cr.registrationsAt.Before(cr.stallSeenAt) && cr.confirmedAt.Sub(cr.registrationsAt) <= roomsLag
+	return !cr.confirmedAt.Before(cr.stallSeenAt) && !cr.registrationsAt.Before(cr.stallSeenAt) && cr.confirmedAt.Sub(cr.registrationsAt) <= maxRegistrationLag
 }
 
 // Configure puts queues in force; those that are gone keep their last policy for the jobs they have accepted.
@@ -280,21 +280,21 @@
 	for _, wk := range cr.sortedWorkers {
 		refs = append(refs, WorkerRef{ID: wk.info.ID, Address: wk.info.Address, Machine: wk.info.Machine})
 	}
-	cr.pendingLosses = slices.DeleteFunc(cr.pendingLosses, func(gv grave) bool { return !gv.unkept() })
+	cr.pendingLosses = slices.DeleteFunc(cr.pendingLosses, func(gv pendingLoss) bool { return !gv.unsaved() })
 	for _, gv := range cr.pendingLosses {
-		refs = append(refs, gv.ref)
+		refs = append(refs, gv.worker)
 	}
 	for _, id := range slices.Sorted(maps.Keys(cr.departed)) {
 		refs = append(refs, cr.departed[id])
 	}
 	for _, sy := range cr.lateStarts {
-		refs = append(refs, sy.ref)
+		refs = append(refs, sy.former)
 	}
-	return onceEach(refs)
+	return uniqueRefs(refs)
 }
 
-// onceEach keeps the first of several that name the same life.
-func onceEach(refs []WorkerRef) []WorkerRef {
+// uniqueRefs keeps the first of several that name the same life.
+func uniqueRefs(refs []WorkerRef) []WorkerRef {
 	seen := make(map[WorkerID]bool, len(refs))
 	return slices.DeleteFunc(refs, func(rf WorkerRef) bool {
 		again := seen[rf.ID]
@@ -309,7 +309,7 @@
 	for at := range refs {
 		until := cr.unresolved[refs[at].ID]
 		if refs[at].Ended {
-			until = latest(until, cr.strayUntil(refs[at].ID))
+			until = latest(until, cr.lateStartUntil(refs[at].ID))
 		}
 		refs[at].Remaining = max(0, until.Sub(now))
 	}
--- a/cell/crash.go
+++ b/cell/crash.go
@@ -18,16 +18,16 @@
 	// end in their time. If one ended sooner than lastingProved after its start, it is lastingTimes as long, up to lastingProved, from then on:
 	// what ends its workers after a while does so after much the same time again.
 	minSettleTime = 5 * time.Second
-	lastingTimes  = 8
-	lastingProved = time.Minute
-	// sameInstant is how close together the connections of workers must break for something else than a task to be the likely cause, manyOthers
+	settleFactor  = 8
+	maxSettleTime = time.Minute
+	// massBreakWindow is how close together the connections of workers must break for something else than a task to be the likely cause, manyOthers
 	// how many others it takes: one falls so by chance where many tasks crash workers.
-	sameInstant = 20 * time.Millisecond
-	manyOthers  = 2
-	// leftAfter is how many calls in a row must break.
-	leftAfter = 2
-	// brokenKept is how many broken connections are remembered for that.
-	brokenKept = 256
+	massBreakWindow = 20 * time.Millisecond
+	massBreakPeers  = 2
+	// connBreaksBeforeSave is how many calls in a row must break.
+	connBreaksBeforeSave = 2
+	// maxConnBreaks is how many broken connections are remembered for that.
+	maxConnBreaks = 256
 	// maxLosses is after how many losses of any kind a job is given up, so that its starts end where no circumstance ever proves its task to be
 	// the cause.
 	maxLosses = 4
@@ -39,9 +39,9 @@
 	// together with others, or were about to go, so that they tell little of a cause.
 	workers []WorkerID
 	weak    int
-	// suspect means that the task may have caused one of them, late that one came a while after its start, sole that one came when nothing but
+	// suspect means that the task may have caused one of them, late that one came a while after its start, soleJob that one came when nothing but
 	// tasks of its job had just been started there.
-	suspect, late, sole bool
+	suspect, late, soleJob bool
 	// longestRun is the longest time that a task which lasts had run when a worker ended under it and that was not laid to it.
 	longestRun time.Duration
 	// unresolved are the workers of which it is not known what became of an attempt there: it lapsed, or an earlier owner left it.
@@ -55,23 +55,23 @@
 func (lo losses) suspected() bool { return lo.suspect || lo.weighted() >= isolationLosses }
 
 // needsIsolation reports whether the task is started only where nothing else is that may end the worker: what is likely to crash one more is to prove it.
-func (lo losses) needsIsolation() bool { return lo.sole || lo.weighted() >= isolationLosses }
+func (lo losses) needsIsolation() bool { return lo.soleJob || lo.weighted() >= isolationLosses }
 
 // total is how many there are, whatever they tell.
 func (lo losses) total() int { return len(lo.workers) + lo.weak }
 
 // evidence is what the end of a worker says of an attempt on it.
 type evidence struct {
-	// strong means that the worker ended while the attempt ran there, and no others with it; alone that nothing else there can be the cause.
-	strong, alone bool
-	// fresh means that the attempt had just been started, prompt that it was on trial then, sole that nothing but tasks of its job had been.
-	fresh, prompt, sole bool
-	// seen is when the worker is last known to have lived; an attempt that it had then is known to have run until then.
-	seen time.Time
+	// strong means that the worker ended while the attempt ran there, and no others with it; onlyCandidate that nothing else there can be the cause.
+	strong, onlyCandidate bool
+	// recentStart means that the attempt had just been started, onProbation that it was on trial then, soleJob that nothing but tasks of its job had been.
+	recentStart, onProbation, soleJob bool
+	// aliveAt is when the worker is last known to have lived; an attempt that it had then is known to have run until then.
+	aliveAt time.Time
 }
 
-// breakOff is when the connections of a worker broke.
-type breakOff struct {
+// connBreak is when the connections of a worker broke.
+type connBreak struct {
 	id WorkerID
 	at time.Time
 }
@@ -95,7 +95,7 @@
 	if wk.failedPolls > 0 {
 		silent = wk.firstFailedAt
 	}
-	victims := wk.victims()
+	victims := wk.affectedAttempts()
 	loss := Loss{Tasks: len(victims)}
 	if wk.info.Draining {
 		loss.ExemptReason = "it was leaving"
@@ -108,38 +108,38 @@
 		loss.MaxPriorLosses = max(loss.MaxPriorLosses, len(pl.step.tasks[pl.task.Index].lost.workers))
 	}
 	loss.SinceStart = silent.Sub(newest)
-	defer cr.remember(wk, cr.concerned(wk.info.ID, victims))
+	defer cr.trackPendingLoss(wk, cr.affectedJobs(wk.info.ID, victims))
 	if len(victims) > 0 {
 		cr.opts.Log(Decision{What: "worker lost with tasks", Worker: wk.info.ID, Why: why, PollAge: now.Sub(wk.polledAt), Loss: &loss})
 	}
 	if loss.ExemptReason != "" {
-		cr.clearLeft(wk.info.ID)
-		cr.unhold(now, wk)
+		cr.clearUnresolved(wk.info.ID)
+		cr.releaseSuspects(now, wk)
 		return
 	}
 	// All is judged before any is charged, since a charge changes what is settled.
 	judged := make([]evidence, len(victims))
 	for at, pl := range victims {
-		judged[at] = cr.judge(wk, victims, pl, silent, newest, doubtful)
+		judged[at] = cr.assessLoss(wk, victims, pl, silent, newest, doubtful)
 	}
 	for at, pl := range victims {
 		cr.charge(now, pl, judged[at])
 	}
-	cr.chargeLeft(now, wk.info.ID)
-	cr.unhold(now, wk)
+	cr.chargeUnresolved(now, wk.info.ID)
+	cr.releaseSuspects(now, wk)
 }
 
-// judge says what the end of a worker tells of an attempt there; newest is when the last one was started.
-func (cr *Core) judge(wk *worker, victims []*placement, pl *placement, silent, newest time.Time, doubtful bool) evidence {
+// assessLoss says what the end of a worker tells of an attempt there; newest is when the last one was started.
+func (cr *Core) assessLoss(wk *worker, victims []*placement, pl *placement, silent, newest time.Time, doubtful bool) evidence {
 	fresh := silent.Sub(pl.orderedAt) <= suspectWindow
 	// A worker that never answered the start may have ended before it, one that only fell silent after the attempt was over.
 	// What ran for a while beside a task that had just been started is the less likely cause.
-	strong := !pl.ackedAt.IsZero() && wk.connBroken && !doubtful && !cr.withOthers(wk, silent) && (fresh || silent.Sub(newest) > suspectWindow)
-	return evidence{strong: strong, alone: cr.alone(wk, victims, pl), fresh: fresh, prompt: fresh && pl.onProbation(), sole: soleNewcomers(victims, pl, silent), seen: wk.aliveAt}
+	strong := !pl.ackedAt.IsZero() && wk.connBroken && !doubtful && !cr.inMassBreak(wk, silent) && (fresh || silent.Sub(newest) > suspectWindow)
+	return evidence{strong: strong, onlyCandidate: cr.onlyJobOnWorker(wk, victims, pl), recentStart: fresh, onProbation: fresh && pl.onProbation(), soleJob: onlyJobStarted(victims, pl, silent), aliveAt: wk.aliveAt}
 }
 
-// victims are the attempts that a worker's end may have ended: those on it, and those that were given up while it was silent.
-func (wk *worker) victims() []*placement {
+// affectedAttempts are the attempts that a worker's end may have ended: those on it, and those that were given up while it was silent.
+func (wk *worker) affectedAttempts() []*placement {
 	list := slices.Clone(wk.placed)
 	for _, pl := range wk.leaseExpired {
 		if ts := &pl.step.tasks[pl.task.Index]; !ts.done && ts.attempt >= pl.attempt && wk.placements[pl.task] == nil {
@@ -149,48 +149,48 @@
 	return list
 }
 
-// soleNewcomers reports whether all that had just been started on a worker was of one job.
-func soleNewcomers(victims []*placement, pl *placement, silent time.Time) bool {
+// onlyJobStarted reports whether all that had just been started on a worker was of one job.
+func onlyJobStarted(victims []*placement, pl *placement, silent time.Time) bool {
 	return !slices.ContainsFunc(victims, func(other *placement) bool {
 		return other.step.job != pl.step.job && silent.Sub(other.orderedAt) <= suspectWindow
 	})
 }
 
-// alone reports whether nothing but the tasks of a job can have ended its worker: which of them it was makes no difference to the job.
-func (cr *Core) alone(wk *worker, victims []*placement, pl *placement) bool {
+// onlyJobOnWorker reports whether nothing but the tasks of a job can have ended its worker: which of them it was makes no difference to the job.
+func (cr *Core) onlyJobOnWorker(wk *worker, victims []*placement, pl *placement) bool {
 	if len(wk.foreign) > 0 {
 		return false
 	}
 	for _, other := range victims {
-		if other.step.job != pl.step.job && !other.settledIn(wk.aliveAt) {
+		if other.step.job != pl.step.job && !other.settled(wk.aliveAt) {
 			return false
 		}
 	}
 	return true
 }
 
-// brokeOff remembers that the connections of a worker broke.
-func (cr *Core) brokeOff(id WorkerID, at time.Time) {
-	cr.connBreaks = append(cr.connBreaks, breakOff{id, at})
-	if len(cr.connBreaks) > brokenKept {
-		cr.connBreaks = slices.Clone(cr.connBreaks[len(cr.connBreaks)-brokenKept/2:])
+// recordConnBreak remembers that the connections of a worker broke.
+func (cr *Core) recordConnBreak(id WorkerID, at time.Time) {
+	cr.connBreaks = append(cr.connBreaks, connBreak{id, at})
+	if len(cr.connBreaks) > maxConnBreaks {
+		cr.connBreaks = slices.Clone(cr.connBreaks[len(cr.connBreaks)-maxConnBreaks/2:])
 	}
 }
 
-// withOthers reports whether several other workers broke off in the same instant as a worker.
-func (cr *Core) withOthers(wk *worker, silent time.Time) bool {
+// inMassBreak reports whether several other workers broke off in the same instant as a worker.
+func (cr *Core) inMassBreak(wk *worker, silent time.Time) bool {
 	others := 0
 	for _, bo := range cr.connBreaks {
-		if bo.id != wk.info.ID && bo.at.Sub(silent).Abs() < sameInstant {
+		if bo.id != wk.info.ID && bo.at.Sub(silent).Abs() < massBreakWindow {
 			others++
 		}
 	}
-	return others >= manyOthers
+	return others >= massBreakPeers
 }
 
-// settledIn reports whether an attempt is one of a task that lasts, and had run for so long at a time that it is not what ends a worker.
-func (pl *placement) settledIn(at time.Time) bool {
-	return pl.longRunningFor(at, pl.step.tasks[pl.task.Index].lost.settles())
+// settled reports whether an attempt is one of a task that lasts, and had run for so long at a time that it is not what ends a worker.
+func (pl *placement) settled(at time.Time) bool {
+	return pl.longRunningFor(at, pl.step.tasks[pl.task.Index].lost.settleTime())
 }
 
 // longRunningFor reports whether an attempt is one of a task that lasts, and had run for longer than a span at a time.
@@ -198,9 +198,9 @@
 	return pl.step.spec.LongRunning && !pl.ackedAt.IsZero() && at.Sub(pl.ackedAt) > span
 }
 
-// settles is how long a task that lasts must run to be settled.
-func (lo losses) settles() time.Duration {
-	return min(max(minSettleTime, lastingTimes*lo.longestRun), lastingProved)
+// settleTime is how long a task that lasts must run to be settled.
+func (lo losses) settleTime() time.Duration {
+	return min(max(minSettleTime, settleFactor*lo.longestRun), maxSettleTime)
 }
 
 // charge notes that a worker ended under an attempt, and gives its job up if that proves its task to be the cause.
@@ -210,15 +210,15 @@
 	if ts.done || js.ended() || slices.Contains(ts.lost.workers, pl.worker.info.ID) {
 		return
 	}
-	if pl.settledIn(ev.seen) {
-		if ran := ev.seen.Sub(pl.ackedAt); ran < lastingProved && ran > ts.lost.longestRun {
+	if pl.settled(ev.aliveAt) {
+		if ran := ev.aliveAt.Sub(pl.ackedAt); ran < maxSettleTime && ran > ts.lost.longestRun {
 			ts.lost.longestRun = ran
 			cr.markDirty(js)
 		}
 		return
 	}
 	ts.lost.add(pl.worker.info.ID, ev)
-	if ev.strong && ev.fresh && !pl.step.spec.LongRunning {
+	if ev.strong && ev.recentStart && !pl.step.spec.LongRunning {
 		cr.markCrashLoop(now, js.spec.Queue)
 	}
 	cr.markDirty(js)
@@ -231,7 +231,7 @@
 			pl.step.tasks[at].lost.unresolved = open
 		}
 	}
-	if ts.lost.proof(ev) {
+	if ts.lost.conclusive(ev) {
 		cr.failCrashingJob(now, pl, ts.lost.workers)
 	}
 }
@@ -243,18 +243,18 @@
 	} else {
 		lo.weak++
 	}
-	lo.late = lo.late || !ev.strong || !ev.fresh
-	lo.sole = lo.sole || ev.strong && ev.fresh && ev.sole
-	lo.suspect = lo.suspect || ev.strong && ev.fresh || lo.weighted() >= isolationLosses
+	lo.late = lo.late || !ev.strong || !ev.recentStart
+	lo.soleJob = lo.soleJob || ev.strong && ev.recentStart && ev.soleJob
+	lo.suspect = lo.suspect || ev.strong && ev.recentStart || lo.weighted() >= isolationLosses
 }
 
-// proof reports whether the newest loss shows that the task is the cause: after an earlier loss a worker ended right after it was started
+// conclusive reports whether the newest loss shows that the task is the cause: after an earlier loss a worker ended right after it was started
 // there by itself, or it is the third that ended while nothing else was there, or as many ended as no task may cost.
-func (lo *losses) proof(ev evidence) bool {
+func (lo *losses) conclusive(ev evidence) bool {
 	if lo.total() >= maxLosses {
 		return true
 	}
-	return ev.alone && ev.strong && (ev.prompt && len(lo.workers) >= isolationLosses || len(lo.workers) > isolationLosses)
+	return ev.onlyCandidate && ev.strong && (ev.onProbation && len(lo.workers) >= isolationLosses || len(lo.workers) > isolationLosses)
 }
 
 // failCrashingJob ends a job whose task crashes its workers.
@@ -265,8 +265,8 @@
 	cr.opts.Log(Decision{What: "job failed", Task: pl.task, Attempt: pl.attempt, Worker: pl.worker.info.ID, Why: "workers end under its task", LostWorkers: slices.Clone(lost)})
 }
 
-// kept is what is to be known of losses to a next owner.
-func (lo losses) kept() job.Losses {
+// stored is what is to be known of losses to a next owner.
+func (lo losses) stored() job.Losses {
 	kept := job.Losses{WeakCount: lo.weak, Suspect: lo.suspect, Late: lo.late, LongestRun: lo.longestRun}
 	for _, id := range lo.workers {
 		kept.Workers = append(kept.Workers, string(id))
--- a/cell/evict.go
+++ b/cell/evict.go
@@ -135,7 +135,7 @@
 	case WrongIncarnation:
 		cr.handleWorkerEnd(now, wk, "another life answers", order.Token)
 	case Superseded:
-		cr.overtaken(wk, order.Token)
+		cr.handleSuperseded(wk, order.Token)
 	case Done:
 	default:
 		if pl := wk.placements[order.Task]; pl != nil && pl.attempt == order.Attempt {
--- a/cell/hearing.go
+++ b/cell/hearing.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// deafAfter is how long no worker at all may have answered for an owner to doubt its own link: cells in use have several answers a second.
-const deafAfter = time.Second
+// allSilentAfter is how long no worker at all may have answered for an owner to doubt its own link: cells in use have several answers a second.
+const allSilentAfter = time.Second
 
 // linkMonitor tells an owner that hears of nobody from a worker that is silent while others answer.
 type linkMonitor struct {
-	// at is when the newest answer of any worker came, since is the first of those that came without a longer pause between them.
-	at, since time.Time
+	// lastAnswer is when the newest answer of any worker came, answeringSince is the first of those that came without a longer pause between them.
+	lastAnswer, answeringSince time.Time
 }
 
-// heard notes an answer.
-func (he *linkMonitor) heard(at time.Time) {
-	if at.Sub(he.at) > deafAfter {
-		he.since = at
+// recordAnswer notes an answer.
+func (he *linkMonitor) recordAnswer(at time.Time) {
+	if at.Sub(he.lastAnswer) > allSilentAfter {
+		he.answeringSince = at
 	}
-	he.at = latest(he.at, at)
+	he.lastAnswer = latest(he.lastAnswer, at)
 }
 
 // allSilent reports whether nobody has answered for a while.
-func (he *linkMonitor) allSilent(now time.Time) bool { return now.Sub(he.at) > deafAfter }
+func (he *linkMonitor) allSilent(now time.Time) bool { return now.Sub(he.lastAnswer) > allSilentAfter }
 
 // unresponsive reports whether a worker did not answer while others did: one that hears of nobody, its link being full, would start tasks anew that
 // have ended well.
 func (cr *Core) unresponsive(now time.Time, wk *worker) bool {
-	return wk.failedPolls > 0 && !cr.link.allSilent(now) && wk.failedPollSentAt.After(cr.link.since)
+	return wk.failedPolls > 0 && !cr.link.allSilent(now) && wk.failedPollSentAt.After(cr.link.answeringSince)
 }
 
 // leasesExpired reports whether a worker's last lease has surely run out, as far as it is this owner's alone to give: only one that is confirmed
@@ -36,7 +36,7 @@
 
 // needsAnswer reports whether an answer of any worker is wanted, to judge one that is silent.
 func (cr *Core) needsAnswer(now time.Time) bool {
-	if now.Sub(cr.link.at) < deafAfter/2 {
+	if now.Sub(cr.link.lastAnswer) < allSilentAfter/2 {
 		return false
 	}
 	for _, wk := range cr.sortedWorkers {
--- a/cell/intent.go
+++ b/cell/intent.go
@@ -11,22 +11,22 @@
 // of the worker. They cost a write before the start, so that only tasks have them that may have ended a worker already.
 
 const (
-	// intentFor is for how long an intent holds its room against other tasks.
-	intentFor = 3 * time.Second
-	// aheadFor is how long a task waits for room on the worker that is kept for it before another is chosen.
-	aheadFor = 5 * time.Second
-	// aheadShare divides the room of a worker into what is planned ahead.
-	aheadShare = 2
+	// intentHoldTime is for how long an intent holds its room against other tasks.
+	intentHoldTime = 3 * time.Second
+	// plannedIntentWait is how long a task waits for room on the worker that is kept for it before another is chosen.
+	plannedIntentWait = 5 * time.Second
+	// plannedRoomDivisor divides the room of a worker into what is planned ahead.
+	plannedRoomDivisor = 2
 )
 
 // intent is where a task is to be started once that is kept.
 type intent struct {
 	step   *step
-	at     int
+	index  int
 	worker WorkerID
-	// gen is the state of the job from which on it is kept.
-	gen   int
-	since time.Time
+	// jobGen is the state of the job from which on it is kept.
+	jobGen    int
+	createdAt time.Time
 	// roomReserved means that room is kept free for it in this round, took how much.
 	roomReserved bool
 	reservedRoom job.Size
@@ -50,16 +50,16 @@
 	}
 	// From now on its room is held.
 	ts.intent.planned = false
-	return st.job.savedGen >= ts.intent.gen && cr.alive(rd.now, ts, cd)
+	return st.job.savedGen >= ts.intent.jobGen && cr.answeredSinceIntent(rd.now, ts, cd)
 }
 
-// alive reports whether the worker has answered since a suspect that is to have it to itself was meant for it. On one that had ended before
+// answeredSinceIntent reports whether the worker has answered since a suspect that is to have it to itself was meant for it. On one that had ended before
 // without a word, the next loss would prove nothing and count all the same.
-func (cr *Core) alive(now time.Time, ts *taskState, cd *candidate) bool {
-	if ts.lost.weighted() < isolationLosses || !cd.aliveAt.Before(ts.intent.since) {
+func (cr *Core) answeredSinceIntent(now time.Time, ts *taskState, cd *candidate) bool {
+	if ts.lost.weighted() < isolationLosses || !cd.aliveAt.Before(ts.intent.createdAt) {
 		return true
 	}
-	cd.probeSince = ts.intent.since
+	cd.probeSince = ts.intent.createdAt
 	cd.nextPoll = earliest(cd.nextPoll, now)
 	return false
 }
@@ -70,7 +70,7 @@
 	// What is not known to have lost a worker shares a save with the ends of others: there are many of them after a takeover.
 	ts := &st.tasks[at]
 	cr.urgentSave = cr.urgentSave || ts.lost.total()+len(ts.lost.unresolved) > 0
-	in := &intent{step: st, at: at, worker: cd.info.ID, gen: st.job.gen, since: now}
+	in := &intent{step: st, index: at, worker: cd.info.ID, jobGen: st.job.gen, createdAt: now}
 	cr.removeIntent(ts)
 	ts.intent = in
 	cr.intents = append(cr.intents, in)
@@ -91,8 +91,8 @@
 			continue
 		}
 		// The tasks of a step stay together, so that its job's row names few workers.
-		if cd == nil || !cd.fitsAhead(st.spec) {
-			cd = rd.leastAhead(st)
+		if cd == nil || !cd.fitsPlanned(st.spec) {
+			cd = rd.leastPlanned(st)
 		}
 		if cd == nil {
 			return
@@ -103,20 +103,20 @@
 	}
 }
 
-// fitsAhead reports whether one more task of a step may be planned ahead for a worker.
-func (cd *candidate) fitsAhead(st *job.Step) bool {
-	return cd.plannedRoom.Add(st.ResourceRequest()).Mul(aheadShare).Fits(cd.info.Room)
+// fitsPlanned reports whether one more task of a step may be planned ahead for a worker.
+func (cd *candidate) fitsPlanned(st *job.Step) bool {
+	return cd.plannedRoom.Add(st.ResourceRequest()).Mul(plannedRoomDivisor).Fits(cd.info.Room)
 }
 
-// leastAhead is the worker for which the least is planned ahead of those that may run one more task of a step; nil if there is none.
-func (rd *round) leastAhead(st *step) *candidate {
+// leastPlanned is the worker for which the least is planned ahead of those that may run one more task of a step; nil if there is none.
+func (rd *round) leastPlanned(st *step) *candidate {
 	var best *candidate
 	for _, cd := range rd.usable {
 		sp := st.spec
 		if sp.Label != "" && !hasLabel(cd.info.Labels, sp.Label) || sp.DataRack != "" && cd.info.Rack != sp.DataRack || sp.SpreadLimit > 0 {
 			continue
 		}
-		if cd.fitsAhead(sp) && (best == nil || cd.plannedRoom.CPUMillis < best.plannedRoom.CPUMillis) {
+		if cd.fitsPlanned(sp) && (best == nil || cd.plannedRoom.CPUMillis < best.plannedRoom.CPUMillis) {
 			best = cd
 		}
 	}
@@ -143,7 +143,7 @@
 // reserveIntents keeps room free for the starts that wait to be kept.
 func (cr *Core) reserveIntents(rd *round) {
 	cr.intents = slices.DeleteFunc(cr.intents, func(in *intent) bool {
-		ts := &in.step.tasks[in.at]
+		ts := &in.step.tasks[in.index]
 		return ts.intent != in || ts.done || in.step.job.ended()
 	})
 	for _, in := range cr.intents {
@@ -154,7 +154,7 @@
 			}
 			continue
 		}
-		if rd.now.Sub(in.since) < intentFor {
+		if rd.now.Sub(in.createdAt) < intentHoldTime {
 			rd.reserveIntent(in)
 		}
 	}
@@ -167,8 +167,8 @@
 		return
 	}
 	in.roomReserved, in.reservedRoom = true, in.step.spec.ResourceRequest()
-	if in.step.tasks[in.at].lost.suspected() {
-		rd.keepFor(cd, in.step.job)
+	if in.step.tasks[in.index].lost.suspected() {
+		rd.quarantineFor(cd, in.step.job)
 	}
 	cd.free = cd.free.Sub(in.reservedRoom)
 }
@@ -205,8 +205,8 @@
 		if cd != nil && cr.feasible(rd.now, st, cd) && ts.isolationAllows(rd.now, st, cd) {
 			return cd
 		}
-		if cd != nil && in.planned && rd.now.Sub(in.since) < aheadFor {
-			cr.wakeAt(in.since.Add(aheadFor))
+		if cd != nil && in.planned && rd.now.Sub(in.createdAt) < plannedIntentWait {
+			cr.wakeAt(in.createdAt.Add(plannedIntentWait))
 			return nil
 		}
 		cr.cancelIntent(st, at)
@@ -229,7 +229,7 @@
 		if in == nil || in.worker != chosen[order].info.ID {
 			cr.addIntent(rd.now, st, at, chosen[order])
 		}
-		all = all && st.job.savedGen >= st.tasks[at].intent.gen && cr.alive(rd.now, &st.tasks[at], chosen[order])
+		all = all && st.job.savedGen >= st.tasks[at].intent.jobGen && cr.answeredSinceIntent(rd.now, &st.tasks[at], chosen[order])
 		rd.reserveIntent(st.tasks[at].intent)
 	}
 	return all
--- a/cell/keep.go
+++ b/cell/keep.go
@@ -41,12 +41,12 @@
 			}
 			pg.FailedAttempts[key] = slices.Clone(ts.failed)
 		}
-		st.keepOpen(pg, at)
+		st.saveUnresolved(pg, at)
 		if lost := ts.lost; lost.suspect || lost.total() > 0 || lost.longestRun > 0 {
 			if pg.Losses == nil {
 				pg.Losses = map[string]job.Losses{}
 			}
-			pg.Losses[key] = lost.kept()
+			pg.Losses[key] = lost.stored()
 		}
 		if ts.attempt > 1 {
 			if pg.Attempts == nil {
@@ -63,8 +63,8 @@
 	}
 }
 
-// keepOpen adds the workers on which a next owner may find a task gone.
-func (st *step) keepOpen(pg *job.Progress, at int) {
+// saveUnresolved adds the workers on which a next owner may find a task gone.
+func (st *step) saveUnresolved(pg *job.Progress, at int) {
 	key := job.StepKey(st.run, st.index)
 	for _, id := range st.tasks[at].unresolvedLosses().unresolved {
 		if pg.Unresolved == nil {
--- a/cell/left.go
+++ b/cell/left.go
@@ -11,24 +11,24 @@
 // Attempts of which it is not known what became of them, since their worker fell silent or their owner is another now, and workers whose end is
 // still to be kept.
 
-// chargeLeft charges tasks that an earlier owner had left on a worker whose life has ended.
-func (cr *Core) chargeLeft(now time.Time, id WorkerID) {
+// chargeUnresolved charges tasks that an earlier owner had left on a worker whose life has ended.
+func (cr *Core) chargeUnresolved(now time.Time, id WorkerID) {
 	for _, js := range cr.openJobs {
-		for st, at := range js.openOn(id) {
+		for st, at := range js.unresolvedOn(id) {
 			// It may have ended well before its worker did.
-			cr.chargeOn(now, st, at, id, evidence{})
+			cr.chargeUnplaced(now, st, at, id, evidence{})
 		}
 	}
 }
 
-// chargeOn charges a task that is not placed here with the end of a worker.
-func (cr *Core) chargeOn(now time.Time, st *step, at int, id WorkerID, ev evidence) {
+// chargeUnplaced charges a task that is not placed here with the end of a worker.
+func (cr *Core) chargeUnplaced(now time.Time, st *step, at int, id WorkerID, ev evidence) {
 	tk := job.Task{Job: st.job.spec.ID, Run: st.run, Step: st.index, Index: at}
 	cr.charge(now, &placement{task: tk, step: st, worker: &worker{info: Worker{ID: id}}, attempt: st.tasks[at].attempt}, ev)
 }
 
-// openOn goes through the tasks of a job of which it is not known what became of an attempt on a worker.
-func (js *jobState) openOn(id WorkerID) iter.Seq2[*step, int] {
+// unresolvedOn goes through the tasks of a job of which it is not known what became of an attempt on a worker.
+func (js *jobState) unresolvedOn(id WorkerID) iter.Seq2[*step, int] {
 	return func(yield func(*step, int) bool) {
 		if !js.hasOpenLosses {
 			return
@@ -45,10 +45,10 @@
 	}
 }
 
-// clearLeft takes the worker's life as proof that no attempt which an earlier owner left there has ended it.
-func (cr *Core) clearLeft(id WorkerID) {
+// clearUnresolved takes the worker's life as proof that no attempt which an earlier owner left there has ended it.
+func (cr *Core) clearUnresolved(id WorkerID) {
 	for _, js := range cr.openJobs {
-		for st, at := range js.openOn(id) {
+		for st, at := range js.unresolvedOn(id) {
 			st.tasks[at].lost.resolve(id)
 			cr.markDirty(js)
 		}
@@ -84,10 +84,10 @@
 	}
 }
 
-// noteLeft has a next owner know what was on a worker whose connections broke twice: it may have ended, and nobody else can tell what it ran.
+// saveAfterConnBreaks has a next owner know what was on a worker whose connections broke twice: it may have ended, and nobody else can tell what it ran.
 // After a mere reset the second call is answered.
-func (cr *Core) noteLeft(wk *worker) {
-	if !wk.connBroken || wk.failedPolls != leftAfter {
+func (cr *Core) saveAfterConnBreaks(wk *worker) {
+	if !wk.connBroken || wk.failedPolls != connBreaksBeforeSave {
 		return
 	}
 	for _, pl := range wk.placed {
@@ -102,44 +102,44 @@
 	if in := ts.intent; in != nil {
 		lo.markUnresolved(in.worker)
 	}
-	if pl := ts.placement; pl != nil && (pl.intentSaved || pl.suspect || pl.worker.failedPolls >= leftAfter && pl.worker.connBroken) {
+	if pl := ts.placement; pl != nil && (pl.intentSaved || pl.suspect || pl.worker.failedPolls >= connBreaksBeforeSave && pl.worker.connBroken) {
 		lo.markUnresolved(pl.worker.info.ID)
 	}
 	return lo
 }
 
-// grave is a worker whose end is still to be kept of some jobs. Until then a next owner is to look for it.
-type grave struct {
-	ref WorkerRef
+// pendingLoss is a worker whose end is still to be kept of some jobs. Until then a next owner is to look for it.
+type pendingLoss struct {
+	worker WorkerRef
 	// jobs are those jobs, with the state from which on it is kept.
 	jobs map[*jobState]int
 }
 
-// concerned are the jobs of which something is, or may be, on a worker.
-func (cr *Core) concerned(id WorkerID, victims []*placement) []*jobState {
+// affectedJobs are the jobs of which something is, or may be, on a worker.
+func (cr *Core) affectedJobs(id WorkerID, victims []*placement) []*jobState {
 	var list []*jobState
 	for _, pl := range victims {
 		list = append(list, pl.step.job)
 	}
 	for _, js := range cr.openJobs {
-		for range js.openOn(id) {
+		for range js.unresolvedOn(id) {
 			list = append(list, js)
 		}
 	}
 	return list
 }
 
-// remember has the cell's row name a worker that is forgotten until what its end meant for some jobs is kept.
-func (cr *Core) remember(wk *worker, jobs []*jobState) {
-	gv := grave{ref: wk.ended(), jobs: map[*jobState]int{}}
+// trackPendingLoss has the cell's row name a worker that is forgotten until what its end meant for some jobs is kept.
+func (cr *Core) trackPendingLoss(wk *worker, jobs []*jobState) {
+	gv := pendingLoss{worker: wk.endedRef(), jobs: map[*jobState]int{}}
 	for _, js := range jobs {
 		gv.jobs[js] = js.gen
 	}
 	cr.pendingLosses = append(cr.pendingLosses, gv)
 }
 
-// unkept reports whether its end is still to be kept of a job.
-func (gv grave) unkept() bool {
+// unsaved reports whether its end is still to be kept of a job.
+func (gv pendingLoss) unsaved() bool {
 	for js, gen := range gv.jobs {
 		if js.savedGen < gen {
 			return true
--- a/cell/life.go
+++ b/cell/life.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// lifeMark parts a worker's name from when its life began, in the name of the life.
-	lifeMark = "~"
-	// lifeBase is the base of that number, so that rows and messages, which name many lives, stay short.
-	lifeBase = 36
+	// incarnationSeparator parts a worker's name from when its life began, in the name of the life.
+	incarnationSeparator = "~"
+	// startTimeBase is the base of that number, so that rows and messages, which name many lives, stay short.
+	startTimeBase = 36
 	// lateStartWindow is for how long after it was given an order without an answer may be carried out; the users' pages say seconds.
 	lateStartWindow = 12 * time.Second
 	// maxLateRun is the longest time that what was carried out so late then runs without another lease: workers cut a longer one down.
@@ -20,10 +20,10 @@
 
 // NewWorkerID names a life of a worker by when it began, in milliseconds since 1970; 0 where that is not told and each life has a name of its own.
 func NewWorkerID(name WorkerName, born int64) WorkerID {
-	if born == 0 && !strings.Contains(string(name), lifeMark) {
+	if born == 0 && !strings.Contains(string(name), incarnationSeparator) {
 		return WorkerID(name)
 	}
-	return WorkerID(string(name) + lifeMark + strconv.FormatInt(born, lifeBase))
+	return WorkerID(string(name) + incarnationSeparator + strconv.FormatInt(born, startTimeBase))
 }
 
 // Name is the worker's, whatever its life.
@@ -39,11 +39,11 @@
 }
 
 func (id WorkerID) split() (WorkerName, int64) {
-	at := strings.LastIndex(string(id), lifeMark)
+	at := strings.LastIndex(string(id), incarnationSeparator)
 	if at < 0 {
 		return WorkerName(id), 0
 	}
-	born, err := strconv.ParseInt(string(id[at+len(lifeMark):]), lifeBase, 64)
+	born, err := strconv.ParseInt(string(id[at+len(incarnationSeparator):]), startTimeBase, 64)
 	if err != nil {
 		// A name that some row or message made up: it is nobody's life.
 		return WorkerName(id), 0
@@ -75,9 +75,9 @@
 	return false
 }
 
-// counterOf is that of the tokens for a life. It goes on from that of the former lives under the name, so that the first look at a new one makes
+// tokenCounterOf is that of the tokens for a life. It goes on from that of the former lives under the name, so that the first look at a new one makes
 // void there what was ordered of them without an answer.
-func (cr *Core) counterOf(id WorkerID) *Token {
+func (cr *Core) tokenCounterOf(id WorkerID) *Token {
 	name := id.Name()
 	counter, former := cr.tokenCounters[name]
 	if !former {
@@ -92,32 +92,32 @@
 // lateStart is a start that had no answer before its worker's life was over. The next life under the name knows nothing that would make it void.
 type lateStart struct {
 	name WorkerName
-	// ref is the life that it was ordered of.
-	ref   WorkerRef
-	token Token
-	task  *taskState
-	job   *jobState
-	until time.Time
+	// former is the life that it was ordered of.
+	former    WorkerRef
+	token     Token
+	task      *taskState
+	job       *jobState
+	expiresAt time.Time
 }
 
-// astray keeps a task whose start had no answer from being started elsewhere until no life of the worker can carry that start out any more.
-func (cr *Core) astray(now time.Time, pl *placement) {
+// trackLateStart keeps a task whose start had no answer from being started elsewhere until no life of the worker can carry that start out any more.
+func (cr *Core) trackLateStart(now time.Time, pl *placement) {
 	until := pl.orderedAt.Add(lateStartWindow)
 	if !pl.ackedAt.IsZero() || !pl.worker.info.ID.reusesName() || !now.Before(until) {
 		return
 	}
-	sy := &lateStart{name: pl.worker.name, ref: pl.worker.ended(), token: pl.token, task: &pl.step.tasks[pl.task.Index], job: pl.step.job, until: until}
+	sy := &lateStart{name: pl.worker.name, former: pl.worker.endedRef(), token: pl.token, task: &pl.step.tasks[pl.task.Index], job: pl.step.job, expiresAt: until}
 	sy.task.stray = sy
 	cr.lateStarts = append(cr.lateStarts, sy)
 	for _, wk := range cr.incarnations(sy.name) {
 		if wk != pl.worker && wk.fenced {
-			cr.settleStrays(sy.name, cr.token(wk))
+			cr.resolveLateStarts(sy.name, cr.token(wk))
 		}
 	}
 }
 
-// settleStrays lets the tasks go on whose stray starts are void, since a life under the name has seen a higher token.
-func (cr *Core) settleStrays(name WorkerName, seen Token) {
+// resolveLateStarts lets the tasks go on whose stray starts are void, since a life under the name has seen a higher token.
+func (cr *Core) resolveLateStarts(name WorkerName, seen Token) {
 	if len(cr.lateStarts) == 0 {
 		return
 	}
@@ -134,17 +134,17 @@
 	})
 }
 
-// ended is a worker's life as one that is known to be over.
-func (wk *worker) ended() WorkerRef {
+// endedRef is a worker's life as one that is known to be over.
+func (wk *worker) endedRef() WorkerRef {
 	return WorkerRef{ID: wk.info.ID, Address: wk.info.Address, Machine: wk.info.Machine, Ended: true}
 }
 
-// strayUntil is until when a start that was ordered of a life may be carried out by the next one; zero for none.
-func (cr *Core) strayUntil(id WorkerID) time.Time {
+// lateStartUntil is until when a start that was ordered of a life may be carried out by the next one; zero for none.
+func (cr *Core) lateStartUntil(id WorkerID) time.Time {
 	var until time.Time
 	for _, sy := range cr.lateStarts {
-		if sy.ref.ID == id {
-			until = latest(until, sy.until)
+		if sy.former.ID == id {
+			until = latest(until, sy.expiresAt)
 		}
 	}
 	return until
@@ -153,7 +153,7 @@
 // expireLateStarts forgets strays that no life can carry out any more.
 func (cr *Core) expireLateStarts(now time.Time) {
 	cr.lateStarts = slices.DeleteFunc(cr.lateStarts, func(sy *lateStart) bool {
-		if sy.task.stray == sy && (now.Before(sy.until) || cr.mayRunLate(now, sy.ref.ID, sy.until)) {
+		if sy.task.stray == sy && (now.Before(sy.expiresAt) || cr.mayRunLate(now, sy.former.ID, sy.expiresAt)) {
 			return false
 		}
 		if sy.task.stray == sy {
@@ -164,9 +164,9 @@
 	})
 }
 
-// depart notes that the life of a worker of earlier owners has ended. What they started there is over, but its next life may carry out what they
+// recordDeparture notes that the life of a worker of earlier owners has ended. What they started there is over, but its next life may carry out what they
 // ordered, or may have done so before this owner knew of it. It waits to be confirmed in any case, since a later owner may have taken note of ends.
-func (cr *Core) depart(now time.Time, wk *worker) {
+func (cr *Core) recordDeparture(now time.Time, wk *worker) {
 	at, open := cr.unresolved[wk.info.ID]
 	if !open {
 		return
@@ -183,12 +183,12 @@
 			over = now
 		}
 	}
-	cr.unresolved[wk.info.ID], cr.departed[wk.info.ID] = over, wk.ended()
+	cr.unresolved[wk.info.ID], cr.departed[wk.info.ID] = over, wk.endedRef()
 }
 
-// settleDeparted resolves former lives of a worker that has answered a look: it does nothing any more that was ordered by earlier owners, and has
+// resolveDeparted resolves former lives of a worker that has answered a look: it does nothing any more that was ordered by earlier owners, and has
 // listed what it did before.
-func (cr *Core) settleDeparted(now time.Time, wk *worker) {
+func (cr *Core) resolveDeparted(now time.Time, wk *worker) {
 	for id := range cr.departed {
 		if id.Name() == wk.name && id != wk.info.ID && cr.workers[id] == nil {
 			cr.unresolved[id] = earliest(cr.unresolved[id], now)
@@ -210,9 +210,9 @@
 	return false
 }
 
-// inherit takes it that an order of the former life has prolonged the leases on a worker that began lately: it may have been carried out before the
+// extendInheritedLease takes it that an order of the former life has prolonged the leases on a worker that began lately: it may have been carried out before the
 // first look, and its time is one on the former life's clock, so that only the longest lease bounds it.
-func (cr *Core) inherit(wk *worker, looked time.Time) {
+func (cr *Core) extendInheritedLease(wk *worker, looked time.Time) {
 	if !wk.info.ID.reusesName() {
 		return
 	}
--- a/cell/look.go
+++ b/cell/look.go
@@ -7,9 +7,9 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// patienceLeast is the least time that an answer is waited for beyond the time for which a worker may hold it back; a call that ends
+// minAnswerTimeout is the least time that an answer is waited for beyond the time for which a worker may hold it back; a call that ends
 // without one sooner was broken off.
-const patienceLeast = 300 * time.Millisecond
+const minAnswerTimeout = 300 * time.Millisecond
 
 // HandlePoll takes the result of a look.
 func (cr *Core) HandlePoll(now time.Time, lk PollResult) {
@@ -20,45 +20,45 @@
 	wk.polling = false
 	switch lk.Outcome {
 	case Done:
-		cr.sawWorker(now, wk, lk)
+		cr.handleReport(now, wk, lk)
 	case WrongIncarnation:
 		cr.handleWorkerEnd(now, wk, "another life answers", lk.Token)
 	case Superseded:
-		if !cr.overtaken(wk, lk.Token) {
+		if !cr.handleSuperseded(wk, lk.Token) {
 			wk.nextPoll = now
 		}
 	default:
-		cr.unanswered(now, wk, lk)
+		cr.handleUnanswered(now, wk, lk)
 	}
 }
 
-// unanswered takes a look that had no answer.
-func (cr *Core) unanswered(now time.Time, wk *worker, lk PollResult) {
+// handleUnanswered takes a look that had no answer.
+func (cr *Core) handleUnanswered(now time.Time, wk *worker, lk PollResult) {
 	wk.failedPolls++
 	wk.failedPollSentAt = lk.Sent
 	wk.nextPoll = now.Add(min(maxPollBackoff, minPollBackoff<<min(wk.failedPolls-1, 4)))
 	if wk.failedPolls == 1 {
-		wk.firstFailedAt, wk.connBroken = lk.Received, lk.Received.Sub(lk.Sent) < lk.Wait+patienceLeast
+		wk.firstFailedAt, wk.connBroken = lk.Received, lk.Received.Sub(lk.Sent) < lk.Wait+minAnswerTimeout
 		if wk.connBroken {
-			cr.brokeOff(wk.info.ID, wk.firstFailedAt)
+			cr.recordConnBreak(wk.info.ID, wk.firstFailedAt)
 		}
 		cr.opts.Log(Decision{What: "worker silent", Worker: wk.info.ID, Token: lk.Token, Why: lk.Outcome.String(), PollAge: now.Sub(wk.polledAt)})
 	}
-	cr.noteLeft(wk)
+	cr.saveAfterConnBreaks(wk)
 }
 
-// sawWorker takes what a worker says of itself.
-func (cr *Core) sawWorker(now time.Time, wk *worker, lk PollResult) {
+// handleReport takes what a worker says of itself.
+func (cr *Core) handleReport(now time.Time, wk *worker, lk PollResult) {
 	wk.observeClock(lk.Clock, lk.Received)
-	cr.link.heard(lk.Received)
+	cr.link.recordAnswer(lk.Received)
 	wk.failedPolls, wk.polledAt, wk.aliveAt = 0, lk.Received, latest(wk.aliveAt, lk.Sent)
-	cr.unhold(now, wk)
+	cr.releaseSuspects(now, wk)
 	wk.nextPoll = now.Add(cr.opts.PollInterval)
 	wk.confirmedAck = max(wk.confirmedAck, lk.AckedEnd)
 	first := !wk.fenced
 	if first {
 		if wk.fencedAt.IsZero() {
-			cr.inherit(wk, lk.Received)
+			cr.extendInheritedLease(wk, lk.Received)
 		}
 		wk.busyAt, wk.fencedAt = now, lk.Received
 	}
@@ -66,21 +66,21 @@
 	if lk.Token == cr.token(wk) {
 		wk.startUnsettled = false
 	}
-	cr.settleStrays(wk.name, lk.Token)
-	cr.settleDeparted(now, wk)
+	cr.resolveLateStarts(wk.name, lk.Token)
+	cr.resolveDeparted(now, wk)
 	listed := make(map[job.Task]*Running, len(lk.Running))
 	for at := range lk.Running {
 		listed[lk.Running[at].Task] = &lk.Running[at]
 	}
-	cr.takeEnds(now, wk, lk.Ended)
+	cr.handleEnds(now, wk, lk.Ended)
 	for _, rn := range lk.Running {
-		cr.sawRunning(now, wk, rn)
+		cr.handleRunning(now, wk, rn)
 	}
 	for _, pl := range wk.placed {
 		if listed[pl.task] != nil && listed[pl.task].Attempt == pl.attempt {
 			continue
 		}
-		cr.missing(now, wk, pl, lk)
+		cr.handleUnlisted(now, wk, pl, lk)
 	}
 	for tk := range wk.foreign {
 		if listed[tk] == nil {
@@ -88,15 +88,15 @@
 		}
 	}
 	if first {
-		cr.clearLeft(wk.info.ID)
+		cr.clearUnresolved(wk.info.ID)
 	}
 	if first || !wk.recorded {
 		cr.resolve(now, wk.info.ID, "looked at")
 	}
 }
 
-// missing handles a placement that the worker does not list.
-func (cr *Core) missing(now time.Time, wk *worker, pl *placement, lk PollResult) {
+// handleUnlisted handles a placement that the worker does not list.
+func (cr *Core) handleUnlisted(now time.Time, wk *worker, pl *placement, lk PollResult) {
 	switch {
 	case pl.phase == uncertain && pl.token < lk.Token:
 		// The worker has seen a higher token than the start's, so the start can never happen.
@@ -106,8 +106,8 @@
 	}
 }
 
-// sawRunning takes one attempt that the worker lists as running.
-func (cr *Core) sawRunning(now time.Time, wk *worker, rn Running) {
+// handleRunning takes one attempt that the worker lists as running.
+func (cr *Core) handleRunning(now time.Time, wk *worker, rn Running) {
 	pl := wk.placements[rn.Task]
 	if pl == nil {
 		pl = cr.adoptRun(now, wk, rn)
@@ -156,8 +156,8 @@
 	return pl
 }
 
-// takeEnds takes ends in the order in which the worker numbers them.
-func (cr *Core) takeEnds(now time.Time, wk *worker, ends []End) {
+// handleEnds takes ends in the order in which the worker numbers them.
+func (cr *Core) handleEnds(now time.Time, wk *worker, ends []End) {
 	for _, en := range ends {
 		if en.Number <= wk.lastEndRead {
 			continue
@@ -175,11 +175,11 @@
 		}
 		wk.unackedEnds = append(wk.unackedEnds, he)
 	}
-	cr.advance(now, wk)
+	cr.advanceAck(now, wk)
 }
 
-// advance moves the acknowledgement past all ends whose effect is kept.
-func (cr *Core) advance(now time.Time, wk *worker) {
+// advanceAck moves the acknowledgement past all ends whose effect is kept.
+func (cr *Core) advanceAck(now time.Time, wk *worker) {
 	for len(wk.unackedEnds) > 0 {
 		he := &wk.unackedEnds[0]
 		if he.job == nil && !he.unknownSince.IsZero() && (now.Sub(he.unknownSince) < 2*foreignTaskGrace || now.Sub(cr.confirmedAt) > foreignTaskGrace) {
--- a/cell/place.go
+++ b/cell/place.go
@@ -255,7 +255,7 @@
 			continue
 		}
 		if ts.stray != nil {
-			cr.wakeAt(ts.stray.until)
+			cr.wakeAt(ts.stray.expiresAt)
 			waits = true
 			continue
 		}
--- a/cell/plague.go
+++ b/cell/plague.go
@@ -11,8 +11,8 @@
 // Queues some of whose jobs crash workers. While that goes on, tasks of one job only are started on a worker at a time, so that the next crash
 // tells whose it is, and tasks that last are kept apart from them.
 const (
-	// plagueFor is how long after a worker ended under tasks that had just been started their queues are taken for such ones.
-	plagueFor = 10 * time.Second
+	// crashLoopTTL is how long after a worker ended under tasks that had just been started their queues are taken for such ones.
+	crashLoopTTL = 10 * time.Second
 	// maxDedicatedShare is the most of the usable workers that are for tasks that last alone meanwhile.
 	maxDedicatedShare = 0.5
 	// crashLoopTurn is how long a job of such a queue has a worker's starts, or a worker, to itself; turnWithin within which time each is to have had
@@ -25,7 +25,7 @@
 
 // markCrashLoop notes that a worker ended right after tasks of a queue had been started there.
 func (cr *Core) markCrashLoop(now time.Time, queue job.QueueID) {
-	cr.crashLoops[queue] = now.Add(plagueFor)
+	cr.crashLoops[queue] = now.Add(crashLoopTTL)
 }
 
 // crashLooping reports whether jobs of a queue have crashed workers of late.
@@ -33,8 +33,8 @@
 	return now.Before(cr.crashLoops[queue])
 }
 
-// endPlagues forgets queues that have crashed none for a while.
-func (cr *Core) endPlagues(now time.Time) {
+// expireCrashLoops forgets queues that have crashed none for a while.
+func (cr *Core) expireCrashLoops(now time.Time) {
 	for queue, until := range cr.crashLoops {
 		if !now.Before(until) {
 			delete(cr.crashLoops, queue)
@@ -47,23 +47,23 @@
 	// job is theirs; mixed means that they are of several.
 	job   *jobState
 	mixed bool
-	// plagued means that one of them is of a queue that crashes workers, until when the last of them is new.
-	plagued bool
-	until   time.Time
+	// crashLooping means that one of them is of a queue that crashes workers, until when the last of them is new.
+	crashLooping bool
+	until        time.Time
 }
 
 // add adds a task that is started now.
 func (nc *recentStarts) add(cr *Core, now, started time.Time, js *jobState) {
 	nc.mixed = nc.mixed || nc.job != nil && nc.job != js
 	nc.job = js
-	nc.plagued = nc.plagued || cr.crashLooping(now, js.spec.Queue)
+	nc.crashLooping = nc.crashLooping || cr.crashLooping(now, js.spec.Queue)
 	nc.until = latest(nc.until, started.Add(suspectWindow))
 }
 
 // findRecentStarts looks for the newcomers of all workers, as long as some queue crashes workers, for shelter for tasks that last, and for workers to
 // give away.
 func (cr *Core) findRecentStarts(rd *round) {
-	cr.endPlagues(rd.now)
+	cr.expireCrashLoops(rd.now)
 	cr.dedicatedRoom = job.Size{}
 	if len(cr.crashLoops) == 0 {
 		return
@@ -76,14 +76,14 @@
 		}
 	}
 	if slices.ContainsFunc(cr.openJobs, func(js *jobState) bool { return !js.ended() && js.spec.Steps[0].LongRunning }) {
-		cr.findShelter(rd)
+		cr.chooseDedicated(rd)
 	}
-	cr.findGiven(rd)
+	cr.chooseFreeing(rd)
 }
 
-// findGiven chooses the workers that are to become idle, since other pools lack machines: those with the least on them. One job at a time on each
+// chooseFreeing chooses the workers that are to become idle, since other pools lack machines: those with the least on them. One job at a time on each
 // keeps all of them half empty otherwise, and none idle.
-func (cr *Core) findGiven(rd *round) {
+func (cr *Core) chooseFreeing(rd *round) {
 	keep := max(crashLoopMinWorkers, cr.machineLimit)
 	if !rd.now.Before(cr.machineLimitUntil) || len(rd.usable) <= keep {
 		return
@@ -95,8 +95,8 @@
 	}
 }
 
-// findShelter chooses the workers that are for tasks that last alone: those with the most of them.
-func (cr *Core) findShelter(rd *round) {
+// chooseDedicated chooses the workers that are for tasks that last alone: those with the most of them.
+func (cr *Core) chooseDedicated(rd *round) {
 	if len(rd.usable) == 0 {
 		return
 	}
@@ -139,7 +139,7 @@
 		// It waits for what is short and ends there.
 		return false
 	}
-	if nc := &cd.recentStarts; nc.job != nil && (nc.mixed || nc.job != st.job) && (plagued || nc.plagued) {
+	if nc := &cd.recentStarts; nc.job != nil && (nc.mixed || nc.job != st.job) && (plagued || nc.crashLooping) {
 		cr.wakeAt(nc.until)
 		return false
 	}
--- a/cell/plan.go
+++ b/cell/plan.go
@@ -26,7 +26,7 @@
 	cr.expireWorkers(now)
 	cr.expireLateStarts(now)
 	for _, wk := range cr.sortedWorkers {
-		cr.advance(now, wk)
+		cr.advanceAck(now, wk)
 	}
 	cr.removeEnded()
 	cr.recordWorkers()
@@ -233,7 +233,7 @@
 		}
 		if pl.onProbation() {
 			// The worker is reserved for this attempt until it has proved to be alive.
-			return probation / 2
+			return shortProbation / 2
 		}
 		if !pl.step.spec.LongRunning {
 			ends += 1 / max(pollWaitMin, cr.runTimes.get(pl.step.job.spec.Queue).mean).Seconds()
--- a/cell/registry.go
+++ b/cell/registry.go
@@ -19,9 +19,9 @@
 	wk.info, wk.registered, wk.registrationRead, wk.unregisteredAt = in, true, true, time.Time{}
 }
 
-// roomUntold divides the room of a worker whose registration is old into what is counted on: an outage of the store keeps it from telling that its
+// uncertainRoomDivisor divides the room of a worker whose registration is old into what is counted on: an outage of the store keeps it from telling that its
 // room has shrunk, and what is overfull ends for all tasks there.
-const roomUntold = 3
+const uncertainRoomDivisor = 3
 
 // RegistrationRenewal is how long a registration that was old when it was first read may take to be written anew.
 const RegistrationRenewal = 2500 * time.Millisecond
@@ -31,7 +31,7 @@
 func (cr *Core) usableRoom(now time.Time, wk *worker) job.Size {
 	old := now.Sub(wk.info.WrittenAt) > cr.opts.RegistrationMaxAge
 	if old && (cr.renewalsVisible || now.Before(wk.roomUncertainUntil)) {
-		return wk.info.Room.Div(roomUntold)
+		return wk.info.Room.Div(uncertainRoomDivisor)
 	}
 	return wk.info.Room
 }
@@ -67,13 +67,13 @@
 }
 
 const (
-	// missingAfter is how long a worker must have been silent before it is asked for elsewhere.
-	missingAfter = 500 * time.Millisecond
-	// brokenAfter is how long one must be whose connections broke: its port is dead, so that most likely its life has ended. What ran there
+	// unresponsiveAfter is how long a worker must have been silent before it is asked for elsewhere.
+	unresponsiveAfter = 500 * time.Millisecond
+	// connBrokenAfter is how long one must be whose connections broke: its port is dead, so that most likely its life has ended. What ran there
 	// waits for that word.
-	brokenAfter = 50 * time.Millisecond
-	// brokenFor is for how long after that the question is pressing.
-	brokenFor = 2 * time.Second
+	connBrokenAfter = 50 * time.Millisecond
+	// urgentFor is for how long after that the question is pressing.
+	urgentFor = 2 * time.Second
 )
 
 // Unresponsive lists the workers that do not answer while something runs, or may run, on them; pressing tells that the connections of one of them
@@ -84,12 +84,12 @@
 		if wk.failedPolls == 0 || !open && len(wk.placements) == 0 && len(wk.leaseExpired) == 0 {
 			continue
 		}
-		broke := wk.connBroken && now.Sub(wk.firstFailedAt) > brokenAfter
-		if !broke && now.Sub(wk.polledAt) <= missingAfter {
+		broke := wk.connBroken && now.Sub(wk.firstFailedAt) > connBrokenAfter
+		if !broke && now.Sub(wk.polledAt) <= unresponsiveAfter {
 			continue
 		}
 		ids = append(ids, wk.info.ID)
-		pressing = pressing || broke && now.Sub(wk.firstFailedAt) < brokenFor
+		pressing = pressing || broke && now.Sub(wk.firstFailedAt) < urgentFor
 	}
 	return ids, pressing
 }
--- a/cell/takeover_test.go
+++ b/cell/takeover_test.go
@@ -171,7 +171,7 @@
 				bd.answerPoll(bd.waitForPoll("w0"), []Running{{Task: st.Task, Attempt: 1, Progress: 100}}, nil)
 			}
 			if storeAway {
-				bd.core.confirmedAt = bd.now.Add(-awayAfter - time.Second)
+				bd.core.confirmedAt = bd.now.Add(-storeAwayAfter - time.Second)
 			}
 			bd.core.Unregister(bd.now, "w0")
 			bd.addJob("j", testEpoch, taskStep(1))
--- a/cell/trial.go
+++ b/cell/trial.go
@@ -9,25 +9,25 @@
 
 // Trials of suspects.
 const (
-	// probation is how long a suspect is the only new task on its worker; the answer to a look within it tells that it lives.
-	probation = 150 * time.Millisecond
+	// shortProbation is how long a suspect is the only new task on its worker; the answer to a look within it tells that it lives.
+	shortProbation = 150 * time.Millisecond
 	// isolationLosses is from how many lost workers on a suspect has an empty worker to itself, for longProbation; after one more as long as it runs.
 	isolationLosses = 2
 	longProbation   = 2 * time.Second
-	// trialShare is the part of the workers that suspects may have to themselves at once, so that the others go on with their work.
-	trialShare = 0.25
-	// trialSpare is the part that they may have where nothing else is to be started, so that workers do not stand idle while suspects wait.
-	trialSpare = 0.75
-	// trialSole is the part that they may have of which it is as good as known that they will end the next one, too.
-	trialSole = 0.1
-	// trialsStep is how many tasks of one step may be on trial at once: where all of them crash their workers, two losses are enough to know.
-	trialsStep = 2
+	// quarantineShare is the part of the workers that suspects may have to themselves at once, so that the others go on with their work.
+	quarantineShare = 0.25
+	// idleQuarantineShare is the part that they may have where nothing else is to be started, so that workers do not stand idle while suspects wait.
+	idleQuarantineShare = 0.75
+	// soleJobQuarantineShare is the part that they may have of which it is as good as known that they will end the next one, too.
+	soleJobQuarantineShare = 0.1
+	// maxProbationsPerStep is how many tasks of one step may be on trial at once: where all of them crash their workers, two losses are enough to know.
+	maxProbationsPerStep = 2
 	// weightSharedWorker keeps suspects from workers with other tasks; it only ranks.
 	weightSharedWorker = 5.0
-	// lossOpenFor is for how long after its lease's end it is asked whether a silent worker lives, since its end would be a loss of its tasks.
-	lossOpenFor = 30 * time.Second
-	// holdFor is how long a suspect waits at most for word of the worker on which it was tried and that fell silent: it may be one more.
-	holdFor = 10 * time.Second
+	// lossPendingFor is for how long after its lease's end it is asked whether a silent worker lives, since its end would be a loss of its tasks.
+	lossPendingFor = 30 * time.Second
+	// suspectHoldTime is how long a suspect waits at most for word of the worker on which it was tried and that fell silent: it may be one more.
+	suspectHoldTime = 10 * time.Second
 )
 
 // onProbation reports whether an attempt of a suspect has not proved yet that its worker outlives it.
@@ -46,7 +46,7 @@
 		return
 	}
 	ran := sent.Sub(pl.ackedAt)
-	if span, ends := ts.lost.probation(); ends && ran >= span {
+	if span, ends := ts.lost.probationTime(); ends && ran >= span {
 		pl.probationPassed = true
 	}
 	if !pl.step.spec.LongRunning || ran < minSettleTime {
@@ -54,19 +54,19 @@
 	}
 	// Others are not kept waiting for a worker until it has proved itself.
 	pl.probationPassed = true
-	if ran >= ts.lost.settles() && ts.lost.suspected() {
+	if ran >= ts.lost.settleTime() && ts.lost.suspected() {
 		// What lasts sees many workers end in its time, so that old losses do not count against it.
 		ts.lost = losses{longestRun: ts.lost.longestRun, unresolved: ts.lost.unresolved}
 		cr.markDirty(pl.step.job)
 	}
 }
 
-// probation is how long a suspect is on trial: if workers ended under it a while after its start, it is longer from the second loss on, and as
+// probationTime is how long a suspect is on trial: if workers ended under it a while after its start, it is longer from the second loss on, and as
 // long as it runs after the third.
-func (lo losses) probation() (span time.Duration, ends bool) {
+func (lo losses) probationTime() (span time.Duration, ends bool) {
 	switch number := lo.weighted(); {
 	case number < isolationLosses || !lo.late:
-		return probation, true
+		return shortProbation, true
 	case number == isolationLosses:
 		return longProbation, true
 	}
@@ -100,8 +100,8 @@
 		if !cr.startWindow.canStart() || cr.deferred(rd, st.job) || !cr.mayStart(st, 1) {
 			return false
 		}
-		if in := st.tasks[at].intent; (in == nil || !in.roomReserved) && (rd.quarantined >= rd.trialsMost(st.tasks[at].lost) || st.probationWorkers() >= trialsStep) && !rd.keeps(st.job) {
-			rd.suspectsWaiting = rd.suspectsWaiting || st.probationWorkers() < trialsStep
+		if in := st.tasks[at].intent; (in == nil || !in.roomReserved) && (rd.quarantined >= rd.maxQuarantined(st.tasks[at].lost) || st.probationWorkers() >= maxProbationsPerStep) && !rd.hasQuarantineFor(st.job) {
+			rd.suspectsWaiting = rd.suspectsWaiting || st.probationWorkers() < maxProbationsPerStep
 			all = false
 			continue
 		}
@@ -110,7 +110,7 @@
 			cr.reserveForSuspects(rd, st, len(waiting)-count)
 			return false
 		}
-		rd.keepFor(cd, st.job)
+		rd.quarantineFor(cd, st.job)
 		if !cr.ensureIntent(rd, st, at, cd) {
 			rd.reserveIntent(st.tasks[at].intent)
 			all = false
@@ -122,27 +122,27 @@
 	return all
 }
 
-// keepFor keeps a worker from tasks of all jobs but one, for the rest of the round.
-func (rd *round) keepFor(cd *candidate, js *jobState) {
+// quarantineFor keeps a worker from tasks of all jobs but one, for the rest of the round.
+func (rd *round) quarantineFor(cd *candidate, js *jobState) {
 	if cd.quarantinedFor != js {
 		cd.quarantinedFor = js
 		rd.quarantined++
 	}
 }
 
-// keeps reports whether a worker is kept for a job that has room for one more of its suspects.
-func (rd *round) keeps(js *jobState) bool {
+// hasQuarantineFor reports whether a worker is kept for a job that has room for one more of its suspects.
+func (rd *round) hasQuarantineFor(js *jobState) bool {
 	return slices.ContainsFunc(rd.usable, func(cd *candidate) bool { return cd.quarantinedFor == js })
 }
 
-// trialsMost is how many suspects may have a worker to themselves at once.
-func (rd *round) trialsMost(lo losses) int {
-	share := trialShare
+// maxQuarantined is how many suspects may have a worker to themselves at once.
+func (rd *round) maxQuarantined(lo losses) int {
+	share := quarantineShare
 	switch {
 	case rd.useIdle:
-		share = trialSpare
-	case lo.sole:
-		share = trialSole
+		share = idleQuarantineShare
+	case lo.soleJob:
+		share = soleJobQuarantineShare
 	}
 	// Those that suspects have are not among the usable ones.
 	return max(1, int(share*float64(len(rd.usable)+rd.quarantinedBefore)))
@@ -168,8 +168,8 @@
 
 // reserveForSuspects keeps the workers with the least on them free of other tasks until suspects that need one to themselves find it reserveForSuspects.
 func (cr *Core) reserveForSuspects(rd *round, st *step, count int) {
-	for range min(count, trialsStep) {
-		if rd.quarantined >= rd.trialsMost(losses{}) {
+	for range min(count, maxProbationsPerStep) {
+		if rd.quarantined >= rd.maxQuarantined(losses{}) {
 			return
 		}
 		cd := cr.roomiest(rd, st)
@@ -194,22 +194,22 @@
 		case other.longRunningFor(now, minSettleTime):
 		case ts.lost.needsIsolation():
 			return false
-		case other.phase != running || other.ackedAt.IsZero() || now.Sub(other.ackedAt) < probation:
+		case other.phase != running || other.ackedAt.IsZero() || now.Sub(other.ackedAt) < shortProbation:
 			return false
 		}
 	}
 	return true
 }
 
-// hold keeps a suspect whose trial ended in silence from being tried elsewhere before it is known what came of the worker.
-func (cr *Core) hold(now time.Time, pl *placement) {
+// holdSuspect keeps a suspect whose trial ended in silence from being tried elsewhere before it is known what came of the worker.
+func (cr *Core) holdSuspect(now time.Time, pl *placement) {
 	if ts := &pl.step.tasks[pl.task.Index]; pl.suspect && ts.lost.weighted() >= isolationLosses {
-		ts.notBefore = now.Add(holdFor)
+		ts.notBefore = now.Add(suspectHoldTime)
 	}
 }
 
-// unhold lets the suspects go on that waited for word of a worker.
-func (cr *Core) unhold(now time.Time, wk *worker) {
+// releaseSuspects lets the suspects go on that waited for word of a worker.
+func (cr *Core) releaseSuspects(now time.Time, wk *worker) {
 	for _, pl := range wk.leaseExpired {
 		ts := &pl.step.tasks[pl.task.Index]
 		if ts.notBefore.After(now) {
@@ -226,5 +226,5 @@
 
 // lossPending reports whether the end of a silent worker would still be a loss of tasks.
 func (wk *worker) lossPending(now time.Time) bool {
-	return len(wk.leaseExpired) > 0 && now.Sub(wk.leaseEnd) < lossOpenFor
+	return len(wk.leaseExpired) > 0 && now.Sub(wk.leaseEnd) < lossPendingFor
 }
--- a/cell/window_test.go
+++ b/cell/window_test.go
@@ -66,15 +66,15 @@
 	bd := newTestBed(t, 4)
 	bd.addJob("a", testEpoch, job.Step{Count: 500, Size: job.Size{CPUMillis: 10, MemoryMB: 1}})
 	given := startsIn(bd.plan())
-	if len(given) != startsFirst {
-		t.Fatalf("%d starts, want %d", len(given), startsFirst)
+	if len(given) != initialStartWindow {
+		t.Fatalf("%d starts, want %d", len(given), initialStartWindow)
 	}
 	bd.advance(time.Second)
 	bd.wantStarts(bd.plan(), 0)
 	for _, st := range given {
 		bd.answerOrder(st, Done)
 	}
-	if more := startsIn(bd.plan()); len(more) < startsLeast {
+	if more := startsIn(bd.plan()); len(more) < minStartWindow {
 		t.Errorf("%d starts after answers", len(more))
 	}
 }
@@ -86,7 +86,7 @@
 	st := bd.wantStarts(bd.plan(), 1)[0]
 	bd.answerOrder(st, PayloadMissing)
 	bd.wantStarts(bd.plan(), 0)
-	bd.advance(unpreparedFor)
+	bd.advance(payloadRetryDelay)
 	if again := bd.wantStarts(bd.plan(), 1)[0]; again.Attempt != st.Attempt || again.Worker != st.Worker {
 		t.Errorf("%+v after %+v", again, st)
 	}
@@ -97,8 +97,8 @@
 	now := time.Unix(1_700_000_000, 0)
 	wi := &startWindow{workers: 400}
 	for at := range 1000 {
-		wi.observe(now.Add(time.Duration(at)*startsPause), 5*startsQueue+time.Duration(at%7)*startsQueue)
-		wi.observe(now.Add(time.Duration(at)*startsPause), time.Millisecond)
+		wi.observe(now.Add(time.Duration(at)*startWindowShrinkPause), 5*startQueueTime+time.Duration(at%7)*startQueueTime)
+		wi.observe(now.Add(time.Duration(at)*startWindowShrinkPause), time.Millisecond)
 	}
 	if got := int(wi.limit()); got < 200 {
 		t.Errorf("%d starts may be under way", got)
@@ -114,7 +114,7 @@
 		for at := range jobs {
 			bd.addJob(job.ID(fmt.Sprintf("%06d", at)), testEpoch, job.Step{Count: 1, Size: job.Size{CPUMillis: 10, MemoryMB: 1}})
 		}
-		bd.wantStarts(bd.plan(), startsFirst)
+		bd.wantStarts(bd.plan(), initialStartWindow)
 		var before, after goruntime.MemStats
 		goruntime.ReadMemStats(&before)
 		for range 50 {
--- a/cell/worker.go
+++ b/cell/worker.go
@@ -154,7 +154,7 @@
 	wk, ok := cr.workers[id]
 	if !ok {
 		wk = &worker{info: Worker{ID: id}, name: id.Name(), ledger: cr.ledger, placements: map[job.Task]*placement{}, foreign: map[job.Task]*foreignRun{}}
-		wk.tokenCounter = cr.counterOf(id)
+		wk.tokenCounter = cr.tokenCounterOf(id)
 		cr.workers[id] = wk
 		at, _ := slices.BinarySearchFunc(cr.sortedWorkers, id, func(one *worker, id WorkerID) int { return cmp.Compare(one.info.ID, id) })
 		cr.sortedWorkers = slices.Insert(slices.Clone(cr.sortedWorkers), at, wk)
@@ -178,7 +178,7 @@
 	wk.placed = append(wk.placed[:len(wk.placed):len(wk.placed)], pl)
 	wk.used = wk.used.Add(pl.room)
 	wk.ledger.addRunning(pl.step.job.spec.Organisation, pl.step.spec.Size, 1)
-	wk.count(pl.step.spec, 1)
+	wk.countTasks(pl.step.spec, 1)
 	if pl.suspect {
 		wk.suspects++
 	}
@@ -193,14 +193,14 @@
 	wk.placed = slices.DeleteFunc(slices.Clone(wk.placed), func(other *placement) bool { return other == pl })
 	wk.used = wk.used.Sub(pl.room)
 	wk.ledger.addRunning(pl.step.job.spec.Organisation, pl.step.spec.Size, -1)
-	wk.count(pl.step.spec, -1)
+	wk.countTasks(pl.step.spec, -1)
 	if pl.suspect {
 		wk.suspects--
 	}
 }
 
-// count notes that a task of a step came or went.
-func (wk *worker) count(st *job.Step, by int) {
+// countTasks notes that a task of a step came or went.
+func (wk *worker) countTasks(st *job.Step, by int) {
 	if st.LatencyObjective > 0 {
 		wk.serving += by
 	}
@@ -284,11 +284,11 @@
 		// Another owner may have taken note of its end before the worker went.
 		pl.step.tasks[pl.task.Index].lostAt = now
 		cr.release(now, pl, "its worker is gone")
-		cr.astray(now, pl)
+		cr.trackLateStart(now, pl)
 	}
 	cr.remove(wk)
-	cr.settleStrays(wk.name, seen)
-	cr.depart(now, wk)
+	cr.resolveLateStarts(wk.name, seen)
+	cr.recordDeparture(now, wk)
 }
 
 // resolve notes that nothing runs unseen on a worker.
@@ -351,11 +351,11 @@
 	wk.leaseExpired = append(wk.leaseExpired, wk.placed...)
 	for _, pl := range wk.placed {
 		cr.release(now, pl, "its lease has run out")
-		cr.astray(now, pl)
+		cr.trackLateStart(now, pl)
 		pl.step.tasks[pl.task.Index].lost.markUnresolved(wk.info.ID)
 		pl.step.job.hasOpenLosses = true
 		cr.markDirty(pl.step.job)
-		cr.hold(now, pl)
+		cr.holdSuspect(now, pl)
 	}
 	wk.raiseToken()
 	wk.fenced = false
