--- a/cell/answer.go
+++ b/cell/answer.go
@@ -4,10 +4,11 @@
 	"time"
 )
 
-// payloadRetryDelay is the pause before a task is started again whose payload could not be had.
+// payloadRetryDelay is the delay before a task whose payload was not available is started again.
 const payloadRetryDelay = 200 * time.Millisecond
 
-// handleSuperseded handles a refusal for a higher token: the owner's own newer one, or another owner's.
+// handleSuperseded handles an order refused because of a higher token, which is either a newer one of this owner or that of another owner. It
+// reports whether another owner has taken over.
 func (cr *Core) handleSuperseded(wk *worker, token Token) bool {
 	if token < cr.token(wk) {
 		return false
@@ -16,7 +17,7 @@
 	return true
 }
 
-// HandleOrder takes the result of a start, stop or pace.
+// HandleOrder handles the result of a start, stop or throttle order.
 func (cr *Core) HandleOrder(now time.Time, od OrderResult) {
 	switch order := od.Order.(type) {
 	case Start:
@@ -35,7 +36,7 @@
 	}
 	wk.observeClock(od.Clock, od.Received)
 	if od.Outcome == WrongIncarnation {
-		cr.handleWorkerEnd(now, wk, "another life answers", order.Token)
+		cr.handleWorkerEnd(now, wk, "another incarnation answers", order.Token)
 		return
 	}
 	pl := wk.placements[order.Task]
@@ -56,7 +57,7 @@
 		pl.ackedAt, pl.seenAt = now, now
 		wk.nextPoll = earliest(wk.nextPoll, now.Add(cr.opts.PollInterval))
 	case NoAnswer:
-		// It may still happen. A look under a higher token settles it.
+		// The start may still be carried out. A poll with a higher token settles that.
 		pl.phase, wk.startUnsettled = uncertain, true
 		if pl.token == cr.token(wk) {
 			wk.raiseToken()
@@ -64,11 +65,11 @@
 		wk.nextPoll = now
 	case Superseded:
 		if !cr.handleSuperseded(wk, order.Token) {
-			cr.release(now, pl, "an own higher token came first")
+			cr.release(now, pl, "superseded by a newer token of this owner")
 		}
 	case AttemptEnded:
-		// The number is used up; the next attempt has a higher one.
-		cr.release(now, pl, "attempt known as ended")
+		// The attempt number is used up. The next attempt gets a higher one.
+		cr.release(now, pl, "worker knows that the attempt has ended")
 	default:
 		cr.handleRefusedStart(now, wk, pl, od.Outcome)
 	}
@@ -107,7 +108,7 @@
 	wk.observeClock(od.Clock, od.Received)
 	switch od.Outcome {
 	case WrongIncarnation:
-		cr.handleWorkerEnd(now, wk, "another life answers", order.Token)
+		cr.handleWorkerEnd(now, wk, "another incarnation answers", order.Token)
 	case Superseded:
 		cr.handleSuperseded(wk, order.Token)
 	case Done:
--- a/cell/cell.go
+++ b/cell/cell.go
@@ -1,4 +1,5 @@
-// Package cell decides for one cell, the workers of a pool and the jobs placed on them, without I/O, clock or goroutines: events go in, orders come out.
+// Package cell makes the decisions for one cell, which is the workers of a pool and the jobs placed on them. It has no I/O, clock or goroutines:
+// it receives events and returns orders.
 package cell
 
 import (
@@ -9,23 +10,23 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// Names of workers and what orders them.
+// Names of workers, and the tokens that order their commands.
 type (
-	// WorkerID names one life of a worker; after a crash it has another. LifeOf makes it.
+	// WorkerID identifies one incarnation of a worker. After a crash the worker has another one. NewWorkerID returns it.
 	WorkerID string
-	// WorkerName names a worker as the list of machines does: its next life may have the same.
+	// WorkerName is the name of a worker in the list of machines. Its next incarnation may have the same name.
 	WorkerName string
-	// MachineID names a machine, which outlasts the lives of its workers.
+	// MachineID identifies a machine, which outlives the incarnations of its workers.
 	MachineID string
-	// Token fences orders: a worker does nothing for one lower than the highest it has seen.
-	// The epoch of the cell's owner stands in the high part, a counter of the owner's in the low part.
+	// Token fences orders: a worker rejects orders with a lower token than the highest that it has seen. The high part is the epoch of the cell's
+	// owner, the low part is a counter of the owner.
 	Token int64
 )
 
-// tokenBits is the width of the counter in a token; epoch and counter together stay below 2^53, so that JSON numbers hold them.
+// tokenBits is the width of the counter in a token. Epoch and counter together stay below 2^53, so that JSON numbers can represent them.
 const tokenBits = 14
 
-// Worker describes a worker as its registration says.
+// Worker describes a worker according to its registration.
 type Worker struct {
 	ID      WorkerID
 	Machine MachineID
@@ -35,34 +36,34 @@
 	Rack    string
 	Labels  []string
 	Room    job.Size
-	// Draining means that it takes no new tasks and will leave.
+	// Draining means that the worker takes no new tasks and will leave.
 	Draining bool
-	// WrittenAt is when its registration was last written, as far as that is known; zero if it is not.
+	// WrittenAt is when the registration was last written, or zero if that is unknown.
 	WrittenAt time.Time
-	// Unschedulable means that its registration names no worker to use any more, though nothing says that it leaves: it gets nothing new, and what
-	// runs there goes on.
+	// Unschedulable means that the registration does not describe a usable worker any more, although nothing says that the worker leaves. It gets no
+	// new tasks, and its running tasks continue.
 	Unschedulable bool
 }
 
-// StoredJob is a job as the store has it.
+// StoredJob is a job as read from the store.
 type StoredJob struct {
 	Spec      *job.Spec
 	Progress  *job.Progress
 	Cancelled bool
-	// Version is that of the progress row; 0 if there is none.
+	// Version is the version of the progress row, or 0 if there is none.
 	Version int64
 }
 
-// WorkerRef is a worker on which an owner may have started tasks.
+// WorkerRef refers to a worker on which an owner may have started tasks.
 type WorkerRef struct {
 	ID      WorkerID `json:"id"`
 	Address string   `json:"address"`
-	// Machine is its machine, as far as it is known.
+	// Machine is the machine of the worker, if known.
 	Machine MachineID `json:"machine,omitempty"`
-	// Remaining is for how long, from when it was written, leases of earlier owners may still be running there, or its next life may still carry out
-	// what they ordered; only a release has it.
+	// Remaining is for how long after it was written leases of earlier owners may still be running on the worker, or its next incarnation may still
+	// carry out their orders. It is only set on a release.
 	Remaining time.Duration `json:"left,omitempty"`
-	// Ended means that this life is known to be over.
+	// Ended means that this incarnation is known to have ended.
 	Ended bool `json:"ended,omitempty"`
 }
 
@@ -73,86 +74,86 @@
 	epoch job.Epoch
 	// confirmedAt is when the ownership was last known to hold.
 	confirmedAt time.Time
-	// storeBackAt is when the store was last heard of again after a while without.
+	// storeBackAt is when the store last became reachable again after an outage.
 	storeBackAt time.Time
-	// Lost is set once another owner has been met; nothing more is ordered.
+	// superseded is set once another owner has been seen. No more orders are given then.
 	superseded bool
 	queues     map[job.QueueID]job.Queue
-	// pausedQueues are the queues of which nothing is started.
+	// pausedQueues are the queues whose jobs are not started.
 	pausedQueues map[job.QueueID]bool
 	jobs         map[job.ID]*jobState
 	openJobs     []*jobState
 	workers      map[WorkerID]*worker
-	// tokenCounters are those of the tokens by worker, for all its lives.
+	// tokenCounters are the token counters by worker, for all its incarnations.
 	tokenCounters map[WorkerName]*Token
-	// sortedWorkers holds the workers by name, so that the same events give the same orders. It is replaced, never changed.
+	// sortedWorkers holds the workers sorted by ID, so that the same events give the same orders. It is replaced, never modified.
 	sortedWorkers []*worker
-	// unresolved holds the workers on which an earlier owner's tasks may run unseen, with the time at which the last lease there has run out.
+	// unresolved holds the workers on which tasks of an earlier owner may run unseen, with the time when the last lease there expires.
 	unresolved    map[WorkerID]time.Time
 	pendingSaves  []savedState
 	saveOrderedAt time.Time
 	dirtyJobs     map[job.ID]*jobState
 	orders        []Order
 	nextWake      time.Time
-	// plannedAt is when the newest plan was made.
+	// plannedAt is the time of the newest plan.
 	plannedAt time.Time
-	// clockOffset is by how much the time of day, in which due times are, is clockOffset of the owner's clock.
+	// clockOffset is the difference between the time of day, in which due times are given, and the owner's clock.
 	clockOffset time.Duration
-	// stallSeenAt is when the owner last found that it had stood still, registrationsAt as of when it knows the registrations.
+	// stallSeenAt is when the owner last detected that it had stalled. registrationsAt is the time as of which the registrations are known.
 	stallSeenAt, registrationsAt time.Time
 	cordons                      map[WorkerName]bool
-	// reservedUntil says until when workers get nothing new since their machines are to move.
+	// reservedUntil says until when workers get no new tasks because their machines are about to move.
 	reservedUntil map[WorkerName]time.Time
 	urgentSave    bool
 	startWindow   startWindow
-	// renewalsVisible means that registrations are told when they are written anew, though they say the same.
+	// renewalsVisible means that the platform reports the renewal of a registration even if its content is unchanged.
 	renewalsVisible bool
 	link            linkMonitor
-	// rowOutdated means that the cell's row names workers that are gone; prunedAt is when such were last taken from it.
+	// rowOutdated means that the cell's row names workers that are gone. prunedAt is when such workers were last removed from it.
 	rowOutdated bool
 	prunedAt    time.Time
-	// lateStarts are the starts without an answer that the next lives of their workers may carry out.
+	// lateStarts are unanswered starts that the next incarnations of their workers may carry out.
 	lateStarts []*lateStart
-	// departed are those of them whose lives have ended. What was ordered there may still be carried out by the next life.
+	// departed are unresolved workers whose incarnation has ended. Their next incarnation may still carry out orders sent to them.
 	departed map[WorkerID]WorkerRef
 	// movedWorkers are workers of earlier owners on which nothing was left when they ended.
 	movedWorkers map[WorkerID]bool
-	// pendingLosses are workers whose end is still to be kept.
+	// pendingLosses are lost workers whose loss is not saved yet.
 	pendingLosses []pendingLoss
-	// intents are the starts that wait to be kept.
+	// intents are the starts that wait to be saved.
 	intents []*intent
-	// unseenLossEpoch is the owner before which tasks may have been lost with workers that no owner saw again.
+	// unseenLossEpoch is the epoch before which jobs may have lost tasks with workers that no owner saw again.
 	unseenLossEpoch job.Epoch
-	// crashLoops are the queues whose jobs have crashed workers, with until when they are taken for such. shelterRoom is the most that one of
-	// the workers has for tasks that last which are kept from them meanwhile.
+	// crashLoops are the queues whose jobs have recently crashed workers, with the time until which they count as crash looping. dedicatedRoom is
+	// the most room that one of the workers dedicated to long-running tasks has for them.
 	crashLoops    map[job.QueueID]time.Time
 	dedicatedRoom job.Size
-	// connBreaks are the newest breaks of workers' connections.
+	// connBreaks are the most recent breaks of connections to workers.
 	connBreaks []connBreak
-	// machineLimit is how many machines the pool is to have while others lack some, until machineLimitUntil.
+	// machineLimit is the number of machines that the pool may keep while other pools lack some. It applies until machineLimitUntil.
 	machineLimit      int
 	machineLimitFirm  bool
 	machineLimitUntil time.Time
 	runTimes          runTimes
-	// ledger holds what the cell may have running of organisations.
+	// ledger holds how much the cell may run for each organisation.
 	ledger *Ledger
-	// weights are the organisations' shares.
+	// weights are the shares of the organisations.
 	weights map[job.OrganisationID]float64
-	// shareBuckets say how many more of their jobs are within them.
+	// shareBuckets hold how many more jobs of each organisation are within its share.
 	shareBuckets map[job.OrganisationID]*tokenBucket
-	// demand is what the open jobs wanted at demandAt.
+	// demand is the number of machines that the open jobs needed at demandAt.
 	demand   float64
 	demandAt time.Time
 }
 
-// savedState remembers which state of a job a save holds.
+// savedState is the generation and state of a job that a save contains.
 type savedState struct {
 	js    *jobState
 	gen   int
 	state job.State
 }
 
-// New returns a core for an owner of the given epoch.
+// New returns a core for the owner with the given epoch.
 func New(pool job.PoolID, epoch job.Epoch, options Options) *Core {
 	return &Core{
 		opts: options.WithDefaults(), pool: pool, epoch: epoch,
@@ -161,8 +162,8 @@
 	}
 }
 
-// TakeOver takes what an earlier owner left: the workers that it used. The ownership is confirmed as of when the store was asked for it.
-// After a release nothing but the last leases can be outstanding; an owner that was overtaken may have renewed them for a while.
+// TakeOver takes over the workers that an earlier owner used. asked is when the store was asked for the ownership, which counts as confirmed at
+// that time. After a release only the last leases can still be running. An owner that was superseded may have renewed them for some time.
 func (cr *Core) TakeOver(now, asked time.Time, used []WorkerRef, released bool) {
 	cr.confirmedAt, cr.storeBackAt = asked, now
 	lease := cr.byWorkerClock(cr.opts.LeaseDuration) + deliveryMargin
@@ -170,7 +171,7 @@
 		wk := cr.ensureWorker(rf.ID)
 		if wk.info.Address == "" {
 			wk.info = Worker{ID: rf.ID, Machine: rf.Machine, Pool: cr.pool, Address: rf.Address}
-			// It is forgotten once it is resolved, unless a registration names it.
+			// The worker is removed once it is resolved, unless a registration names it.
 			wk.unregisteredAt = now
 		}
 		wk.recorded = true
@@ -190,12 +191,12 @@
 	}
 }
 
-// byWorkerClock is how long the owner must wait for a worker's clock to pass a time.
+// byWorkerClock returns how long the owner must wait until span has certainly passed on a worker's clock.
 func (cr *Core) byWorkerClock(span time.Duration) time.Duration {
 	return time.Duration(float64(span) / (1 - cr.opts.MaxClockDrift))
 }
 
-// OwnershipConfirmed tells that the ownership held at a time.
+// OwnershipConfirmed records that the ownership held at a time.
 func (cr *Core) OwnershipConfirmed(at time.Time) {
 	if at.Sub(cr.confirmedAt) > storeAwayAfter {
 		cr.storeBackAt = at
@@ -206,29 +207,30 @@
 }
 
 const (
-	// storeAwayAfter is from which gap between two confirmations on the store counts as having been away: a feed call waits up to a second.
+	// storeAwayAfter is the gap between two confirmations from which on the store counts as having been unreachable. A feed call waits up to a
+	// second.
 	storeAwayAfter = 2500 * time.Millisecond
-	// reregisterGrace is how long after that registrations which lapsed meanwhile may still come back; the platform's pages say two seconds.
+	// reregisterGrace is how long after an outage expired registrations may still come back. The platform's documentation says two seconds.
 	reregisterGrace = 2500 * time.Millisecond
 )
 
-// leaving reports whether a worker is about to end: it says so, or its registration is gone though the store was there.
+// leaving reports whether a worker is about to end: it says so, or its registration is gone although the store was reachable.
 func (cr *Core) leaving(now time.Time, wk *worker) bool {
 	return wk.info.Draining || !wk.registered && !wk.unregisteredAt.IsZero() && now.Sub(cr.storeBackAt) > reregisterGrace
 }
 
-// mayRenew reports whether the ownership was confirmed recently enough to give leases.
+// mayRenew reports whether the ownership was confirmed recently enough to grant leases.
 func (cr *Core) mayRenew(now time.Time) bool {
 	return !cr.superseded && now.Sub(cr.confirmedAt) < cr.opts.RenewalWindow
 }
 
-// Superseded reports whether another owner has been met.
+// Superseded reports whether another owner has been seen.
 func (cr *Core) Superseded() bool { return cr.superseded }
 
-// Epoch is the epoch under which this core works.
+// Epoch returns the epoch of this owner.
 func (cr *Core) Epoch() job.Epoch { return cr.epoch }
 
-// markSuperseded ends this owner's work.
+// markSuperseded ends the work of this owner.
 func (cr *Core) markSuperseded(wk WorkerID, why string) {
 	if !cr.superseded {
 		cr.superseded = true
@@ -236,17 +238,17 @@
 	}
 }
 
-// SetTimeOfDay tells how the time of day stands to the owner's clock.
+// SetTimeOfDay sets the time of day relative to the owner's clock.
 func (cr *Core) SetTimeOfDay(now, day time.Time) { cr.clockOffset = day.Sub(now) }
 
-// RegistrationsRead tells as of when the registrations are known.
+// RegistrationsRead records the time as of which the registrations are known.
 func (cr *Core) RegistrationsRead(at time.Time) { cr.registrationsAt = latest(cr.registrationsAt, at) }
 
-// stalledAfter is from which pause between two plans on an owner has stood still: it plans four times a second at least. Rooms and states
-// that it knows may be older then than the users allow for.
+// stalledAfter is the gap between two plans from which on the owner counts as stalled. It normally plans at least four times a second. After a
+// stall the known rooms and states may be older than the users allow.
 const stalledAfter = 2 * time.Second
 
-// detectStall notes whether the owner has stood still.
+// detectStall records whether the owner has stalled.
 func (cr *Core) detectStall(now time.Time) {
 	if gap := now.Sub(cr.plannedAt); !cr.plannedAt.IsZero() && gap > stalledAfter {
 		cr.stallSeenAt = now
@@ -254,46 +256,46 @@
 	}
 }
 
-// maxRegistrationLag is by how much the registrations may be older than the newest confirmation of the ownership: both come through the store, each by a
-// call that waits up to a second.
+// maxRegistrationLag is how much older than the newest confirmation of the ownership the registrations may be. Both come from the store, each by
+// a call that waits up to a second.
 const maxRegistrationLag = 2 * time.Second
 
-// upToDate reports whether what the owner decides by is newer than the last time it stood still: its ownership and the registrations. After an outage of
-// the store it may be confirmed before it hears of rooms that shrank meanwhile.
+// upToDate reports whether the confirmation of the ownership and the registrations are newer than the last stall. After an outage of the store
+// the ownership may be confirmed before the core learns of rooms that shrank meanwhile.
 func (cr *Core) upToDate() bool {
 	return !cr.confirmedAt.Before(cr.stallSeenAt) && !cr.registrationsAt.Before(cr.stallSeenAt) && cr.confirmedAt.Sub(cr.registrationsAt) <= maxRegistrationLag
 }
 
-// Configure puts queues in force; those that are gone keep their last policy for the jobs they have accepted.
+// Configure sets the queues. Queues that are gone keep their last policy for the jobs that they have accepted.
 func (cr *Core) Configure(queues []job.Queue) {
 	for _, qu := range queues {
 		cr.queues[qu.ID] = qu
 	}
 }
 
-// SetPausedQueues tells of which queues nothing is to be started; what runs goes on. The map is not changed any more.
+// SetPausedQueues sets the queues whose jobs are not started. Running tasks continue. The caller must not modify the map afterwards.
 func (cr *Core) SetPausedQueues(queues map[job.QueueID]bool) { cr.pausedQueues = queues }
 
-// UsedWorkers lists the workers on which this owner, or an unresolved earlier one, may have started tasks.
+// UsedWorkers returns the workers on which this owner, or an unresolved earlier one, may have started tasks.
 func (cr *Core) UsedWorkers() []WorkerRef {
 	var refs []WorkerRef
 	for _, wk := range cr.sortedWorkers {
 		refs = append(refs, WorkerRef{ID: wk.info.ID, Address: wk.info.Address, Machine: wk.info.Machine})
 	}
-	cr.pendingLosses = slices.DeleteFunc(cr.pendingLosses, func(gv pendingLoss) bool { return !gv.unsaved() })
-	for _, gv := range cr.pendingLosses {
-		refs = append(refs, gv.worker)
+	cr.pendingLosses = slices.DeleteFunc(cr.pendingLosses, func(pe pendingLoss) bool { return !pe.unsaved() })
+	for _, pe := range cr.pendingLosses {
+		refs = append(refs, pe.worker)
 	}
 	for _, id := range slices.Sorted(maps.Keys(cr.departed)) {
 		refs = append(refs, cr.departed[id])
 	}
-	for _, sy := range cr.lateStarts {
-		refs = append(refs, sy.former)
+	for _, ls := range cr.lateStarts {
+		refs = append(refs, ls.former)
 	}
 	return uniqueRefs(refs)
 }
 
-// uniqueRefs keeps the first of several that name the same life.
+// uniqueRefs keeps the first reference to each incarnation.
 func uniqueRefs(refs []WorkerRef) []WorkerRef {
 	seen := make(map[WorkerID]bool, len(refs))
 	return slices.DeleteFunc(refs, func(rf WorkerRef) bool {
@@ -303,7 +305,7 @@
 	})
 }
 
-// Release lists the workers as Used does, with how long the leases of earlier owners may still run on those that are unresolved.
+// Release returns the workers as UsedWorkers does, with how long leases of earlier owners may still run on the unresolved ones.
 func (cr *Core) Release(now time.Time) []WorkerRef {
 	refs := cr.UsedWorkers()
 	for at := range refs {
@@ -316,10 +318,10 @@
 	return refs
 }
 
-// TakeoverComplete reports whether no task of an earlier owner can run unseen.
+// TakeoverComplete reports whether no task of an earlier owner can run unseen any more.
 func (cr *Core) TakeoverComplete() bool { return len(cr.unresolved) == 0 }
 
-// WorkersRecorded tells that the store names these workers as used, so that a later owner will look at them.
+// WorkersRecorded records that the cell's row names these workers, so that the next owner will poll them.
 func (cr *Core) WorkersRecorded(refs []WorkerRef) {
 	for _, rf := range refs {
 		if wk, ok := cr.workers[rf.ID]; ok {
@@ -328,7 +330,7 @@
 	}
 }
 
-// State returns what is kept of a job.
+// State returns the state of a job as callers see it.
 func (cr *Core) State(id job.ID) (job.State, bool) {
 	js, ok := cr.jobs[id]
 	if !ok {
@@ -337,7 +339,7 @@
 	return js.visibleState(), true
 }
 
-// Organisation returns whose job it is; empty if it is not known, or nobody's.
+// Organisation returns the organisation of a job. It is empty if the job is unknown or has none.
 func (cr *Core) Organisation(id job.ID) job.OrganisationID {
 	js, ok := cr.jobs[id]
 	if !ok {
@@ -346,7 +348,7 @@
 	return js.spec.Organisation
 }
 
-// Pending counts the jobs of a queue none of whose tasks has begun.
+// Pending returns the number of jobs of a queue of which no task has started.
 func (cr *Core) Pending(queue job.QueueID) int {
 	count := 0
 	for _, js := range cr.openJobs {
@@ -357,7 +359,7 @@
 	return count
 }
 
-// Archivable lists ended jobs whose end is kept and which the table of open jobs still has.
+// Archivable returns ended jobs whose end is saved and that are still in the table of open jobs.
 func (cr *Core) Archivable(most int) []job.ID {
 	var ids []job.ID
 	for id, js := range cr.jobs {
@@ -368,7 +370,7 @@
 	return ids
 }
 
-// Expired lists jobs whose retention is over, so that their rows can be removed.
+// Expired returns jobs whose retention is over, so that their rows can be removed.
 func (cr *Core) Expired(now time.Time, most int) []job.ID {
 	var ids []job.ID
 	for id, js := range cr.jobs {
@@ -379,14 +381,14 @@
 	return ids
 }
 
-// Forget tells that the rows of jobs have been removed.
+// Forget removes jobs whose rows have been removed.
 func (cr *Core) Forget(ids []job.ID) {
 	for _, id := range ids {
 		delete(cr.jobs, id)
 	}
 }
 
-// Archived tells that jobs were taken out of the table of open jobs.
+// Archived records that jobs were removed from the table of open jobs.
 func (cr *Core) Archived(ids []job.ID) {
 	for _, id := range ids {
 		if js, ok := cr.jobs[id]; ok {
@@ -395,10 +397,10 @@
 	}
 }
 
-// Cordoned reports whether this core gives a worker no new tasks.
+// Cordoned reports whether a worker is cordoned in this core.
 func (cr *Core) Cordoned(name WorkerName) bool { return cr.cordons[name] }
 
-// OnlyShortTasks reports whether no task that lasts is, or may be, on a worker in any of its lives.
+// OnlyShortTasks reports whether no long-running task is, or may be, on any incarnation of a worker.
 func (cr *Core) OnlyShortTasks(name WorkerName) bool {
 	for _, wk := range cr.incarnations(name) {
 		if len(wk.foreign) > 0 || wk.longRunning > 0 {
--- a/cell/crash.go
+++ b/cell/crash.go
@@ -7,89 +7,93 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// Containment of tasks that crash the workers that start them. A worker that ends lists no ends, so what ran there is all that tells of the
-// cause. Its tasks are charged with the loss; those that may have caused it are started again where little is lost by a further crash and
-// where that crash tells which task it was.
+// Containment of tasks that crash the workers that start them. A worker that crashes reports no ended attempts, so the only evidence is which
+// attempts ran on it. The core charges the loss of the worker to their tasks. Tasks that may have caused the crash are restarted where another
+// crash costs little and shows which task is the cause.
 const (
-	// suspectWindow is how long before a worker fell silent a task must have been started to be under suspicion after its first loss. A longer
-	// one puts more innocent tasks on trial, and they end later.
+	// suspectWindow is the maximum time between the start of a task and the first failed poll of its worker for the task to become a suspect after
+	// its first loss. A longer window puts more harmless tasks on probation, which delays them.
 	suspectWindow = 150 * time.Millisecond
-	// minSettleTime is how long a task that lasts must have run for the end of its worker not to be laid to it: such tasks see many workers
-	// end in their time. If one ended sooner than lastingProved after its start, it is lastingTimes as long, up to lastingProved, from then on:
-	// what ends its workers after a while does so after much the same time again.
+	// minSettleTime is how long a long-running task must have run for the loss of its worker not to be charged to it, since such tasks outlive many
+	// workers. If a worker was lost under the task sooner than maxSettleTime after its start, the task must from then on run settleFactor times as
+	// long, up to maxSettleTime: a task that crashes its workers after some time does so again after about the same time.
 	minSettleTime = 5 * time.Second
 	settleFactor  = 8
 	maxSettleTime = time.Minute
-	// massBreakWindow is how close together the connections of workers must break for something else than a task to be the likely cause, manyOthers
-	// how many others it takes: one falls so by chance where many tasks crash workers.
+	// massBreakWindow is the maximum time between broken connections of several workers for which a common cause other than a task is assumed.
+	// massBreakPeers is how many other workers must be affected. A single one coincides by chance where many tasks crash workers.
 	massBreakWindow = 20 * time.Millisecond
 	massBreakPeers  = 2
-	// connBreaksBeforeSave is how many calls in a row must break.
+	// connBreaksBeforeSave is how many consecutive calls to a worker must fail before a save records what ran on it.
 	connBreaksBeforeSave = 2
-	// maxConnBreaks is how many broken connections are remembered for that.
+	// maxConnBreaks is how many broken connections are remembered to detect mass breaks.
 	maxConnBreaks = 256
-	// maxLosses is after how many losses of any kind a job is given up, so that its starts end where no circumstance ever proves its task to be
-	// the cause.
+	// maxLosses is the number of losses of any kind after which a job fails. It bounds the starts of a task that can never be proved to be the
+	// cause.
 	maxLosses = 4
 )
 
-// losses are the workers that ended while a task was on them.
+// losses records the workers that were lost while a task was on them.
 type losses struct {
-	// workers names those that broke off while it ran. weak counts the others: they had not answered its start, only fell silent, ended
-	// together with others, or were about to go, so that they tell little of a cause.
+	// workers lists the losses that are strong evidence: the worker's connections broke while the task ran. weak counts the other losses, which say
+	// little about the cause: the worker had not acknowledged the start, timed out without a broken connection, was lost together with others, or
+	// was leaving.
 	workers []WorkerID
 	weak    int
-	// suspect means that the task may have caused one of them, late that one came a while after its start, soleJob that one came when nothing but
-	// tasks of its job had just been started there.
+	// suspect means that the task may have caused one of the losses. late means that one came some time after the start of the task. soleJob means
+	// that at one of them only tasks of this job had recently been started on the worker.
 	suspect, late, soleJob bool
-	// longestRun is the longest time that a task which lasts had run when a worker ended under it and that was not laid to it.
+	// longestRun is the longest time that a long-running task had run at a loss that was not charged to it.
 	longestRun time.Duration
-	// unresolved are the workers of which it is not known what became of an attempt there: it lapsed, or an earlier owner left it.
+	// unresolved lists the workers on which the outcome of an attempt is unknown, because its lease expired or an earlier owner left it there.
 	unresolved []WorkerID
 }
 
-// weighted is how many there are; of those that tell little, or may still turn out to be none, two or three count as one or two.
+// weighted returns the number of losses, in which two or three that are weak or unresolved count as one or two.
 func (lo losses) weighted() int { return len(lo.workers) + (lo.weak+len(lo.unresolved))*2/3 }
 
-// suspected reports whether the task may have caused one.
+// suspected reports whether the task may have caused a loss.
 func (lo losses) suspected() bool { return lo.suspect || lo.weighted() >= isolationLosses }
 
-// needsIsolation reports whether the task is started only where nothing else is that may end the worker: what is likely to crash one more is to prove it.
+// needsIsolation reports whether the task may only be started where nothing else can crash the worker, so that another crash proves the task to
+// be the cause.
 func (lo losses) needsIsolation() bool { return lo.soleJob || lo.weighted() >= isolationLosses }
 
-// total is how many there are, whatever they tell.
+// total returns the number of losses, strong and weak.
 func (lo losses) total() int { return len(lo.workers) + lo.weak }
 
-// evidence is what the end of a worker says of an attempt on it.
+// evidence is what the loss of a worker says about an attempt that was on it.
 type evidence struct {
-	// strong means that the worker ended while the attempt ran there, and no others with it; onlyCandidate that nothing else there can be the cause.
+	// strong means that the worker was lost while the attempt ran on it, and not together with other workers. onlyCandidate means that nothing else
+	// on the worker can be the cause.
 	strong, onlyCandidate bool
-	// recentStart means that the attempt had just been started, onProbation that it was on trial then, soleJob that nothing but tasks of its job had been.
+	// recentStart means that the attempt had been started within suspectWindow. onProbation means that it was also on probation. soleJob means that
+	// only tasks of its job had been started recently.
 	recentStart, onProbation, soleJob bool
-	// aliveAt is when the worker is last known to have lived; an attempt that it had then is known to have run until then.
+	// aliveAt is when the worker is last known to have been alive. An attempt that was on it then is known to have run until then.
 	aliveAt time.Time
 }
 
-// connBreak is when the connections of a worker broke.
+// connBreak records when the connections of a worker broke.
 type connBreak struct {
 	id WorkerID
 	at time.Time
 }
 
-// Loss tells of a worker that ended with tasks on it.
+// Loss describes the loss of a worker with attempts on it.
 type Loss struct {
-	// Tasks is how many attempts were on the worker.
+	// Tasks is the number of attempts on the worker.
 	Tasks int
-	// SinceStart is the time from the newest start there to the first call without an answer.
+	// SinceStart is the time from the newest start on the worker to the first failed poll.
 	SinceStart time.Duration
-	// MaxPriorLosses is the highest number of workers that one of the tasks had lost before.
+	// MaxPriorLosses is the highest number of strong losses that one of the tasks had before.
 	MaxPriorLosses int
-	// ExemptReason says why it does not count against the tasks; empty if it does.
+	// ExemptReason says why the loss is not charged to the tasks. It is empty if the loss is charged.
 	ExemptReason string
 }
 
-// chargeLoss charges the tasks on a worker whose life has ended, or that was not heard of again, with its loss, unless it had said that it
-// would leave.
+// chargeLoss charges the loss of a worker to the tasks on it, unless the worker had announced that it would leave. ended means that the worker's
+// incarnation is known to have ended; otherwise the worker only stopped answering for good.
 func (cr *Core) chargeLoss(now time.Time, wk *worker, why string, ended bool) {
 	silent := now
 	if wk.failedPolls > 0 {
@@ -98,9 +102,9 @@
 	victims := wk.affectedAttempts()
 	loss := Loss{Tasks: len(victims)}
 	if wk.info.Draining {
-		loss.ExemptReason = "it was leaving"
+		loss.ExemptReason = "worker was leaving"
 	}
-	// That its registration had gone or its machine is wanted may be why it ended, but neither ends a worker by itself.
+	// A removed registration or a cordoned machine may explain the loss, but neither ends a worker by itself.
 	doubtful := !ended || wk.registrationRead && !wk.registered && wk.unregisteredAt.Before(silent) || cr.cordoned(now, wk)
 	var newest time.Time
 	for _, pl := range victims {
@@ -117,7 +121,7 @@
 		cr.releaseSuspects(now, wk)
 		return
 	}
-	// All is judged before any is charged, since a charge changes what is settled.
+	// Assess all attempts before charging any, since a charge changes which attempts count as settled.
 	judged := make([]evidence, len(victims))
 	for at, pl := range victims {
 		judged[at] = cr.assessLoss(wk, victims, pl, silent, newest, doubtful)
@@ -129,16 +133,17 @@
 	cr.releaseSuspects(now, wk)
 }
 
-// assessLoss says what the end of a worker tells of an attempt there; newest is when the last one was started.
+// assessLoss returns the evidence that the loss of a worker gives about an attempt on it. newest is the time of the last start on the worker.
 func (cr *Core) assessLoss(wk *worker, victims []*placement, pl *placement, silent, newest time.Time, doubtful bool) evidence {
 	fresh := silent.Sub(pl.orderedAt) <= suspectWindow
-	// A worker that never answered the start may have ended before it, one that only fell silent after the attempt was over.
-	// What ran for a while beside a task that had just been started is the less likely cause.
+	// A worker that never acknowledged the start may have ended before it. A worker that timed out may have ended after the attempt. An attempt that
+	// had run for some time beside one just started is the less likely cause.
 	strong := !pl.ackedAt.IsZero() && wk.connBroken && !doubtful && !cr.inMassBreak(wk, silent) && (fresh || silent.Sub(newest) > suspectWindow)
 	return evidence{strong: strong, onlyCandidate: cr.onlyJobOnWorker(wk, victims, pl), recentStart: fresh, onProbation: fresh && pl.onProbation(), soleJob: onlyJobStarted(victims, pl, silent), aliveAt: wk.aliveAt}
 }
 
-// affectedAttempts are the attempts that a worker's end may have ended: those on it, and those that were given up while it was silent.
+// affectedAttempts returns the attempts that the loss of the worker may have ended: those on it, and those whose lease expired while the worker
+// was unresponsive.
 func (wk *worker) affectedAttempts() []*placement {
 	list := slices.Clone(wk.placed)
 	for _, pl := range wk.leaseExpired {
@@ -149,14 +154,15 @@
 	return list
 }
 
-// onlyJobStarted reports whether all that had just been started on a worker was of one job.
+// onlyJobStarted reports whether all attempts recently started on a worker belong to one job.
 func onlyJobStarted(victims []*placement, pl *placement, silent time.Time) bool {
 	return !slices.ContainsFunc(victims, func(other *placement) bool {
 		return other.step.job != pl.step.job && silent.Sub(other.orderedAt) <= suspectWindow
 	})
 }
 
-// onlyJobOnWorker reports whether nothing but the tasks of a job can have ended its worker: which of them it was makes no difference to the job.
+// onlyJobOnWorker reports whether only tasks of one job can have caused the loss of the worker. Which task of the job it was makes no difference
+// to the job.
 func (cr *Core) onlyJobOnWorker(wk *worker, victims []*placement, pl *placement) bool {
 	if len(wk.foreign) > 0 {
 		return false
@@ -169,7 +175,7 @@
 	return true
 }
 
-// recordConnBreak remembers that the connections of a worker broke.
+// recordConnBreak records that the connections of a worker broke.
 func (cr *Core) recordConnBreak(id WorkerID, at time.Time) {
 	cr.connBreaks = append(cr.connBreaks, connBreak{id, at})
 	if len(cr.connBreaks) > maxConnBreaks {
@@ -177,33 +183,33 @@
 	}
 }
 
-// inMassBreak reports whether several other workers broke off in the same instant as a worker.
+// inMassBreak reports whether the connections of several other workers broke at the same time.
 func (cr *Core) inMassBreak(wk *worker, silent time.Time) bool {
 	others := 0
-	for _, bo := range cr.connBreaks {
-		if bo.id != wk.info.ID && bo.at.Sub(silent).Abs() < massBreakWindow {
+	for _, cb := range cr.connBreaks {
+		if cb.id != wk.info.ID && cb.at.Sub(silent).Abs() < massBreakWindow {
 			others++
 		}
 	}
 	return others >= massBreakPeers
 }
 
-// settled reports whether an attempt is one of a task that lasts, and had run for so long at a time that it is not what ends a worker.
+// settled reports whether an attempt belongs to a long-running task and had run for so long that it is not taken for the cause of a loss.
 func (pl *placement) settled(at time.Time) bool {
 	return pl.longRunningFor(at, pl.step.tasks[pl.task.Index].lost.settleTime())
 }
 
-// longRunningFor reports whether an attempt is one of a task that lasts, and had run for longer than a span at a time.
+// longRunningFor reports whether an attempt belongs to a long-running task and had run for longer than span.
 func (pl *placement) longRunningFor(at time.Time, span time.Duration) bool {
 	return pl.step.spec.LongRunning && !pl.ackedAt.IsZero() && at.Sub(pl.ackedAt) > span
 }
 
-// settleTime is how long a task that lasts must run to be settled.
+// settleTime returns how long a long-running task must run to be settled.
 func (lo losses) settleTime() time.Duration {
 	return min(max(minSettleTime, settleFactor*lo.longestRun), maxSettleTime)
 }
 
-// charge notes that a worker ended under an attempt, and gives its job up if that proves its task to be the cause.
+// charge records the loss of a worker against an attempt, and fails the job if that proves its task to be the cause.
 func (cr *Core) charge(now time.Time, pl *placement, ev evidence) {
 	ts, js := &pl.step.tasks[pl.task.Index], pl.step.job
 	ts.lost.resolve(pl.worker.info.ID)
@@ -224,7 +230,7 @@
 	cr.markDirty(js)
 	cr.urgentSave = true
 	if pl.step.spec.Gang {
-		// Which of its members ended the worker is not known, and they start together only.
+		// The members of a gang only start together, and it is unknown which of them caused the loss.
 		for at := range pl.step.tasks {
 			open := pl.step.tasks[at].lost.unresolved
 			pl.step.tasks[at].lost = ts.lost
@@ -236,7 +242,7 @@
 	}
 }
 
-// add notes one more.
+// add records a loss.
 func (lo *losses) add(id WorkerID, ev evidence) {
 	if ev.strong {
 		lo.workers = append(lo.workers, id)
@@ -248,8 +254,8 @@
 	lo.suspect = lo.suspect || ev.strong && ev.recentStart || lo.weighted() >= isolationLosses
 }
 
-// conclusive reports whether the newest loss shows that the task is the cause: after an earlier loss a worker ended right after it was started
-// there by itself, or it is the third that ended while nothing else was there, or as many ended as no task may cost.
+// conclusive reports whether the newest loss is enough to fail the job. That is the case if, after an earlier loss, the worker was lost right
+// after the task had been started there by itself, if it is the third loss with nothing else on the worker, or if the task has reached maxLosses.
 func (lo *losses) conclusive(ev evidence) bool {
 	if lo.total() >= maxLosses {
 		return true
@@ -257,7 +263,7 @@
 	return ev.onlyCandidate && ev.strong && (ev.onProbation && len(lo.workers) >= isolationLosses || len(lo.workers) > isolationLosses)
 }
 
-// failCrashingJob ends a job whose task crashes its workers.
+// failCrashingJob fails a job whose task crashes its workers.
 func (cr *Core) failCrashingJob(now time.Time, pl *placement, lost []WorkerID) {
 	js := pl.step.job
 	js.state, js.endedAt = job.Failed, now
@@ -265,7 +271,7 @@
 	cr.opts.Log(Decision{What: "job failed", Task: pl.task, Attempt: pl.attempt, Worker: pl.worker.info.ID, Why: "workers end under its task", LostWorkers: slices.Clone(lost)})
 }
 
-// stored is what is to be known of losses to a next owner.
+// stored returns the losses in the form in which they are saved for the next owner.
 func (lo losses) stored() job.Losses {
 	kept := job.Losses{WeakCount: lo.weak, Suspect: lo.suspect, Late: lo.late, LongestRun: lo.longestRun}
 	for _, id := range lo.workers {
@@ -274,7 +280,7 @@
 	return kept
 }
 
-// restoreLosses is what a former owner kept of losses.
+// restoreLosses returns the losses that an earlier owner saved.
 func restoreLosses(kept job.Losses) losses {
 	lo := losses{weak: kept.WeakCount, suspect: kept.Suspect, late: kept.Late, longestRun: kept.LongestRun}
 	if kept.LegacyUnresolved != "" {
--- a/cell/crash_bound_test.go
+++ b/cell/crash_bound_test.go
@@ -8,34 +8,34 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// boundStarts is how often a task that ends each worker may be started in all: after the third loss twice more.
+// boundStarts is the maximum number of starts of a task that crashes each worker: two more after the third loss.
 const boundStarts = 5
 
-// boundCase is a circumstance under which losses are hard to lay to a task.
+// boundCase is a condition under which it is hard to attribute losses to a task.
 type boundCase struct {
 	name string
-	// every is how often the cell changes hands; zero for never.
-	every time.Duration
-	dark  bool
-	// untold means that nobody tells which workers have ended.
-	untold bool
-	// lapse of each lapseOf the registrations are gone.
+	// every is the interval at which the cell changes owners. Zero means never.
+	every   time.Duration
+	noReset bool
+	// unreported means that nobody reports which workers have ended.
+	unreported bool
+	// For the first lapse of each lapseOf the registrations are gone.
 	lapse, lapseOf time.Duration
-	// stranger means that each worker has a run that the owner does not know.
-	stranger bool
-	// after is how long the guilty task runs before it ends its worker.
+	// foreignRuns means that each worker has a run that the owner does not know.
+	foreignRuns bool
+	// after lists how long the crashing task runs before it crashes its worker.
 	after []time.Duration
 	step  job.Step
 	span  time.Duration
 }
 
-// bound plays a case for each of its times: three guilty jobs beside twelve others.
+// play runs the case for each of its times, with three crashing and twelve other jobs.
 func (bc boundCase) play(t *testing.T) {
 	t.Helper()
 	for _, after := range bc.after {
 		t.Run(fmt.Sprintf("%s/%v", bc.name, after), func(t *testing.T) {
-			cs := newCrashes(t, 6, guiltyJobs(after, "bad0", "bad1", "bad2"))
-			cs.dark, cs.untold, cs.stranger = bc.dark, bc.untold, bc.stranger
+			cs := newCrashCell(t, 6, crashingJobs(after, "bad0", "bad1", "bad2"))
+			cs.noReset, cs.unreported, cs.foreignRuns = bc.noReset, bc.unreported, bc.foreignRuns
 			for at := range 12 {
 				cs.add(job.ID(fmt.Sprintf("good%02d", at)), testEpoch, taskStep(6))
 			}
@@ -48,7 +48,7 @@
 				if got := cs.starts[job.Task{Job: id}]; got > boundStarts {
 					t.Errorf("the guilty task of %s was started %d times, want %d at most", id, got, boundStarts)
 				}
-				if got := cs.state(id); got != job.Failed && !bc.untold {
+				if got := cs.state(id); got != job.Failed && !bc.unreported {
 					t.Errorf("%s is %s, want failed", id, got)
 				}
 			}
@@ -61,22 +61,22 @@
 	}
 }
 
-// run lets the time pass, with what the case brings.
-func (bc boundCase) run(cs *crashes) {
+// run simulates the span of the case under its conditions.
+func (bc boundCase) run(cs *crashCell) {
 	const step = 50 * time.Millisecond
 	for passed := time.Duration(0); passed < bc.span; passed += step {
 		if bc.every > 0 && passed > 0 && passed%bc.every == 0 {
-			cs.succeed()
+			cs.changeOwner()
 		}
 		if bc.lapseOf > 0 {
-			cs.list(passed%bc.lapseOf >= bc.lapse)
+			cs.setRegistered(passed%bc.lapseOf >= bc.lapse)
 		}
 		cs.run(step)
 	}
 }
 
-// succeed gives the cell to another owner, which knows what was kept.
-func (cs *crashes) succeed() {
+// changeOwner hands the cell over to another owner, which knows what was saved.
+func (cs *crashCell) changeOwner() {
 	refs, exposed, before := cs.core.Release(cs.now), cs.core.UnseenLossEpoch(), cs.core
 	cs.core = New(testPool, before.epoch+1, before.opts)
 	cs.core.TakeOver(cs.now, cs.now, refs, true)
@@ -84,16 +84,16 @@
 	cs.core.Configure([]job.Queue{{ID: "q", Pool: testPool, MaxAttempts: 2, Stretch: 1.5, Slack: time.Second}})
 	cs.pendingPolls = map[WorkerID]Poll{}
 	for _, fr := range cs.workers {
-		fr.look = nil
+		fr.poll = nil
 	}
-	cs.list(true)
+	cs.setRegistered(true)
 	for id, sp := range cs.specs {
 		cs.core.Add(cs.now, StoredJob{Spec: sp, Progress: cs.rows[id], Version: 9})
 	}
 }
 
-// list has the registrations of all workers that live be there, or gone.
-func (cs *crashes) list(listed bool) {
+// setRegistered adds or removes the registrations of all live workers.
+func (cs *crashCell) setRegistered(listed bool) {
 	for id, fr := range cs.workers {
 		if wk := cs.core.workers[id]; wk != nil && wk.registered == listed {
 			continue
@@ -112,44 +112,45 @@
 	short = taskStep(6)
 )
 
-// A cell changed hands each second while tasks ended their workers without a word. Of an attempt on a silent worker nothing was kept, so that
-// the next owner, told that the worker was gone, found nothing to lay its end to: one task was started 60 times in 30 s.
+// Guards against losing track of crashing tasks in a cell that changes owners each second while the workers time out without a broken connection.
+// Attempts on unresponsive workers were not saved, so the next owner had no task to charge with the loss: one task was started 60 times in 30 s.
 func TestTaskThatCrashesItsWorkersUnderOwnersByTurnsIsGivenUp(t *testing.T) {
 	for _, every := range []time.Duration{time.Second, 1500 * time.Millisecond, 3 * time.Second} {
 		for _, dark := range []bool{true, false} {
-			boundCase{name: fmt.Sprintf("every %v, dark %t", every, dark), every: every, dark: dark, after: quick, step: short, span: 30 * time.Second}.play(t)
+			boundCase{name: fmt.Sprintf("every %v, dark %t", every, dark), every: every, noReset: dark, after: quick, step: short, span: 30 * time.Second}.play(t)
 		}
 	}
 }
 
-// Registrations lapsed and came back while the workers served on. A worker whose registration was gone when it fell silent counted as leaving,
-// and its end was laid to nobody: one task was started 25 times in 30 s.
+// Guards against taking an expired registration for a leaving worker. A worker whose registration was gone when it stopped answering counted as
+// leaving, and its loss was charged to no task: one task was started 25 times in 30 s.
 func TestTaskThatCrashesItsWorkersIsGivenUpWhileRegistrationsLapse(t *testing.T) {
 	for _, every := range []time.Duration{500 * time.Millisecond, 4 * time.Second} {
 		for _, dark := range []bool{true, false} {
-			boundCase{name: fmt.Sprintf("half of %v, dark %t", every, dark), lapse: every / 2, lapseOf: every, dark: dark, after: quick, step: short, span: 30 * time.Second}.play(t)
+			boundCase{name: fmt.Sprintf("half of %v, dark %t", every, dark), lapse: every / 2, lapseOf: every, noReset: dark, after: quick, step: short, span: 30 * time.Second}.play(t)
 		}
 	}
 }
 
-// Each worker had a run that its owner did not know, so that no task was ever alone there, and no loss proved anything: one task was started
-// 14 times in 30 s.
+// Guards against losses that prove nothing because each worker also has a run that its owner does not know, so that no task is ever alone on a
+// worker: one task was started 14 times in 30 s.
 func TestTaskThatCrashesItsWorkersBesideStrangersIsGivenUp(t *testing.T) {
 	for _, dark := range []bool{true, false} {
-		boundCase{name: fmt.Sprintf("dark %t", dark), stranger: true, dark: dark, after: quick, step: short, span: 30 * time.Second}.play(t)
+		boundCase{name: fmt.Sprintf("dark %t", dark), foreignRuns: true, noReset: dark, after: quick, step: short, span: 30 * time.Second}.play(t)
 	}
 }
 
-// A task that lasts ended each worker some seconds after its start. What had run for that long was never charged, and what had been charged
-// before was taken back.
+// Guards against long-running tasks that crash each worker some seconds after their start. Losses of tasks that had run for so long were never
+// charged, and earlier charges were cleared.
 func TestLastingTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	lasting := job.Step{Count: 2, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true}
 	for _, dark := range []bool{true, false} {
-		boundCase{name: fmt.Sprintf("dark %t", dark), dark: dark, after: []time.Duration{4 * time.Second, 6 * time.Second, 20 * time.Second}, step: lasting, span: 5 * time.Minute}.play(t)
+		boundCase{name: fmt.Sprintf("dark %t", dark), noReset: dark, after: []time.Duration{4 * time.Second, 6 * time.Second, 20 * time.Second}, step: lasting, span: 5 * time.Minute}.play(t)
 	}
 }
 
-// Workers ended without a word, and nobody told that they had. Their tasks were started elsewhere each time that the leases had run out.
+// Guards against endless restarts if workers end without a broken connection and nobody reports their end. Their tasks were restarted elsewhere
+// each time that the leases expired.
 func TestTaskOfWorkersThatFallSilentForGoodIsStartedAFewTimes(t *testing.T) {
-	boundCase{name: "untold", dark: true, untold: true, after: quick, step: short, span: 5 * time.Minute}.play(t)
+	boundCase{name: "untold", noReset: true, unreported: true, after: quick, step: short, span: 5 * time.Minute}.play(t)
 }
--- a/cell/crash_test.go
+++ b/cell/crash_test.go
@@ -10,20 +10,20 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// Times of the workers that crash.
+// Timings of the simulated workers.
 const (
-	crashTick  = 10 * time.Millisecond
-	crashAsk   = 500 * time.Millisecond
-	crashBack  = 2 * time.Second
-	crashTask  = 800 * time.Millisecond
-	crashSlots = 16
-	// crashPatience is how long a call to a worker is waited for.
-	crashPatience = 400 * time.Millisecond
-	crashStopped  = 50 * time.Millisecond
+	crashTick           = 10 * time.Millisecond
+	crashReportInterval = 500 * time.Millisecond
+	crashRestartTime    = 2 * time.Second
+	crashTaskTime       = 800 * time.Millisecond
+	crashSlots          = 16
+	// crashCallTimeout is how long a call to a worker waits for an answer.
+	crashCallTimeout = 400 * time.Millisecond
+	crashStopTime    = 50 * time.Millisecond
 )
 
-// fragileRun is an attempt on a worker that may crash under it.
-type fragileRun struct {
+// simulatedRun is an attempt on a worker that may crash it.
+type simulatedRun struct {
 	start   Start
 	since   time.Time
 	ends    time.Time
@@ -31,94 +31,94 @@
 	crashes bool
 }
 
-// fragile is a worker that some tasks crash.
-type fragile struct {
+// simulatedWorker is a worker that some tasks crash.
+type simulatedWorker struct {
 	id   WorkerID
 	info Worker
-	runs map[job.Task]*fragileRun
-	// look is the one that waits for an answer, due is when it is given in any case.
-	look *Poll
+	runs map[job.Task]*simulatedRun
+	// poll is the poll that waits for an answer. due is when it is answered at the latest.
+	poll *Poll
 	due  time.Time
 	ends []End
 	last int64
 	dead bool
 }
 
-// crashes is a core whose workers crash under guilty tasks: they fall silent, are told as gone, and come back as other lives.
-type crashes struct {
+// crashCell is a core whose workers crash under some tasks. Crashed workers stop answering, are reported as ended, and come back as new
+// incarnations.
+type crashCell struct {
 	*testBed
-	workers map[WorkerID]*fragile
-	// guilty says after which time a task crashes its worker; none for an innocent one.
-	guilty func(job.Task) (time.Duration, bool)
-	// agenda holds what happens later.
-	agenda []timed
-	lives  int
-	lost   int
-	asked  time.Time
-	// dark means that a worker that ended leaves calls without an answer instead of breaking connections, untold that nobody tells that it
-	// has ended, stranger that each worker lists a run
-	// that the owner does not know beside those it was given.
-	dark, untold, stranger bool
-	// specs and rows are what the store has of jobs.
+	workers map[WorkerID]*simulatedWorker
+	// crashAfter returns after which time a task crashes its worker, and false for a harmless task.
+	crashAfter func(job.Task) (time.Duration, bool)
+	// timers holds the actions that are due later.
+	timers       []timer
+	incarnations int
+	lost         int
+	reportedAt   time.Time
+	// noReset means that calls to an ended worker time out instead of breaking. unreported means that nobody reports the end of a worker.
+	// foreignRuns means that each worker also lists a run that the owner does not know.
+	noReset, unreported, foreignRuns bool
+	// specs and rows are the jobs as the store has them.
 	specs  map[job.ID]*job.Spec
 	rows   map[job.ID]*job.Progress
 	starts map[job.Task]int
-	// again counts the starts of innocent tasks after their first, stopped names those that last and were stopped.
-	again   int
-	stopped []job.Task
+	// restarts counts the starts of harmless tasks after their first one. stopped lists the long-running tasks that were stopped.
+	restarts int
+	stopped  []job.Task
 }
 
-type timed struct {
+type timer struct {
 	at time.Time
 	do func()
 }
 
-func newCrashes(t *testing.T, workers int, guilty func(job.Task) (time.Duration, bool)) *crashes {
+func newCrashCell(t *testing.T, workers int, guilty func(job.Task) (time.Duration, bool)) *crashCell {
 	t.Helper()
-	cs := &crashes{testBed: newTestBed(t, 0), workers: map[WorkerID]*fragile{}, guilty: guilty, starts: map[job.Task]int{}, specs: map[job.ID]*job.Spec{}, rows: map[job.ID]*job.Progress{}}
+	cs := &crashCell{testBed: newTestBed(t, 0), workers: map[WorkerID]*simulatedWorker{}, crashAfter: guilty, starts: map[job.Task]int{}, specs: map[job.ID]*job.Spec{}, rows: map[job.ID]*job.Progress{}}
 	cs.autoSave = true
 	for range workers {
-		cs.born()
+		cs.addWorker()
 	}
 	cs.run(200 * time.Millisecond)
 	return cs
 }
 
-// born registers a new life of a worker.
-func (cs *crashes) born() {
-	cs.lives++
-	id := WorkerID(fmt.Sprintf("w%04d", cs.lives))
-	info := Worker{ID: id, Pool: testPool, Address: string(id), Rack: fmt.Sprintf("r%d", cs.lives%12), Room: job.Size{CPUMillis: 1000 * crashSlots, MemoryMB: 32000}}
-	cs.workers[id] = &fragile{id: id, info: info, runs: map[job.Task]*fragileRun{}}
+// addWorker registers a new incarnation of a worker.
+func (cs *crashCell) addWorker() {
+	cs.incarnations++
+	id := WorkerID(fmt.Sprintf("w%04d", cs.incarnations))
+	info := Worker{ID: id, Pool: testPool, Address: string(id), Rack: fmt.Sprintf("r%d", cs.incarnations%12), Room: job.Size{CPUMillis: 1000 * crashSlots, MemoryMB: 32000}}
+	cs.workers[id] = &simulatedWorker{id: id, info: info, runs: map[job.Task]*simulatedRun{}}
 	cs.core.Register(cs.now, info)
 	cs.core.WorkersRecorded([]WorkerRef{{ID: id, Address: string(id)}})
 }
 
-func (cs *crashes) after(span time.Duration, do func()) {
-	cs.agenda = append(cs.agenda, timed{cs.now.Add(span), do})
+func (cs *crashCell) after(span time.Duration, do func()) {
+	cs.timers = append(cs.timers, timer{cs.now.Add(span), do})
 }
 
-// run plays a span of time.
-func (cs *crashes) run(span time.Duration) {
+// run simulates a period of time.
+func (cs *crashCell) run(span time.Duration) {
 	for end := cs.now.Add(span); cs.now.Before(end); cs.advance(crashTick) {
-		cs.happen()
+		cs.runTimers()
 		for _, id := range slices.Sorted(maps.Keys(cs.workers)) {
-			cs.settle(cs.workers[id])
+			cs.stepWorker(cs.workers[id])
 		}
-		cs.ask()
+		cs.reportEnded()
 		for _, od := range cs.plan() {
-			cs.carry(od)
+			cs.execute(od)
 		}
 	}
 }
 
-// ask tells which of the workers that are missed have ended, as often as an owner may ask.
-func (cs *crashes) ask() {
+// reportEnded reports which of the unresponsive workers have ended, as often as an owner may ask.
+func (cs *crashCell) reportEnded() {
 	missing, pressing := cs.core.Unresponsive(cs.now)
-	if len(missing) == 0 || cs.untold || !pressing && !cs.dark || cs.now.Sub(cs.asked) < crashAsk {
+	if len(missing) == 0 || cs.unreported || !pressing && !cs.noReset || cs.now.Sub(cs.reportedAt) < crashReportInterval {
 		return
 	}
-	cs.asked = cs.now
+	cs.reportedAt = cs.now
 	for _, id := range missing {
 		if cs.workers[id] == nil {
 			cs.core.WorkerEnded(cs.now, id)
@@ -126,21 +126,21 @@
 	}
 }
 
-// happen does what is due.
-func (cs *crashes) happen() {
-	due := cs.agenda
-	cs.agenda = nil
+// runTimers runs the actions that are due.
+func (cs *crashCell) runTimers() {
+	due := cs.timers
+	cs.timers = nil
 	for _, tm := range due {
 		if tm.at.After(cs.now) {
-			cs.agenda = append(cs.agenda, tm)
+			cs.timers = append(cs.timers, tm)
 			continue
 		}
 		tm.do()
 	}
 }
 
-// settle lets a worker's tasks end, or crash it, and answers its look.
-func (cs *crashes) settle(fr *fragile) {
+// stepWorker ends the worker's tasks that are due, or crashes the worker, and answers its poll.
+func (cs *crashCell) stepWorker(fr *simulatedWorker) {
 	for _, tk := range slices.SortedFunc(maps.Keys(fr.runs), compareTasks) {
 		rn := fr.runs[tk]
 		if cs.now.Before(rn.ends) {
@@ -154,40 +154,40 @@
 		fr.last++
 		fr.ends = append(fr.ends, End{Number: fr.last, Task: tk, Attempt: rn.start.Attempt, Reason: rn.how})
 	}
-	if fr.look != nil && (len(fr.ends) > 0 || !cs.now.Before(fr.due)) {
-		lk := *fr.look
-		fr.look = nil
+	if fr.poll != nil && (len(fr.ends) > 0 || !cs.now.Before(fr.due)) {
+		lk := *fr.poll
+		fr.poll = nil
 		fr.ends = slices.DeleteFunc(fr.ends, func(en End) bool { return en.Number <= lk.AckedEnd })
 		running := fr.running(cs.now)
-		if cs.stranger && len(running) > 0 {
+		if cs.foreignRuns && len(running) > 0 {
 			running = append(running, Running{Task: job.Task{Job: "stranger"}, Attempt: 1})
 		}
 		cs.answerPoll(lk, running, fr.ends)
 	}
 }
 
-func (fr *fragile) running(now time.Time) []Running {
+func (fr *simulatedWorker) running(now time.Time) []Running {
 	var list []Running
 	for _, rn := range fr.runs {
-		list = append(list, Running{Task: rn.start.Task, Attempt: rn.start.Attempt, Progress: int(100 * now.Sub(rn.since) / crashTask)})
+		list = append(list, Running{Task: rn.start.Task, Attempt: rn.start.Attempt, Progress: int(100 * now.Sub(rn.since) / crashTaskTime)})
 	}
 	return list
 }
 
-// crash ends a life.
-func (cs *crashes) crash(fr *fragile) {
+// crash ends an incarnation of a worker.
+func (cs *crashCell) crash(fr *simulatedWorker) {
 	delete(cs.workers, fr.id)
 	fr.dead = true
 	cs.breakGangs(fr)
 	cs.lost++
-	if fr.look != nil {
-		cs.unanswered(*fr.look)
+	if fr.poll != nil {
+		cs.unanswered(*fr.poll)
 	}
-	cs.after(crashBack, cs.born)
+	cs.after(crashRestartTime, cs.addWorker)
 }
 
-// breakGangs ends the members that others of a gang had on a worker that ended.
-func (cs *crashes) breakGangs(fr *fragile) {
+// breakGangs ends the members on other workers of gangs that had a member on an ended worker.
+func (cs *crashCell) breakGangs(fr *simulatedWorker) {
 	for tk := range fr.runs {
 		if st := cs.core.findStep(tk); st == nil || !st.spec.Gang {
 			continue
@@ -202,21 +202,21 @@
 	}
 }
 
-// unanswered ends a look at a worker that has ended.
-func (cs *crashes) unanswered(lk Poll) {
+// unanswered reports that a poll of an ended worker was not answered.
+func (cs *crashCell) unanswered(lk Poll) {
 	sent := cs.now
 	core := cs.core
-	if !cs.dark {
+	if !cs.noReset {
 		core.HandlePoll(cs.now, PollResult{Poll: lk, Outcome: NoAnswer, Sent: sent, Received: sent})
 		return
 	}
-	cs.after(lk.Wait+crashPatience, func() {
+	cs.after(lk.Wait+crashCallTimeout, func() {
 		core.HandlePoll(cs.now, PollResult{Poll: lk, Outcome: NoAnswer, Sent: sent, Received: cs.now})
 	})
 }
 
-// carry carries an order out.
-func (cs *crashes) carry(od Order) {
+// execute carries out an order.
+func (cs *crashCell) execute(od Order) {
 	switch order := od.(type) {
 	case Save:
 		for _, row := range order.Rows {
@@ -228,12 +228,12 @@
 			cs.unanswered(order)
 			return
 		}
-		fr.look, fr.due = &order, cs.now.Add(max(crashTick, order.Wait))
+		fr.poll, fr.due = &order, cs.now.Add(max(crashTick, order.Wait))
 	case Start:
 		fr := cs.workers[order.Worker]
-		if fr == nil && cs.dark {
+		if fr == nil && cs.noReset {
 			core := cs.core
-			cs.after(crashPatience, func() {
+			cs.after(crashCallTimeout, func() {
 				core.HandleOrder(cs.now, OrderResult{Order: order, Outcome: NoAnswer, Sent: cs.now, Received: cs.now})
 			})
 			return
@@ -250,35 +250,35 @@
 		}
 		if fr := cs.workers[order.Worker]; fr != nil {
 			if rn := fr.runs[order.Task]; rn != nil {
-				rn.crashes, rn.how, rn.ends = false, EndStopped, cs.now.Add(crashStopped)
+				rn.crashes, rn.how, rn.ends = false, EndStopped, cs.now.Add(crashStopTime)
 			}
 			cs.answerOrder(order, Done)
 		}
 	}
 }
 
-func (cs *crashes) started(fr *fragile, order Start) {
+func (cs *crashCell) started(fr *simulatedWorker, order Start) {
 	cs.starts[order.Task]++
-	after, guilty := cs.guilty(order.Task)
+	after, guilty := cs.crashAfter(order.Task)
 	if !guilty {
-		after = crashTask
+		after = crashTaskTime
 		if cs.starts[order.Task] > 1 {
-			cs.again++
+			cs.restarts++
 		}
 	}
 	if st := cs.core.findStep(order.Task); st != nil && st.spec.LongRunning && !guilty {
 		after = time.Hour
 	}
-	fr.runs[order.Task] = &fragileRun{start: order, since: cs.now, ends: cs.now.Add(after), how: EndDone, crashes: guilty}
+	fr.runs[order.Task] = &simulatedRun{start: order, since: cs.now, ends: cs.now.Add(after), how: EndDone, crashes: guilty}
 }
 
-// add hands a job in.
-func (cs *crashes) add(id job.ID, epoch job.Epoch, steps ...job.Step) {
+// add submits a job.
+func (cs *crashCell) add(id job.ID, epoch job.Epoch, steps ...job.Step) {
 	cs.specs[id] = &job.Spec{ID: id, Queue: "q", Pool: testPool, Steps: steps, Epoch: epoch, AcceptedAt: cs.now}
 	cs.core.Add(cs.now, StoredJob{Spec: cs.specs[id]})
 }
 
-// copyProgress is what a next owner reads of a progress row.
+// copyProgress returns progress as the next owner reads it from a progress row.
 func copyProgress(t *testing.T, pg *job.Progress) *job.Progress {
 	t.Helper()
 	raw, err := job.EncodeProgress(pg)
@@ -292,32 +292,32 @@
 	return read
 }
 
-// guiltyJobs makes the first tasks of the jobs named crash their workers.
-func guiltyJobs(after time.Duration, ids ...job.ID) func(job.Task) (time.Duration, bool) {
+// crashingJobs makes the first task of each of the given jobs crash its workers.
+func crashingJobs(after time.Duration, ids ...job.ID) func(job.Task) (time.Duration, bool) {
 	return func(tk job.Task) (time.Duration, bool) {
 		return after, tk.Index == 0 && slices.Contains(ids, tk.Job)
 	}
 }
 
-// state is what callers see of a job.
-func (cs *crashes) state(id job.ID) job.State {
+// state returns the state of a job as callers see it.
+func (cs *crashCell) state(id job.ID) job.State {
 	st, _ := cs.core.State(id)
 	return st
 }
 
-// Two tasks ended each worker that started them within 10 ms, and 796 workers went under them in two minutes: one was started for the twentieth
-// time after the third loss had been noticed at 14.2 s ("worker ended with tasks on it", before 19). An owner charged the loss to the worker
-// alone, and released what had run there as if it had never been started.
+// Guards against endless restarts of a task that crashes its workers. An owner once charged the loss only to the worker and released its tasks as
+// if they had never been started. Two tasks that crashed each worker within 10 ms cost 796 workers in two minutes, and one was started for the
+// twentieth time after its third loss had been noticed at 14.2 s ("worker ended with tasks on it", before 19).
 func TestTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	for _, after := range []time.Duration{10 * time.Millisecond, 300 * time.Millisecond, 1500 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
-			cs := newCrashes(t, 6, guiltyJobs(after, "bad"))
+			cs := newCrashCell(t, 6, crashingJobs(after, "bad"))
 			for at := range 12 {
 				cs.add(job.ID(fmt.Sprintf("good%02d", at)), testEpoch, taskStep(6))
 			}
 			cs.add("bad", testEpoch, taskStep(6))
 			cs.run(20 * time.Second)
-			// Three losses may be needed to be sure; a start more than two after the third is one too many.
+			// Three losses may be needed for certainty. A start more than two after the third loss is one too many.
 			if most := 4; cs.lost > most {
 				t.Errorf("%d workers were lost under one task, want %d at most", cs.lost, most)
 			}
@@ -333,29 +333,29 @@
 	}
 }
 
-// plague plays a fleet into whose queue some jobs with a guilty task come, and tells what it cost.
-type plague struct {
-	*crashes
-	jobs, bad   int
-	added       map[job.ID]time.Time
-	failedAfter []time.Duration
-	inTime      int
-	seen        map[job.ID]bool
-	innocent    int
+// crashLoopFleet simulates a fleet with jobs of which some have a crashing task, and records what that costs.
+type crashLoopFleet struct {
+	*crashCell
+	jobs, crashing int
+	added          map[job.ID]time.Time
+	failedAfter    []time.Duration
+	inTime         int
+	seen           map[job.ID]bool
+	wronglyFailed  int
 }
 
-// newPlague hands in jobs of six tasks each for a span; share of them, in percent, crash their workers.
-func newPlague(t *testing.T, workers, perSecond, share int, after, span time.Duration) *plague {
+// newCrashLoopFleet submits jobs of six tasks each for a period. share percent of them crash their workers.
+func newCrashLoopFleet(t *testing.T, workers, perSecond, share int, after, span time.Duration) *crashLoopFleet {
 	t.Helper()
-	pg := &plague{added: map[job.ID]time.Time{}, seen: map[job.ID]bool{}}
-	pg.crashes = newCrashes(t, workers, func(tk job.Task) (time.Duration, bool) { return after, tk.Index == 0 && pg.isBad(tk.Job) })
+	pg := &crashLoopFleet{added: map[job.ID]time.Time{}, seen: map[job.ID]bool{}}
+	pg.crashCell = newCrashCell(t, workers, func(tk job.Task) (time.Duration, bool) { return after, tk.Index == 0 && pg.isCrashing(tk.Job) })
 	for range int(span / (100 * time.Millisecond)) {
 		for range perSecond / 10 {
 			id := job.ID(fmt.Sprintf("j%05d", pg.jobs))
-			// The guilty ones come spread among the others.
+			// The crashing jobs are spread among the others.
 			if pg.jobs*37%100 < share {
 				id = job.ID(fmt.Sprintf("b%05d", pg.jobs))
-				pg.bad++
+				pg.crashing++
 			}
 			pg.jobs++
 			pg.added[id] = pg.now
@@ -374,10 +374,10 @@
 	return pg
 }
 
-func (pg *plague) isBad(id job.ID) bool { return id[0] == 'b' }
+func (pg *crashLoopFleet) isCrashing(id job.ID) bool { return id[0] == 'b' }
 
-// count notes which jobs have ended.
-func (pg *plague) count() {
+// count records which jobs have ended.
+func (pg *crashLoopFleet) count() {
 	for id, at := range pg.added {
 		state := pg.state(id)
 		if !state.Ended() || pg.seen[id] {
@@ -385,37 +385,37 @@
 		}
 		pg.seen[id] = true
 		switch {
-		case pg.isBad(id) && state == job.Failed:
+		case pg.isCrashing(id) && state == job.Failed:
 			pg.failedAfter = append(pg.failedAfter, pg.now.Sub(at))
-		case !pg.isBad(id) && state == job.Failed:
-			pg.innocent++
-		case !pg.isBad(id) && pg.now.Sub(at) < 2*time.Second:
+		case !pg.isCrashing(id) && state == job.Failed:
+			pg.wronglyFailed++
+		case !pg.isCrashing(id) && pg.now.Sub(at) < 2*time.Second:
 			pg.inTime++
 		}
 	}
 	slices.Sort(pg.failedAfter)
 }
 
-// TestCrashingTasksAreContained: a fleet at half its load into which some guilty tasks come loses two workers a guilty job or little more,
-// gives no innocent job up, and serves the others nearly as without them.
+// TestCrashingTasksAreContained: a fleet at half load with some crashing tasks loses little more than two workers for each crashing job, fails no
+// harmless job, and serves the others nearly as well as without crashing tasks.
 func TestCrashingTasksAreContained(t *testing.T) {
 	for _, share := range []int{0, 1, 5, 20} {
-		pg := newPlague(t, 50, 80, share, 10*time.Millisecond, 6*time.Second)
+		pg := newCrashLoopFleet(t, 50, 80, share, 10*time.Millisecond, 6*time.Second)
 		median := time.Duration(0)
 		if len(pg.failedAfter) > 0 {
 			median = pg.failedAfter[len(pg.failedAfter)/2]
 		}
-		good := pg.jobs - pg.bad
-		t.Logf("%d%% guilty: %d workers lost for %d guilty jobs, %d innocent starts again, %d innocent jobs given up, %d guilty given up, median after %v; %d of %d innocent within 2 s", share, pg.lost, pg.bad, pg.again, pg.innocent, len(pg.failedAfter), median, pg.inTime, good)
-		if pg.innocent > 0 {
-			t.Errorf("%d innocent jobs were given up", pg.innocent)
+		good := pg.jobs - pg.crashing
+		t.Logf("%d%% guilty: %d workers lost for %d guilty jobs, %d innocent starts again, %d innocent jobs given up, %d guilty given up, median after %v; %d of %d innocent within 2 s", share, pg.lost, pg.crashing, pg.restarts, pg.wronglyFailed, len(pg.failedAfter), median, pg.inTime, good)
+		if pg.wronglyFailed > 0 {
+			t.Errorf("%d innocent jobs were given up", pg.wronglyFailed)
 		}
-		if len(pg.failedAfter) < pg.bad {
-			t.Errorf("%d of %d guilty jobs were given up", len(pg.failedAfter), pg.bad)
+		if len(pg.failedAfter) < pg.crashing {
+			t.Errorf("%d of %d guilty jobs were given up", len(pg.failedAfter), pg.crashing)
 		}
-		// At 20% the guilty alone would keep 32 of the 50 workers down at any time: suspicion falls on many.
-		if share <= 5 && 2*pg.lost > 5*pg.bad || pg.lost > 4*pg.bad {
-			t.Errorf("%d workers were lost for %d guilty jobs", pg.lost, pg.bad)
+		// At 20% the crashing tasks alone would keep 32 of the 50 workers down at any time, so many tasks become suspects.
+		if share <= 5 && 2*pg.lost > 5*pg.crashing || pg.lost > 4*pg.crashing {
+			t.Errorf("%d workers were lost for %d guilty jobs", pg.lost, pg.crashing)
 		}
 		if share <= 5 && 20*pg.inTime < 19*good {
 			t.Errorf("%d of %d innocent jobs were done within 2 s", pg.inTime, good)
@@ -423,12 +423,13 @@
 	}
 }
 
-// A third of the workers ends at one moment, three times, for a reason that no task has. Nothing is given up, and all is done soon after.
+// Guards against failing jobs when a third of the workers ends at the same time, three times, for a reason unrelated to any task. All jobs
+// complete soon afterwards.
 func TestTasksOfWorkersThatEndTogetherGoOn(t *testing.T) {
 	for _, dark := range []bool{false, true} {
 		t.Run(fmt.Sprintf("dark %t", dark), func(t *testing.T) {
-			cs := newCrashes(t, 12, func(job.Task) (time.Duration, bool) { return 0, false })
-			cs.dark = dark
+			cs := newCrashCell(t, 12, func(job.Task) (time.Duration, bool) { return 0, false })
+			cs.noReset = dark
 			var ids []job.ID
 			for wave := range 3 {
 				for at := range 20 {
@@ -471,12 +472,12 @@
 	}
 }
 
-// A task was on a worker that ended right after its start, and is on another, by itself, that ends in the same instant as two more: that proves
-// nothing. If it ends alone the job is given up.
+// Guards against taking a mass failure for a proof. A task was on a worker that ended right after its start, and then runs alone on another
+// worker that ends at the same time as two more. The job only fails if its worker ends alone.
 func TestWorkersThatEndInOneInstantProveNothing(t *testing.T) {
 	for others, want := range map[int]job.State{0: job.Failed, 2: job.Completed} {
-		cs := newCrashes(t, 8, func(job.Task) (time.Duration, bool) { return 0, false })
-		// Every worker has something to look at.
+		cs := newCrashCell(t, 8, func(job.Task) (time.Duration, bool) { return 0, false })
+		// Every worker has an attempt to be polled for.
 		cs.add("lasting", testEpoch, job.Step{Count: 8, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true, SpreadLimit: 1})
 		cs.run(6 * time.Second)
 		cs.add("a", testEpoch, taskStep(1))
@@ -506,10 +507,10 @@
 	}
 }
 
-// A gang one of whose members crashes its worker is given up as soon as a single task is; a gang that lost a worker with others goes on.
+// A gang with a member that crashes its worker fails as soon as a single task does. A gang that lost a worker together with other jobs continues.
 func TestGangThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	for _, after := range []time.Duration{10 * time.Millisecond, 300 * time.Millisecond} {
-		cs := newCrashes(t, 8, guiltyJobs(after, "bad"))
+		cs := newCrashCell(t, 8, crashingJobs(after, "bad"))
 		gang := taskStep(4)
 		gang.Gang = true
 		cs.add("good", testEpoch, gang)
--- a/cell/exposure_test.go
+++ b/cell/exposure_test.go
@@ -9,9 +9,9 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// A takeover found workers in the cell's row whose machines had been moved away long before. Each job of before was then started only once that
-// was kept, and half of the workers' room stood idle. Machines are moved once nothing is left there, so that such a worker exposes nothing; one
-// that ended where it was does.
+// Guards against intents that are not needed. After a takeover the cell's row named workers whose machines had been moved away long before. Each
+// older job then waited for a write before its start, and half of the workers' room was idle. Machines are only moved once nothing is left on
+// them, so such a worker causes no unseen loss, but one that ended in its place does.
 func TestVacatedWorkersExposeNothing(t *testing.T) {
 	for _, vacated := range []bool{true, false} {
 		bd := newTestBed(t, 1)
@@ -36,7 +36,7 @@
 	}
 }
 
-// A row of a cell named 91 workers of which some 30 were there, since it was written only when one came.
+// Guards against a cell's row that is only written when a worker is added: it named 91 workers, of which about 30 still existed.
 func TestRowOfACellNamesNoWorkersThatAreGone(t *testing.T) {
 	bd := newTestBed(t, 2)
 	bd.autoSave = true
@@ -58,8 +58,8 @@
 	}
 }
 
-// After an exposed takeover half of the room stood idle, since each start waited for a write once there was room. What waits for room is kept
-// ahead, and starts at once when some comes; but for tasks that need advice first.
+// Guards against idle room after a takeover with unseen losses, where each start waited for a write once there was room, and half of the room was
+// idle. Intents of waiting tasks are saved before there is room, so that they start at once. Tasks that need advice are excepted.
 func TestExposedTasksAreKeptAheadOfRoom(t *testing.T) {
 	for _, advised := range []bool{false, true} {
 		bd := newTestBed(t, 1)
@@ -83,7 +83,7 @@
 				ahead++
 			}
 		}
-		// Half of the worker's room, which has place for four.
+		// Half of the worker's room, which fits four tasks.
 		if want := map[bool]int{false: 2, true: 0}[advised]; ahead != want {
 			t.Errorf("advised %t: %d starts are kept ahead, want %d", advised, ahead, want)
 		}
@@ -99,8 +99,9 @@
 	}
 }
 
-// A cell was handed over between the word that a worker of an earlier owner had ended and the next confirmation. The row named that worker no more
-// and told of no exposed jobs, so that the start which had ended it was never counted: one task ended five workers as attempt 1.
+// Guards against unseen losses that are forgotten in a handover. It came between the end of a worker of an earlier owner and the next
+// confirmation of the ownership. The cell's row no longer named that worker nor the epoch of unseen losses, so the start that had crashed it was
+// never counted: one task crashed five workers as attempt 1.
 func TestHandoverNamesWorkersThatEndedUnseen(t *testing.T) {
 	bd := newTestBed(t, 1)
 	bd.autoSave = true
@@ -124,7 +125,7 @@
 	}
 }
 
-// The row of a cell went on naming an ended worker of earlier owners after that was resolved, and each next owner waited for it again.
+// Guards against a cell's row that still names an ended worker of earlier owners after it was resolved. Each next owner waited for it again.
 func TestRowOfACellNamesNoEndedWorkerThatIsResolved(t *testing.T) {
 	bd := newTestBed(t, 1)
 	bd.autoSave = true
--- a/cell/hearing.go
+++ b/cell/hearing.go
@@ -2,39 +2,41 @@
 
 import "time"
 
-// allSilentAfter is how long no worker at all may have answered for an owner to doubt its own link: cells in use have several answers a second.
+// allSilentAfter is how long no worker may have answered before the owner assumes a fault of its own network link. Cells with work get several
+// answers a second.
 const allSilentAfter = time.Second
 
-// linkMonitor tells an owner that hears of nobody from a worker that is silent while others answer.
+// linkMonitor distinguishes a failure of the owner's own link, when no worker answers, from an unresponsive worker.
 type linkMonitor struct {
-	// lastAnswer is when the newest answer of any worker came, answeringSince is the first of those that came without a longer pause between them.
+	// lastAnswer is the time of the newest answer of any worker. answeringSince is the time of the first answer after the last pause of more than
+	// allSilentAfter.
 	lastAnswer, answeringSince time.Time
 }
 
-// recordAnswer notes an answer.
-func (he *linkMonitor) recordAnswer(at time.Time) {
-	if at.Sub(he.lastAnswer) > allSilentAfter {
-		he.answeringSince = at
+// recordAnswer records an answer.
+func (lm *linkMonitor) recordAnswer(at time.Time) {
+	if at.Sub(lm.lastAnswer) > allSilentAfter {
+		lm.answeringSince = at
 	}
-	he.lastAnswer = latest(he.lastAnswer, at)
+	lm.lastAnswer = latest(lm.lastAnswer, at)
 }
 
-// allSilent reports whether nobody has answered for a while.
-func (he *linkMonitor) allSilent(now time.Time) bool { return now.Sub(he.lastAnswer) > allSilentAfter }
+// allSilent reports whether no worker has answered within allSilentAfter.
+func (lm *linkMonitor) allSilent(now time.Time) bool { return now.Sub(lm.lastAnswer) > allSilentAfter }
 
-// unresponsive reports whether a worker did not answer while others did: one that hears of nobody, its link being full, would start tasks anew that
-// have ended well.
+// unresponsive reports whether a worker does not answer while others do. If no worker answers, because the owner's link is full, the owner would
+// otherwise restart tasks that have already completed.
 func (cr *Core) unresponsive(now time.Time, wk *worker) bool {
 	return wk.failedPolls > 0 && !cr.link.allSilent(now) && wk.failedPollSentAt.After(cr.link.answeringSince)
 }
 
-// leasesExpired reports whether a worker's last lease has surely run out, as far as it is this owner's alone to give: only one that is confirmed
-// later than its end knows that nobody else has renewed it.
+// leasesExpired reports whether the last leases on a worker have certainly expired and no other owner has renewed them. That is only known once
+// the ownership was confirmed after their end.
 func (cr *Core) leasesExpired(now time.Time, wk *worker) bool {
 	return len(wk.placements) > 0 && cr.confirmedAt.After(wk.leaseEnd) && now.Sub(wk.polledAt) > cr.opts.LeaseDuration
 }
 
-// needsAnswer reports whether an answer of any worker is wanted, to judge one that is silent.
+// needsAnswer reports whether an answer from any worker is needed to tell whether an unresponsive one is lost.
 func (cr *Core) needsAnswer(now time.Time) bool {
 	if now.Sub(cr.link.lastAnswer) < allSilentAfter/2 {
 		return false
--- a/cell/intent.go
+++ b/cell/intent.go
@@ -7,39 +7,41 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// Intents are starts that are kept before they are ordered, so that a next owner knows where a task was tried whatever became of the owner and
-// of the worker. They cost a write before the start, so that only tasks have them that may have ended a worker already.
+// Intents are starts that are saved before they are ordered. The next owner then knows where a task was tried, whatever became of this owner and
+// of the worker. An intent delays the start by a write, so only tasks that may already have crashed a worker have one.
 
 const (
-	// intentHoldTime is for how long an intent holds its room against other tasks.
+	// intentHoldTime is how long an intent reserves its room.
 	intentHoldTime = 3 * time.Second
-	// plannedIntentWait is how long a task waits for room on the worker that is kept for it before another is chosen.
+	// plannedIntentWait is how long a task waits for room on the worker of its planned intent before another worker is chosen.
 	plannedIntentWait = 5 * time.Second
-	// plannedRoomDivisor divides the room of a worker into what is planned ahead.
+	// plannedRoomDivisor limits the room of planned intents on a worker to this fraction of its room.
 	plannedRoomDivisor = 2
 )
 
-// intent is where a task is to be started once that is kept.
+// intent is the planned start of a task on a worker, which is ordered once the intent is saved.
 type intent struct {
 	step   *step
 	index  int
 	worker WorkerID
-	// jobGen is the state of the job from which on it is kept.
+	// jobGen is the generation of the job's progress that contains the intent.
 	jobGen    int
 	createdAt time.Time
-	// roomReserved means that room is kept free for it in this round, took how much.
+	// roomReserved means that reservedRoom is kept free for the intent in this round.
 	roomReserved bool
 	reservedRoom job.Size
-	// planned means that it was made for when the worker has room, and holds none.
+	// planned means that the intent was made before the worker had room. It reserves none.
 	planned bool
 }
 
-// needsIntent reports whether a task is started only once that is kept: it has lost a worker, or an earlier owner may have lost one with it unseen.
+// needsIntent reports whether a task has to be saved as an intent before it is started: it has lost a worker, or an earlier owner may have lost
+// one unseen with the task on it.
 func (cr *Core) needsIntent(js *jobState, ts *taskState) bool {
 	return ts.lost.total()+len(ts.lost.unresolved) > 0 || js.spec.Epoch < cr.unseenLossEpoch
 }
 
-// ensureIntent reports whether a task may be started on a worker now; if that is to be ensureIntent first, it sees to it.
+// ensureIntent reports whether a task may be started on a worker now. If that needs an intent, ensureIntent creates it and returns false until
+// the intent is saved.
 func (cr *Core) ensureIntent(rd *round, st *step, at int, cd *candidate) bool {
 	ts := &st.tasks[at]
 	if !cr.needsIntent(st.job, ts) {
@@ -48,13 +50,13 @@
 	if in := ts.intent; in == nil || in.worker != cd.info.ID {
 		cr.addIntent(rd.now, st, at, cd)
 	}
-	// From now on its room is held.
+	// The room is reserved from now on.
 	ts.intent.planned = false
 	return st.job.savedGen >= ts.intent.jobGen && cr.answeredSinceIntent(rd.now, ts, cd)
 }
 
-// answeredSinceIntent reports whether the worker has answered since a suspect that is to have it to itself was meant for it. On one that had ended before
-// without a word, the next loss would prove nothing and count all the same.
+// answeredSinceIntent reports whether the worker has answered since the intent was made, if the suspect needs a worker of its own. If the worker
+// had already ended unnoticed, the next loss would count against the task without proving anything.
 func (cr *Core) answeredSinceIntent(now time.Time, ts *taskState, cd *candidate) bool {
 	if ts.lost.weighted() < isolationLosses || !cd.aliveAt.Before(ts.intent.createdAt) {
 		return true
@@ -64,10 +66,10 @@
 	return false
 }
 
-// addIntent has it kept that a task is to be started on a worker.
+// addIntent creates the intent to start a task on a worker, to be saved with the job.
 func (cr *Core) addIntent(now time.Time, st *step, at int, cd *candidate) {
 	cr.markDirty(st.job)
-	// What is not known to have lost a worker shares a save with the ends of others: there are many of them after a takeover.
+	// Intents of tasks without a known loss are saved together with ended attempts, since there are many of them after a takeover.
 	ts := &st.tasks[at]
 	cr.urgentSave = cr.urgentSave || ts.lost.total()+len(ts.lost.unresolved) > 0
 	in := &intent{step: st, index: at, worker: cd.info.ID, jobGen: st.job.gen, createdAt: now}
@@ -76,12 +78,11 @@
 	cr.intents = append(cr.intents, in)
 }
 
-// planAhead has it kept of tasks for which there is no room where they are to be started once there is some, so that room which becomes free
-// is not left idle for as long as a write takes. It is for tasks that are not known to have lost a worker, and plans no more for a worker than
-// half of its room.
+// planAhead creates intents for tasks that have no room yet, so that freed room is not idle for the duration of a write. It only applies to tasks
+// without a known loss, and plans at most half of a worker's room.
 func (cr *Core) planAhead(rd *round, st *step, members []int) {
 	if cr.queues[st.job.spec.Queue].Advice != nil {
-		// Which workers it may have is known only once the advice service has named them.
+		// The permitted workers are known only once the advice service has named them.
 		return
 	}
 	var cd *candidate
@@ -90,7 +91,7 @@
 		if ts.placement != nil || ts.intent != nil || ts.lost.total()+len(ts.lost.unresolved) > 0 || !cr.needsIntent(st.job, ts) {
 			continue
 		}
-		// The tasks of a step stay together, so that its job's row names few workers.
+		// Tasks of a step are planned for the same worker, so that the job's row names few workers.
 		if cd == nil || !cd.fitsPlanned(st.spec) {
 			cd = rd.leastPlanned(st)
 		}
@@ -103,12 +104,12 @@
 	}
 }
 
-// fitsPlanned reports whether one more task of a step may be planned ahead for a worker.
+// fitsPlanned reports whether another task of a step may be planned for a worker.
 func (cd *candidate) fitsPlanned(st *job.Step) bool {
 	return cd.plannedRoom.Add(st.ResourceRequest()).Mul(plannedRoomDivisor).Fits(cd.info.Room)
 }
 
-// leastPlanned is the worker for which the least is planned ahead of those that may run one more task of a step; nil if there is none.
+// leastPlanned returns the worker with the least planned room among those that may run another task of a step, or nil.
 func (rd *round) leastPlanned(st *step) *candidate {
 	var best *candidate
 	for _, cd := range rd.usable {
@@ -123,7 +124,7 @@
 	return best
 }
 
-// removeIntent gives up the intent of a task.
+// removeIntent removes the intent of a task.
 func (cr *Core) removeIntent(ts *taskState) {
 	if ts.intent == nil {
 		return
@@ -132,7 +133,7 @@
 	ts.intent = nil
 }
 
-// cancelIntent gives up an intent that did not become a start, which a next owner is to know.
+// cancelIntent removes an intent that was not followed by a start, and saves that for the next owner.
 func (cr *Core) cancelIntent(st *step, at int) {
 	if st.tasks[at].intent != nil {
 		cr.removeIntent(&st.tasks[at])
@@ -140,7 +141,7 @@
 	}
 }
 
-// reserveIntents keeps room free for the starts that wait to be kept.
+// reserveIntents reserves room for the starts whose intents are not saved yet.
 func (cr *Core) reserveIntents(rd *round) {
 	cr.intents = slices.DeleteFunc(cr.intents, func(in *intent) bool {
 		ts := &in.step.tasks[in.index]
@@ -160,7 +161,7 @@
 	}
 }
 
-// reserveIntent keeps the room of an intent from other tasks, and a suspect's worker from all but those of its job.
+// reserveIntent reserves the room of an intent. For a suspect it also keeps tasks of other jobs off the worker.
 func (rd *round) reserveIntent(in *intent) {
 	cd := rd.candidate(in.worker)
 	if cd == nil || in.roomReserved {
@@ -173,7 +174,7 @@
 	cd.free = cd.free.Sub(in.reservedRoom)
 }
 
-// releaseIntent gives the room of an intent back, for the task itself.
+// releaseIntent returns the room of an intent, for use by the task itself.
 func (rd *round) releaseIntent(in *intent) {
 	if in == nil || !in.roomReserved {
 		return
@@ -184,7 +185,7 @@
 	}
 }
 
-// candidate finds a usable worker by its name; nil if there is none.
+// candidate returns the usable worker with an ID, or nil.
 func (rd *round) candidate(id WorkerID) *candidate {
 	if rd.byID == nil {
 		rd.byID = make(map[WorkerID]*candidate, len(rd.usable))
@@ -195,8 +196,8 @@
 	return rd.byID[id]
 }
 
-// pick chooses the worker for a task: the one that is kept for it if it still fits, otherwise the best. It returns nil if none has room, or if
-// the task waits for room on the worker that is kept for it.
+// pick returns the worker for a task: the worker of its intent if the task still fits there, otherwise the best one. It returns nil if no worker
+// has room, or if the task waits for room on the worker of its intent.
 func (cr *Core) pick(rd *round, st *step, at int) *candidate {
 	ts := &st.tasks[at]
 	if in := ts.intent; in != nil {
@@ -214,7 +215,8 @@
 	return cr.bestCandidate(rd.now, st, at, rd.usable)
 }
 
-// ensureGangIntents reports whether all members of a gang may be started on the workers chosen; if that is to be kept first, it sees to it.
+// ensureGangIntents reports whether all members of a gang may be started on the chosen workers. If that needs intents, ensureGangIntents creates
+// them and returns false until they are saved.
 func (cr *Core) ensureGangIntents(rd *round, st *step, members []int, chosen []*candidate) bool {
 	cautious := false
 	for _, at := range members {
@@ -235,15 +237,16 @@
 	return all
 }
 
-// NoteUnseenLosses tells up to which owner, none included, tasks may have been lost with workers that no owner saw again.
+// NoteUnseenLosses records that jobs accepted before an epoch may have lost tasks with workers that no owner saw again.
 func (cr *Core) NoteUnseenLosses(epoch job.Epoch) {
 	cr.unseenLossEpoch = max(cr.unseenLossEpoch, epoch)
 }
 
-// UnseenLossEpoch is what is to be told a next owner of that; 0 once none of the jobs of that time is open.
+// UnseenLossEpoch returns the epoch before which jobs may have lost tasks unseen, to be passed to the next owner. It returns 0 once no job
+// accepted before it is open.
 func (cr *Core) UnseenLossEpoch() job.Epoch {
 	old := func(js *jobState) bool { return js.spec.Epoch < cr.unseenLossEpoch }
-	// Before the first plan the jobs may not be known.
+	// The jobs may not be loaded before the first plan.
 	if !cr.plannedAt.IsZero() && !slices.ContainsFunc(cr.openJobs, old) {
 		return 0
 	}
--- a/cell/keep.go
+++ b/cell/keep.go
@@ -7,7 +7,7 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// progress is what is to be kept of a job now.
+// progress returns the progress of a job to be saved.
 func (js *jobState) progress() *job.Progress {
 	pg := &job.Progress{State: js.state, CompletedRuns: slices.Clone(js.runsDone)}
 	if js.state.Ended() {
@@ -25,7 +25,7 @@
 	return pg
 }
 
-// save adds a step to what is kept.
+// save adds a step to the progress to be saved.
 func (st *step) save(pg *job.Progress) {
 	var bits job.Bitset
 	for at := range st.tasks {
@@ -63,7 +63,7 @@
 	}
 }
 
-// saveUnresolved adds the workers on which a next owner may find a task gone.
+// saveUnresolved adds the workers on which the next owner may not find a task any more.
 func (st *step) saveUnresolved(pg *job.Progress, at int) {
 	key := job.StepKey(st.run, st.index)
 	for _, id := range st.tasks[at].unresolvedLosses().unresolved {
@@ -81,7 +81,7 @@
 	}
 }
 
-// restoreUnresolved takes the workers of which it is not known what became of tasks there.
+// restoreUnresolved restores the workers on which the outcome of attempts is unknown.
 func (st *step) restoreUnresolved(pg *job.Progress) {
 	key := job.StepKey(st.run, st.index)
 	for _, id := range slices.Sorted(maps.Keys(pg.Unresolved)) {
--- a/cell/left.go
+++ b/cell/left.go
@@ -8,26 +8,26 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// Attempts of which it is not known what became of them, since their worker fell silent or their owner is another now, and workers whose end is
-// still to be kept.
+// Attempts whose outcome is unknown because their worker stopped answering or the cell changed owners, and lost workers whose loss is not yet
+// saved for all affected jobs.
 
-// chargeUnresolved charges tasks that an earlier owner had left on a worker whose life has ended.
+// chargeUnresolved charges the loss of a worker to tasks that earlier owners, or expired leases, left on it with an unknown outcome.
 func (cr *Core) chargeUnresolved(now time.Time, id WorkerID) {
 	for _, js := range cr.openJobs {
 		for st, at := range js.unresolvedOn(id) {
-			// It may have ended well before its worker did.
+			// The attempt may have ended well before its worker.
 			cr.chargeUnplaced(now, st, at, id, evidence{})
 		}
 	}
 }
 
-// chargeUnplaced charges a task that is not placed here with the end of a worker.
+// chargeUnplaced charges the loss of a worker to a task that this owner has not placed on it.
 func (cr *Core) chargeUnplaced(now time.Time, st *step, at int, id WorkerID, ev evidence) {
 	tk := job.Task{Job: st.job.spec.ID, Run: st.run, Step: st.index, Index: at}
 	cr.charge(now, &placement{task: tk, step: st, worker: &worker{info: Worker{ID: id}}, attempt: st.tasks[at].attempt}, ev)
 }
 
-// unresolvedOn goes through the tasks of a job of which it is not known what became of an attempt on a worker.
+// unresolvedOn iterates over the tasks of a job that have an attempt with an unknown outcome on a worker.
 func (js *jobState) unresolvedOn(id WorkerID) iter.Seq2[*step, int] {
 	return func(yield func(*step, int) bool) {
 		if !js.hasOpenLosses {
@@ -45,7 +45,7 @@
 	}
 }
 
-// clearUnresolved takes the worker's life as proof that no attempt which an earlier owner left there has ended it.
+// clearUnresolved marks the unresolved attempts on a worker as resolved. Since the worker is alive, none of them has crashed it.
 func (cr *Core) clearUnresolved(id WorkerID) {
 	for _, js := range cr.openJobs {
 		for st, at := range js.unresolvedOn(id) {
@@ -55,13 +55,13 @@
 	}
 }
 
-// reconcileUnresolved judges the attempts that an earlier owner left of a job that was read just now, by what is known of their workers already.
+// reconcileUnresolved resolves unresolved attempts of a job that was just loaded, as far as the state of their workers is known.
 func (cr *Core) reconcileUnresolved(js *jobState) {
 	for _, rn := range js.runs {
 		for _, st := range rn.steps {
 			for at := range st.tasks {
 				for _, id := range slices.Clone(st.tasks[at].lost.unresolved) {
-					// One that no owner names any more is one whose end was kept as far as it concerned the job.
+					// A worker is missing from the cell's row only if its loss was saved for all jobs concerned.
 					if wk := cr.workers[id]; wk == nil || wk.fenced && wk.failedPolls == 0 {
 						st.tasks[at].lost.resolve(id)
 						cr.markDirty(js)
@@ -72,20 +72,20 @@
 	}
 }
 
-// resolve notes that it is known what became of the attempt on a worker.
+// resolve marks the outcome of the attempt on a worker as known.
 func (lo *losses) resolve(id WorkerID) {
 	lo.unresolved = slices.DeleteFunc(slices.Clone(lo.unresolved), func(other WorkerID) bool { return other == id })
 }
 
-// markUnresolved notes that it is not known what became of the attempt on a worker.
+// markUnresolved marks the outcome of the attempt on a worker as unknown.
 func (lo *losses) markUnresolved(id WorkerID) {
 	if !slices.Contains(lo.unresolved, id) {
 		lo.unresolved = append(slices.Clone(lo.unresolved), id)
 	}
 }
 
-// saveAfterConnBreaks has a next owner know what was on a worker whose connections broke twice: it may have ended, and nobody else can tell what it ran.
-// After a mere reset the second call is answered.
+// saveAfterConnBreaks saves what was on a worker after its connections broke twice in a row. The worker may have ended, and the next owner has no
+// other way to learn what ran on it. After a mere connection reset the second call is answered.
 func (cr *Core) saveAfterConnBreaks(wk *worker) {
 	if !wk.connBroken || wk.failedPolls != connBreaksBeforeSave {
 		return
@@ -96,7 +96,7 @@
 	cr.urgentSave = true
 }
 
-// unresolvedLosses are the workers on which a next owner may find the task gone.
+// unresolvedLosses returns the losses of a task, with the workers on which the next owner may not find it any more as unresolved.
 func (ts *taskState) unresolvedLosses() losses {
 	lo := ts.lost
 	if in := ts.intent; in != nil {
@@ -108,14 +108,15 @@
 	return lo
 }
 
-// pendingLoss is a worker whose end is still to be kept of some jobs. Until then a next owner is to look for it.
+// pendingLoss is a lost worker whose loss is not yet saved for all affected jobs. Until then the cell's row names it, so that the next owner
+// looks for it.
 type pendingLoss struct {
 	worker WorkerRef
-	// jobs are those jobs, with the state from which on it is kept.
+	// jobs maps the affected jobs to the generation of their progress that contains the loss.
 	jobs map[*jobState]int
 }
 
-// affectedJobs are the jobs of which something is, or may be, on a worker.
+// affectedJobs returns the jobs that have, or may have, attempts on a worker.
 func (cr *Core) affectedJobs(id WorkerID, victims []*placement) []*jobState {
 	var list []*jobState
 	for _, pl := range victims {
@@ -129,18 +130,18 @@
 	return list
 }
 
-// trackPendingLoss has the cell's row name a worker that is forgotten until what its end meant for some jobs is kept.
+// trackPendingLoss keeps a removed worker in the cell's row until its loss is saved for the affected jobs.
 func (cr *Core) trackPendingLoss(wk *worker, jobs []*jobState) {
-	gv := pendingLoss{worker: wk.endedRef(), jobs: map[*jobState]int{}}
+	pe := pendingLoss{worker: wk.endedRef(), jobs: map[*jobState]int{}}
 	for _, js := range jobs {
-		gv.jobs[js] = js.gen
+		pe.jobs[js] = js.gen
 	}
-	cr.pendingLosses = append(cr.pendingLosses, gv)
+	cr.pendingLosses = append(cr.pendingLosses, pe)
 }
 
-// unsaved reports whether its end is still to be kept of a job.
-func (gv pendingLoss) unsaved() bool {
-	for js, gen := range gv.jobs {
+// unsaved reports whether the loss is not yet saved for one of the jobs.
+func (pe pendingLoss) unsaved() bool {
+	for js, gen := range pe.jobs {
 		if js.savedGen < gen {
 			return true
 		}
--- a/cell/life.go
+++ b/cell/life.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// incarnationSeparator parts a worker's name from when its life began, in the name of the life.
+	// incarnationSeparator separates the name of a worker from its start time in a WorkerID.
 	incarnationSeparator = "~"
-	// startTimeBase is the base of that number, so that rows and messages, which name many lives, stay short.
+	// startTimeBase is the base of the start time in a WorkerID. It keeps rows and messages short, which name many workers.
 	startTimeBase = 36
-	// lateStartWindow is for how long after it was given an order without an answer may be carried out; the users' pages say seconds.
+	// lateStartWindow is how long after it was sent an unanswered order may still be carried out. The platform's documentation only says seconds.
 	lateStartWindow = 12 * time.Second
-	// maxLateRun is the longest time that what was carried out so late then runs without another lease: workers cut a longer one down.
+	// maxLateRun is the longest time that an attempt started so late runs without another lease, since workers cut longer leases down.
 	maxLateRun = 10 * time.Second
 )
 
-// NewWorkerID names a life of a worker by when it began, in milliseconds since 1970; 0 where that is not told and each life has a name of its own.
+// NewWorkerID returns the ID of the incarnation of a worker that started at a time, in milliseconds since 1970. The time is 0 if it is unknown
+// and each incarnation has a name of its own.
 func NewWorkerID(name WorkerName, born int64) WorkerID {
 	if born == 0 && !strings.Contains(string(name), incarnationSeparator) {
 		return WorkerID(name)
@@ -26,13 +27,13 @@
 	return WorkerID(string(name) + incarnationSeparator + strconv.FormatInt(born, startTimeBase))
 }
 
-// Name is the worker's, whatever its life.
+// Name returns the name of the worker, which all its incarnations share.
 func (id WorkerID) Name() WorkerName {
 	name, _ := id.split()
 	return name
 }
 
-// StartMillis is when the life began, in milliseconds since 1970; 0 if that is not told.
+// StartMillis returns when the incarnation started, in milliseconds since 1970, or 0 if that is unknown.
 func (id WorkerID) StartMillis() int64 {
 	_, born := id.split()
 	return born
@@ -45,16 +46,16 @@
 	}
 	born, err := strconv.ParseInt(string(id[at+len(incarnationSeparator):]), startTimeBase, 64)
 	if err != nil {
-		// A name that some row or message made up: it is nobody's life.
+		// The ID was not made by NewWorkerID and names no incarnation.
 		return WorkerName(id), 0
 	}
 	return WorkerName(id[:at]), born
 }
 
-// reusesName reports whether the worker may start again under the name that this life has, so that an order meant for this life may reach another.
+// reusesName reports whether the worker may start again under the same name, so that an order for this incarnation may reach another one.
 func (id WorkerID) reusesName() bool { return id.StartMillis() != 0 }
 
-// incarnations are those of a worker that are known of, as a rule one.
+// incarnations returns the known incarnations of a worker. There is usually one.
 func (cr *Core) incarnations(name WorkerName) []*worker {
 	var list []*worker
 	for _, wk := range cr.sortedWorkers {
@@ -75,8 +76,8 @@
 	return false
 }
 
-// tokenCounterOf is that of the tokens for a life. It goes on from that of the former lives under the name, so that the first look at a new one makes
-// void there what was ordered of them without an answer.
+// tokenCounterOf returns the token counter for an incarnation. It continues the counter of former incarnations of the same name, so that the
+// first poll of the new one invalidates unanswered orders to them.
 func (cr *Core) tokenCounterOf(id WorkerID) *Token {
 	name := id.Name()
 	counter, former := cr.tokenCounters[name]
@@ -89,10 +90,10 @@
 	return counter
 }
 
-// lateStart is a start that had no answer before its worker's life was over. The next life under the name knows nothing that would make it void.
+// lateStart is a start that was unanswered when its worker's incarnation ended. The next incarnation has seen no token that would invalidate it.
 type lateStart struct {
 	name WorkerName
-	// former is the life that it was ordered of.
+	// former is the incarnation to which the start was sent.
 	former    WorkerRef
 	token     Token
 	task      *taskState
@@ -100,72 +101,74 @@
 	expiresAt time.Time
 }
 
-// trackLateStart keeps a task whose start had no answer from being started elsewhere until no life of the worker can carry that start out any more.
+// trackLateStart keeps a task with an unanswered start from being started elsewhere until no incarnation of the worker can carry out that start
+// any more.
 func (cr *Core) trackLateStart(now time.Time, pl *placement) {
 	until := pl.orderedAt.Add(lateStartWindow)
 	if !pl.ackedAt.IsZero() || !pl.worker.info.ID.reusesName() || !now.Before(until) {
 		return
 	}
-	sy := &lateStart{name: pl.worker.name, former: pl.worker.endedRef(), token: pl.token, task: &pl.step.tasks[pl.task.Index], job: pl.step.job, expiresAt: until}
-	sy.task.stray = sy
-	cr.lateStarts = append(cr.lateStarts, sy)
-	for _, wk := range cr.incarnations(sy.name) {
+	ls := &lateStart{name: pl.worker.name, former: pl.worker.endedRef(), token: pl.token, task: &pl.step.tasks[pl.task.Index], job: pl.step.job, expiresAt: until}
+	ls.task.stray = ls
+	cr.lateStarts = append(cr.lateStarts, ls)
+	for _, wk := range cr.incarnations(ls.name) {
 		if wk != pl.worker && wk.fenced {
-			cr.resolveLateStarts(sy.name, cr.token(wk))
+			cr.resolveLateStarts(ls.name, cr.token(wk))
 		}
 	}
 }
 
-// resolveLateStarts lets the tasks go on whose stray starts are void, since a life under the name has seen a higher token.
+// resolveLateStarts releases the tasks whose late starts are void because an incarnation of the worker has seen a higher token.
 func (cr *Core) resolveLateStarts(name WorkerName, seen Token) {
 	if len(cr.lateStarts) == 0 {
 		return
 	}
-	cr.lateStarts = slices.DeleteFunc(cr.lateStarts, func(sy *lateStart) bool {
-		if sy.task.stray != sy || sy.job.ended() {
+	cr.lateStarts = slices.DeleteFunc(cr.lateStarts, func(ls *lateStart) bool {
+		if ls.task.stray != ls || ls.job.ended() {
 			return true
 		}
-		if sy.name != name || sy.token >= seen {
+		if ls.name != name || ls.token >= seen {
 			return false
 		}
-		sy.task.stray, sy.job.fullyPlaced = nil, false
+		ls.task.stray, ls.job.fullyPlaced = nil, false
 		cr.rowOutdated = true
 		return true
 	})
 }
 
-// endedRef is a worker's life as one that is known to be over.
+// endedRef returns a reference to the worker's incarnation that marks it as ended.
 func (wk *worker) endedRef() WorkerRef {
 	return WorkerRef{ID: wk.info.ID, Address: wk.info.Address, Machine: wk.info.Machine, Ended: true}
 }
 
-// lateStartUntil is until when a start that was ordered of a life may be carried out by the next one; zero for none.
+// lateStartUntil returns until when a start sent to an incarnation may be carried out by the next one, or zero if there is none.
 func (cr *Core) lateStartUntil(id WorkerID) time.Time {
 	var until time.Time
-	for _, sy := range cr.lateStarts {
-		if sy.former.ID == id {
-			until = latest(until, sy.expiresAt)
+	for _, ls := range cr.lateStarts {
+		if ls.former.ID == id {
+			until = latest(until, ls.expiresAt)
 		}
 	}
 	return until
 }
 
-// expireLateStarts forgets strays that no life can carry out any more.
+// expireLateStarts removes late starts that no incarnation can carry out any more.
 func (cr *Core) expireLateStarts(now time.Time) {
-	cr.lateStarts = slices.DeleteFunc(cr.lateStarts, func(sy *lateStart) bool {
-		if sy.task.stray == sy && (now.Before(sy.expiresAt) || cr.mayRunLate(now, sy.former.ID, sy.expiresAt)) {
+	cr.lateStarts = slices.DeleteFunc(cr.lateStarts, func(ls *lateStart) bool {
+		if ls.task.stray == ls && (now.Before(ls.expiresAt) || cr.mayRunLate(now, ls.former.ID, ls.expiresAt)) {
 			return false
 		}
-		if sy.task.stray == sy {
-			sy.task.stray, sy.job.fullyPlaced = nil, false
+		if ls.task.stray == ls {
+			ls.task.stray, ls.job.fullyPlaced = nil, false
 		}
 		cr.rowOutdated = true
 		return true
 	})
 }
 
-// recordDeparture notes that the life of a worker of earlier owners has ended. What they started there is over, but its next life may carry out what they
-// ordered, or may have done so before this owner knew of it. It waits to be confirmed in any case, since a later owner may have taken note of ends.
+// recordDeparture records that a worker of earlier owners has ended. Their attempts on it are over, but its next incarnation may still carry out
+// their orders, or may have done so before this owner knew of it. The worker remains unresolved until the ownership is confirmed, since a later
+// owner may have seen ended attempts.
 func (cr *Core) recordDeparture(now time.Time, wk *worker) {
 	at, open := cr.unresolved[wk.info.ID]
 	if !open {
@@ -186,8 +189,8 @@
 	cr.unresolved[wk.info.ID], cr.departed[wk.info.ID] = over, wk.endedRef()
 }
 
-// resolveDeparted resolves former lives of a worker that has answered a look: it does nothing any more that was ordered by earlier owners, and has
-// listed what it did before.
+// resolveDeparted resolves former incarnations of a worker that has answered a poll. It carries out no more orders of earlier owners, and has
+// listed the attempts that it started before.
 func (cr *Core) resolveDeparted(now time.Time, wk *worker) {
 	for id := range cr.departed {
 		if id.Name() == wk.name && id != wk.info.ID && cr.workers[id] == nil {
@@ -196,8 +199,8 @@
 	}
 }
 
-// mayRunLate reports whether a later life under the name, of which no answer has come, may have carried out before a time what was ordered of a
-// former one, and may still be at it.
+// mayRunLate reports whether a later incarnation of the worker, which has not answered yet, may have carried out an order to the former one
+// before a given time, and may still be running the attempt.
 func (cr *Core) mayRunLate(now time.Time, id WorkerID, until time.Time) bool {
 	if !id.reusesName() || now.Sub(until) >= maxLateRun {
 		return false
@@ -210,8 +213,8 @@
 	return false
 }
 
-// extendInheritedLease takes it that an order of the former life has prolonged the leases on a worker that began lately: it may have been carried out before the
-// first look, and its time is one on the former life's clock, so that only the longest lease bounds it.
+// extendInheritedLease assumes that an order to the former incarnation has extended leases on a worker that started recently. The order may have
+// been carried out before the first poll. Its lease time is on the former incarnation's clock, so only the maximum lease bounds it.
 func (cr *Core) extendInheritedLease(wk *worker, looked time.Time) {
 	if !wk.info.ID.reusesName() {
 		return
--- a/cell/life_test.go
+++ b/cell/life_test.go
@@ -17,8 +17,8 @@
 	// i-2 i~3
 }
 
-// lifeBed is a bed whose one worker started again, with both lives known.
-func lifeBed(t *testing.T) (bd *testBed, first, second Worker) {
+// newIncarnationBed returns a testbed whose only worker was restarted, with both incarnations known.
+func newIncarnationBed(t *testing.T) (bd *testBed, first, second Worker) {
 	t.Helper()
 	bd = newTestBed(t, 1)
 	first, second = bd.core.sortedWorkers[0].info, bd.core.sortedWorkers[0].info
@@ -32,9 +32,10 @@
 	return bd, first, second
 }
 
-// The machine of a worker that had started again was taken for empty since the former life was, and tasks of the new one were stopped with it.
+// Guards against taking the machine of a restarted worker for empty because the former incarnation was: tasks of the new one were stopped with
+// the machine.
 func TestWorkerIsClearOnceAllItsLivesAre(t *testing.T) {
-	bd, first, second := lifeBed(t)
+	bd, first, second := newIncarnationBed(t)
 	for _, lk := range pollsByWorker(bd.plan()) {
 		bd.answerPoll(lk, nil, nil)
 	}
@@ -53,9 +54,10 @@
 	}
 }
 
-// What was ordered of a former life under a token could be carried out by the next one after it had been looked at under the same token.
+// Guards against tokens that repeat across incarnations. An order to a former incarnation could be carried out by the next one after a poll with
+// the same token.
 func TestFirstLookAtTheNextLifeIsAboveAllOrdersOfTheFormer(t *testing.T) {
-	bd, first, second := lifeBed(t)
+	bd, first, second := newIncarnationBed(t)
 	tokens := map[WorkerID]Token{}
 	for _, lk := range pollsByWorker(bd.plan()) {
 		tokens[lk.Worker] = max(tokens[lk.Worker], lk.Token)
@@ -72,8 +74,8 @@
 	}
 }
 
-// A worker ended with a start on its way, and its next life carried the start out before another owner took over, which could not reach that life.
-// It took the former life's end for the end of what had been ordered there, and started the task a second time.
+// Guards against starting a task twice. A worker ended while a start was in flight, and its next incarnation carried out the start before another
+// owner took over that could not reach it. That owner took the end of the former incarnation for the end of everything ordered from it.
 func TestNextLifeIsLookedAtBeforeASuccessorStartsWhatTheFormerMayHave(t *testing.T) {
 	for _, looked := range []bool{true, false} {
 		bd := newTestBed(t, 2)
@@ -89,7 +91,7 @@
 		bd.advance(time.Second)
 		lks := pollsByWorker(bd.plan())
 		bd.advance(10 * time.Millisecond)
-		// What is exposed is kept in the first round and would start in the second.
+		// Intents for unseen losses are saved in the first round and would start in the second.
 		if got := len(startsIn(append(bd.plan(), bd.plan()...))); got != 0 {
 			t.Fatalf("%d tasks start while the next life may be at them", got)
 		}
@@ -111,8 +113,8 @@
 	}
 }
 
-// An owner that waited for a start without an answer was replaced. The cell's row did not name the life any more of which it had been ordered, so
-// that nobody waited.
+// Guards against losing late starts in a handover. An owner that waited for an unanswered start was replaced, and the cell's row no longer named
+// the incarnation that it had been sent to, so that the next owner did not wait.
 func TestSuccessorIsToldOfStartsThatTheNextLifeMayCarryOut(t *testing.T) {
 	bd := newTestBed(t, 1)
 	first := bd.core.sortedWorkers[0].info
@@ -143,8 +145,9 @@
 	}
 }
 
-// An order of a worker's former life was carried out by the next one, which took the time in it for one on its own clock: its leases ran for ten
-// seconds. An owner that had given it five, and heard no more of it, started its tasks elsewhere while they ran.
+// Guards against leases that run longer than assumed. An order to a worker's former incarnation was carried out by the next one, which read the
+// lease time on its own clock: its leases ran for ten seconds. The owner had granted five, got no more answers, and started the tasks elsewhere
+// while they still ran.
 func TestLeaseOfALifeThatBeganLatelyMayBeLonger(t *testing.T) {
 	for age, lapses := range map[time.Duration]bool{time.Second: false, time.Minute: true} {
 		bd := newTestBed(t, 2)
--- a/cell/look.go
+++ b/cell/look.go
@@ -7,80 +7,80 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// minAnswerTimeout is the least time that an answer is waited for beyond the time for which a worker may hold it back; a call that ends
-// without one sooner was broken off.
+// minAnswerTimeout is the minimum time that a call waits for an answer beyond the time for which the worker may hold it. A call that fails sooner
+// had its connection broken.
 const minAnswerTimeout = 300 * time.Millisecond
 
-// HandlePoll takes the result of a look.
-func (cr *Core) HandlePoll(now time.Time, lk PollResult) {
-	wk, ok := cr.workers[lk.Worker]
+// HandlePoll handles the result of a poll.
+func (cr *Core) HandlePoll(now time.Time, pr PollResult) {
+	wk, ok := cr.workers[pr.Worker]
 	if !ok {
 		return
 	}
 	wk.polling = false
-	switch lk.Outcome {
+	switch pr.Outcome {
 	case Done:
-		cr.handleReport(now, wk, lk)
+		cr.handleReport(now, wk, pr)
 	case WrongIncarnation:
-		cr.handleWorkerEnd(now, wk, "another life answers", lk.Token)
+		cr.handleWorkerEnd(now, wk, "another incarnation answers", pr.Token)
 	case Superseded:
-		if !cr.handleSuperseded(wk, lk.Token) {
+		if !cr.handleSuperseded(wk, pr.Token) {
 			wk.nextPoll = now
 		}
 	default:
-		cr.handleUnanswered(now, wk, lk)
+		cr.handleUnanswered(now, wk, pr)
 	}
 }
 
-// handleUnanswered takes a look that had no answer.
-func (cr *Core) handleUnanswered(now time.Time, wk *worker, lk PollResult) {
+// handleUnanswered handles a poll without an answer.
+func (cr *Core) handleUnanswered(now time.Time, wk *worker, pr PollResult) {
 	wk.failedPolls++
-	wk.failedPollSentAt = lk.Sent
+	wk.failedPollSentAt = pr.Sent
 	wk.nextPoll = now.Add(min(maxPollBackoff, minPollBackoff<<min(wk.failedPolls-1, 4)))
 	if wk.failedPolls == 1 {
-		wk.firstFailedAt, wk.connBroken = lk.Received, lk.Received.Sub(lk.Sent) < lk.Wait+minAnswerTimeout
+		wk.firstFailedAt, wk.connBroken = pr.Received, pr.Received.Sub(pr.Sent) < pr.Wait+minAnswerTimeout
 		if wk.connBroken {
 			cr.recordConnBreak(wk.info.ID, wk.firstFailedAt)
 		}
-		cr.opts.Log(Decision{What: "worker silent", Worker: wk.info.ID, Token: lk.Token, Why: lk.Outcome.String(), PollAge: now.Sub(wk.polledAt)})
+		cr.opts.Log(Decision{What: "worker silent", Worker: wk.info.ID, Token: pr.Token, Why: pr.Outcome.String(), PollAge: now.Sub(wk.polledAt)})
 	}
 	cr.saveAfterConnBreaks(wk)
 }
 
-// handleReport takes what a worker says of itself.
-func (cr *Core) handleReport(now time.Time, wk *worker, lk PollResult) {
-	wk.observeClock(lk.Clock, lk.Received)
-	cr.link.recordAnswer(lk.Received)
-	wk.failedPolls, wk.polledAt, wk.aliveAt = 0, lk.Received, latest(wk.aliveAt, lk.Sent)
+// handleReport handles what a worker reports in its answer to a poll.
+func (cr *Core) handleReport(now time.Time, wk *worker, pr PollResult) {
+	wk.observeClock(pr.Clock, pr.Received)
+	cr.link.recordAnswer(pr.Received)
+	wk.failedPolls, wk.polledAt, wk.aliveAt = 0, pr.Received, latest(wk.aliveAt, pr.Sent)
 	cr.releaseSuspects(now, wk)
 	wk.nextPoll = now.Add(cr.opts.PollInterval)
-	wk.confirmedAck = max(wk.confirmedAck, lk.AckedEnd)
+	wk.confirmedAck = max(wk.confirmedAck, pr.AckedEnd)
 	first := !wk.fenced
 	if first {
 		if wk.fencedAt.IsZero() {
-			cr.extendInheritedLease(wk, lk.Received)
+			cr.extendInheritedLease(wk, pr.Received)
 		}
-		wk.busyAt, wk.fencedAt = now, lk.Received
+		wk.busyAt, wk.fencedAt = now, pr.Received
 	}
 	wk.fenced = true
-	if lk.Token == cr.token(wk) {
+	if pr.Token == cr.token(wk) {
 		wk.startUnsettled = false
 	}
-	cr.resolveLateStarts(wk.name, lk.Token)
+	cr.resolveLateStarts(wk.name, pr.Token)
 	cr.resolveDeparted(now, wk)
-	listed := make(map[job.Task]*Running, len(lk.Running))
-	for at := range lk.Running {
-		listed[lk.Running[at].Task] = &lk.Running[at]
+	listed := make(map[job.Task]*Running, len(pr.Running))
+	for at := range pr.Running {
+		listed[pr.Running[at].Task] = &pr.Running[at]
 	}
-	cr.handleEnds(now, wk, lk.Ended)
-	for _, rn := range lk.Running {
+	cr.handleEnds(now, wk, pr.Ended)
+	for _, rn := range pr.Running {
 		cr.handleRunning(now, wk, rn)
 	}
 	for _, pl := range wk.placed {
 		if listed[pl.task] != nil && listed[pl.task].Attempt == pl.attempt {
 			continue
 		}
-		cr.handleUnlisted(now, wk, pl, lk)
+		cr.handleUnlisted(now, wk, pl, pr)
 	}
 	for tk := range wk.foreign {
 		if listed[tk] == nil {
@@ -91,22 +91,22 @@
 		cr.clearUnresolved(wk.info.ID)
 	}
 	if first || !wk.recorded {
-		cr.resolve(now, wk.info.ID, "looked at")
+		cr.resolve(now, wk.info.ID, "polled")
 	}
 }
 
-// handleUnlisted handles a placement that the worker does not list.
-func (cr *Core) handleUnlisted(now time.Time, wk *worker, pl *placement, lk PollResult) {
+// handleUnlisted handles a placement that the worker does not list as running.
+func (cr *Core) handleUnlisted(now time.Time, wk *worker, pl *placement, pr PollResult) {
 	switch {
-	case pl.phase == uncertain && pl.token < lk.Token:
-		// The worker has seen a higher token than the start's, so the start can never happen.
-		cr.release(now, pl, "start without an answer did not happen")
-	case (pl.phase == running || pl.phase == stopping) && !pl.ackedAt.IsZero() && pl.ackedAt.Before(lk.Sent) && len(lk.Ended) < maxListedEnds:
-		cr.release(now, pl, "not listed any more")
+	case pl.phase == uncertain && pl.token < pr.Token:
+		// The worker has seen a higher token than that of the start, so the start can no longer be carried out.
+		cr.release(now, pl, "unanswered start was not carried out")
+	case (pl.phase == running || pl.phase == stopping) && !pl.ackedAt.IsZero() && pl.ackedAt.Before(pr.Sent) && len(pr.Ended) < maxListedEnds:
+		cr.release(now, pl, "no longer listed by the worker")
 	}
 }
 
-// handleRunning takes one attempt that the worker lists as running.
+// handleRunning handles an attempt that the worker lists as running.
 func (cr *Core) handleRunning(now time.Time, wk *worker, rn Running) {
 	pl := wk.placements[rn.Task]
 	if pl == nil {
@@ -132,7 +132,7 @@
 	}
 }
 
-// adoptRun takes over an attempt that an earlier owner started, or returns nil if the task has no use for it.
+// adoptRun takes over an attempt that an earlier owner started. It returns nil if the task does not need the attempt.
 func (cr *Core) adoptRun(now time.Time, wk *worker, rn Running) *placement {
 	st := cr.findStep(rn.Task)
 	if st == nil || st.job.ended() {
@@ -147,7 +147,7 @@
 	pl.intentSaved = slices.Contains(ts.lost.unresolved, wk.info.ID)
 	ts.lost.resolve(wk.info.ID)
 	if st.spec.BestEffort {
-		// How far an earlier owner throttled it is not known.
+		// The throttle set by an earlier owner is unknown.
 		pl.throttle = throttleUnknown
 	}
 	ts.placement = pl
@@ -156,40 +156,40 @@
 	return pl
 }
 
-// handleEnds takes ends in the order in which the worker numbers them.
+// handleEnds handles the ended attempts that a worker lists, in the order of their numbers.
 func (cr *Core) handleEnds(now time.Time, wk *worker, ends []End) {
 	for _, en := range ends {
 		if en.Number <= wk.lastEndRead {
 			continue
 		}
 		wk.lastEndRead = en.Number
-		he := unackedEnd{number: en.Number, end: en}
+		ue := unackedEnd{number: en.Number, end: en}
 		if st := cr.findStep(en.Task); st != nil {
 			cr.handleEnd(now, wk, st, en)
-			he.job, he.gen = st.job, st.job.gen
+			ue.job, ue.gen = st.job, st.job.gen
 		} else if js := cr.jobs[en.Task.Job]; js != nil {
-			// Its run is over already, which is to be kept first.
-			he.job, he.gen = js, js.gen
+			// The run has already completed, which must be saved first.
+			ue.job, ue.gen = js, js.gen
 		} else {
-			he.unknownSince = now
+			ue.unknownSince = now
 		}
-		wk.unackedEnds = append(wk.unackedEnds, he)
+		wk.unackedEnds = append(wk.unackedEnds, ue)
 	}
 	cr.advanceAck(now, wk)
 }
 
-// advanceAck moves the acknowledgement past all ends whose effect is kept.
+// advanceAck advances the acknowledgement past all ended attempts whose effect is saved.
 func (cr *Core) advanceAck(now time.Time, wk *worker) {
 	for len(wk.unackedEnds) > 0 {
-		he := &wk.unackedEnds[0]
-		if he.job == nil && !he.unknownSince.IsZero() && (now.Sub(he.unknownSince) < 2*foreignTaskGrace || now.Sub(cr.confirmedAt) > foreignTaskGrace) {
-			// Its job may be on its way, the more so while the store does not answer.
+		ue := &wk.unackedEnds[0]
+		if ue.job == nil && !ue.unknownSince.IsZero() && (now.Sub(ue.unknownSince) < 2*foreignTaskGrace || now.Sub(cr.confirmedAt) > foreignTaskGrace) {
+			// The job may not have arrived yet, in particular while the store does not answer.
 			return
 		}
-		if he.job != nil && he.job.savedGen < he.gen {
+		if ue.job != nil && ue.job.savedGen < ue.gen {
 			return
 		}
-		wk.ackedEnd = he.number
+		wk.ackedEnd = ue.number
 		wk.unackedEnds = wk.unackedEnds[1:]
 	}
 }
--- a/cell/order.go
+++ b/cell/order.go
@@ -6,21 +6,21 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// Order is something that the shell is to do; its result comes back as an event.
+// Order is something that the caller of Plan has to carry out. Its result comes back as an event.
 type Order interface{ order() }
 
 // The orders.
 type (
-	// Poll renews leases at a worker, acknowledges ends, and reads what runs and what has ended.
+	// Poll renews the leases on a worker, acknowledges ended attempts, and reads the running and the ended ones.
 	Poll struct {
 		Worker  WorkerID
 		Address string
 		Token   Token
-		// LeaseUntil is the lease's end on the worker's clock; 0 leaves it.
+		// LeaseUntil is the end of the leases on the worker's clock. 0 leaves them unchanged.
 		LeaseUntil int64
-		// AckedEnd is the number of the newest end that is kept.
+		// AckedEnd is the number of the newest ended attempt whose effect is saved.
 		AckedEnd int64
-		// Wait is how long the worker may hold the answer back for an end.
+		// Wait is how long the worker may hold its answer until an attempt ends.
 		Wait time.Duration
 	}
 	// Start starts an attempt of a task.
@@ -31,7 +31,7 @@
 		Task    job.Task
 		Attempt job.Attempt
 		Payload string
-		// PayloadAt is the entry instance that has the payload as well; empty if none is known to.
+		// PayloadAt is the entry instance that also has the payload. It is empty if none is known.
 		PayloadAt  string
 		LeaseUntil int64
 		Checkpoint job.Checkpoint
@@ -45,7 +45,7 @@
 		Task    job.Task
 		Attempt job.Attempt
 	}
-	// Throttle throttles an attempt to a share of its work, in percent.
+	// Throttle limits an attempt to a percentage of its work.
 	Throttle struct {
 		Worker  WorkerID
 		Address string
@@ -54,7 +54,7 @@
 		Attempt job.Attempt
 		Percent int
 	}
-	// Save writes progress rows, all or none, if this owner still owns the cell and the rows have their versions.
+	// Save writes progress rows in one transaction, provided that this owner still owns the cell and the rows have the given versions.
 	Save struct{ Rows []SaveRow }
 	// SaveRow is one progress row.
 	SaveRow struct {
@@ -62,7 +62,7 @@
 		Version  int64
 		Progress *job.Progress
 	}
-	// RecordWorkers writes the workers that are used into the cell's row, with what Exposed says.
+	// RecordWorkers writes the workers in use and the result of UnseenLossEpoch to the cell's row.
 	RecordWorkers struct {
 		Workers         []WorkerRef
 		UnseenLossEpoch job.Epoch
@@ -84,57 +84,57 @@
 func (RecordWorkers) order() {}
 func (Advise) order()        {}
 
-// Outcome is what became of an order at a worker.
+// Outcome is the result of an order to a worker.
 type Outcome int
 
 // The outcomes.
 const (
-	// NoAnswer means that there was no answer: the order may have been carried out, or may be later.
+	// NoAnswer means that there was no answer. The order may have been carried out, or may still be.
 	NoAnswer Outcome = iota
-	// Done means that the worker answered that it did it.
+	// Done means that the worker has carried out the order.
 	Done
-	// NotSent means that the worker cannot have got it.
+	// NotSent means that the order cannot have reached the worker.
 	NotSent
 	// Superseded means that the worker has seen a higher token.
 	Superseded
-	// AttemptEnded means that the worker knows this attempt, or a later one, as ended.
+	// AttemptEnded means that the worker knows that this attempt, or a later one, has ended.
 	AttemptEnded
-	// LeaseExpired means that the lease had run out on the worker's clock.
+	// LeaseExpired means that the lease had expired on the worker's clock.
 	LeaseExpired
-	// NoRoom means that the worker has no room.
+	// NoRoom means that the worker has no room for the task.
 	NoRoom
-	// TicketInvalid means that the admission ticket does not hold.
+	// TicketInvalid means that the admission ticket is not valid.
 	TicketInvalid
-	// Unhealthy means that the worker did nothing, being unhealthy or busy.
+	// Unhealthy means that the worker did nothing because it is unhealthy or busy.
 	Unhealthy
-	// Invalid means that the worker cannot understand the order.
+	// Invalid means that the worker cannot interpret the order.
 	Invalid
-	// WrongIncarnation means that another life answers at the address.
+	// WrongIncarnation means that another incarnation of the worker answers at the address.
 	WrongIncarnation
-	// PayloadMissing means that the order was not sent, since its payload could not be had where it was to be carried out.
+	// PayloadMissing means that the order was not sent because its payload was not available at the instance that had to send it.
 	PayloadMissing
 )
 
-// String names the outcome for the log.
+// String returns the name of the outcome in the log.
 func (oc Outcome) String() string {
 	return [...]string{"silent", "done", "unsent", "overtaken", "stale", "late", "noRoom", "noTicket", "unwell", "invalid", "dead", "unprepared"}[oc]
 }
 
-// Running is one attempt that a worker lists as running.
+// Running is an attempt that a worker lists as running.
 type Running struct {
 	Task       job.Task
 	Attempt    job.Attempt
 	Checkpoint job.Checkpoint
-	// Progress is in percent.
+	// Progress is a percentage.
 	Progress int
-	// Metric is the tail latency in milliseconds for a serving task, thousandths of a core in use for others.
+	// Metric is the tail latency in milliseconds for a serving task, and the CPU in use in thousandths of a core for other tasks.
 	Metric int
 }
 
-// EndReason tells how an attempt ended.
+// EndReason is the way in which an attempt ended.
 type EndReason string
 
-// The ways in which attempts end.
+// The reasons for the end of an attempt.
 const (
 	EndDone         EndReason = "done"
 	EndFailed       EndReason = "failed"
@@ -142,11 +142,11 @@
 	EndLeaseExpired EndReason = "lapsed"
 	// EndGangBroken means that another member of the gang ended.
 	EndGangBroken EndReason = "broken"
-	// EndGangIncomplete means that the other members of the gang did not come.
+	// EndGangIncomplete means that the other members of the gang were not started.
 	EndGangIncomplete EndReason = "alone"
 )
 
-// End is one ended attempt that a worker lists.
+// End is an ended attempt that a worker lists.
 type End struct {
 	Number     int64
 	Task       job.Task
@@ -155,27 +155,27 @@
 	Checkpoint job.Checkpoint
 }
 
-// PollResult is the result of a look.
+// PollResult is the result of a poll.
 type PollResult struct {
 	Poll
 	Outcome        Outcome
 	Sent, Received time.Time
-	// Clock is the worker's, in milliseconds.
+	// Clock is the worker's clock in milliseconds.
 	Clock   int64
 	Running []Running
 	Ended   []End
 }
 
-// OrderResult is the result of a start, stop or pace.
+// OrderResult is the result of a start, stop or throttle order.
 type OrderResult struct {
 	Order          Order
 	Outcome        Outcome
 	Sent, Received time.Time
-	// Clock is the worker's, in milliseconds; 0 if the answer had none.
+	// Clock is the worker's clock in milliseconds. It is 0 if the answer contained none.
 	Clock int64
 }
 
-// Ticket is the advice service's permission for a worker.
+// Ticket is the advice service's permission to use a worker.
 type Ticket struct {
 	Worker WorkerID
 	Text   string
--- a/cell/outage_test.go
+++ b/cell/outage_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Rooms shrank, then the store was away for four seconds. Its owner was confirmed again a second before it heard of the registrations, and started
-// two tasks by the room that the worker had had before: "needs 1300, the worker has 7280, of which 6900 is taken", six seconds after the shrink.
+// Guards against starts based on old rooms. Rooms shrank, then the store was unreachable for four seconds. The ownership was confirmed again a
+// second before the owner read the registrations, and it started two tasks based on the former room, six seconds after the shrink: "needs 1300,
+// the worker has 7280, of which 6900 is taken".
 func TestNothingStartsByRoomsFromBeforeAnOutage(t *testing.T) {
 	bd := newTestBed(t, 1)
 	bd.core.OwnershipConfirmed(bd.now)
@@ -30,8 +31,9 @@
 	}
 }
 
-// The store came back, and with it the registrations, but each worker writes its own anew only with its next heartbeat: rooms that shrank before the
-// outage were told up to that much later. Until then a third of a room is counted on, and nothing is stopped for want of the rest.
+// Guards against counting on the whole room of an old registration. After an outage of the store each worker renews its registration with its
+// next heartbeat, so rooms that shrank before the outage are reported up to that much later. Until then a third of a room is counted on, and
+// nothing is stopped for lack of the rest.
 func TestRoomOfAnOldRegistrationIsCountedOnInPart(t *testing.T) {
 	bd := newTestBed(t, 1)
 	in := bd.core.sortedWorkers[0].info
@@ -69,7 +71,7 @@
 	bd.wantStarts(bd.plan(), 3)
 }
 
-// An owner that took over when the store was back had read registrations from before the outage, and counted on all of their rooms.
+// Guards against an owner that takes over after an outage, reads registrations written before it, and counts on all of their rooms.
 func TestRoomOfARegistrationThatWasOldWhenItWasReadIsCountedOnInPart(t *testing.T) {
 	bd := newTestBed(t, 1)
 	in := bd.core.sortedWorkers[0].info
@@ -82,7 +84,8 @@
 	bd.wantStarts(bd.plan(), 3)
 }
 
-// A worker had been moved to the pool a second before the outage, so that its registration had been told once only. Its age was taken for nothing.
+// Guards against ignoring the age of a registration that was only reported once, because its worker had been moved to the pool a second before
+// the outage.
 func TestAgeOfARegistrationCountsOnceOthersAreRenewed(t *testing.T) {
 	bd := newTestBed(t, 2)
 	tell := func(at int) {
--- a/cell/plague.go
+++ b/cell/plague.go
@@ -8,32 +8,32 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// Queues some of whose jobs crash workers. While that goes on, tasks of one job only are started on a worker at a time, so that the next crash
-// tells whose it is, and tasks that last are kept apart from them.
+// Crash loops are queues some of whose jobs crash workers. While a queue is in a crash loop, a worker gets new tasks of only one job at a time,
+// so that the next crash shows which job is the cause. Long-running tasks are kept on other workers.
 const (
-	// crashLoopTTL is how long after a worker ended under tasks that had just been started their queues are taken for such ones.
+	// crashLoopTTL is how long after the loss of a worker with recently started tasks their queues count as crash looping.
 	crashLoopTTL = 10 * time.Second
-	// maxDedicatedShare is the most of the usable workers that are for tasks that last alone meanwhile.
+	// maxDedicatedShare is the maximum share of the usable workers that are dedicated to long-running tasks during a crash loop.
 	maxDedicatedShare = 0.5
-	// crashLoopTurn is how long a job of such a queue has a worker's starts, or a worker, to itself; turnWithin within which time each is to have had
-	// its turn, by which the pool is sized: the room that its tasks take is the least of what it wants.
+	// crashLoopTurn is how long one job of a crash looping queue has a worker, or its new starts, to itself. crashLoopTurnPeriod is the time within
+	// which each job has to get a turn. The pool is sized by it, with the room that the tasks take as the minimum.
 	crashLoopTurn       = 500 * time.Millisecond
 	crashLoopTurnPeriod = 4 * time.Second
-	// crashLoopMinWorkers is how many workers such queues keep though other pools lack machines.
+	// crashLoopMinWorkers is the number of workers that crash looping queues keep even if other pools lack machines.
 	crashLoopMinWorkers = 8
 )
 
-// markCrashLoop notes that a worker ended right after tasks of a queue had been started there.
+// markCrashLoop records that a worker was lost right after tasks of a queue had been started on it.
 func (cr *Core) markCrashLoop(now time.Time, queue job.QueueID) {
 	cr.crashLoops[queue] = now.Add(crashLoopTTL)
 }
 
-// crashLooping reports whether jobs of a queue have crashed workers of late.
+// crashLooping reports whether jobs of a queue have recently crashed workers.
 func (cr *Core) crashLooping(now time.Time, queue job.QueueID) bool {
 	return now.Before(cr.crashLoops[queue])
 }
 
-// expireCrashLoops forgets queues that have crashed none for a while.
+// expireCrashLoops removes queues whose jobs have not crashed a worker within crashLoopTTL.
 func (cr *Core) expireCrashLoops(now time.Time) {
 	for queue, until := range cr.crashLoops {
 		if !now.Before(until) {
@@ -42,26 +42,26 @@
 	}
 }
 
-// recentStarts are the tasks that were started on a worker so lately that they would be under suspicion if it ended now.
+// recentStarts describes the tasks started on a worker so recently that they would become suspects if it were lost now.
 type recentStarts struct {
-	// job is theirs; mixed means that they are of several.
+	// job is the job of the tasks. mixed means that they belong to several jobs.
 	job   *jobState
 	mixed bool
-	// crashLooping means that one of them is of a queue that crashes workers, until when the last of them is new.
+	// crashLooping means that one of them belongs to a crash looping queue. until is when the last of them stops being recent.
 	crashLooping bool
 	until        time.Time
 }
 
-// add adds a task that is started now.
-func (nc *recentStarts) add(cr *Core, now, started time.Time, js *jobState) {
-	nc.mixed = nc.mixed || nc.job != nil && nc.job != js
-	nc.job = js
-	nc.crashLooping = nc.crashLooping || cr.crashLooping(now, js.spec.Queue)
-	nc.until = latest(nc.until, started.Add(suspectWindow))
+// add adds a task.
+func (rs *recentStarts) add(cr *Core, now, started time.Time, js *jobState) {
+	rs.mixed = rs.mixed || rs.job != nil && rs.job != js
+	rs.job = js
+	rs.crashLooping = rs.crashLooping || cr.crashLooping(now, js.spec.Queue)
+	rs.until = latest(rs.until, started.Add(suspectWindow))
 }
 
-// findRecentStarts looks for the newcomers of all workers, as long as some queue crashes workers, for shelter for tasks that last, and for workers to
-// give away.
+// findRecentStarts finds the recent starts of all workers while a queue is crash looping, and chooses the workers that are dedicated to
+// long-running tasks or freed for other pools.
 func (cr *Core) findRecentStarts(rd *round) {
 	cr.expireCrashLoops(rd.now)
 	cr.dedicatedRoom = job.Size{}
@@ -81,8 +81,8 @@
 	cr.chooseFreeing(rd)
 }
 
-// chooseFreeing chooses the workers that are to become idle, since other pools lack machines: those with the least on them. One job at a time on each
-// keeps all of them half empty otherwise, and none idle.
+// chooseFreeing chooses the workers to be emptied because other pools lack machines: those with the fewest tasks. With one job at a time on each
+// worker, all of them would otherwise stay half empty and none would become idle.
 func (cr *Core) chooseFreeing(rd *round) {
 	keep := max(crashLoopMinWorkers, cr.machineLimit)
 	if !rd.now.Before(cr.machineLimitUntil) || len(rd.usable) <= keep {
@@ -95,7 +95,7 @@
 	}
 }
 
-// chooseDedicated chooses the workers that are for tasks that last alone: those with the most of them.
+// chooseDedicated chooses the workers that only take long-running tasks: those that already have the most of them.
 func (cr *Core) chooseDedicated(rd *round) {
 	if len(rd.usable) == 0 {
 		return
@@ -110,7 +110,7 @@
 			lasting++
 		}
 	}
-	// One worker alone is for all.
+	// A single worker is shared by all tasks.
 	for _, cd := range list[:min(len(list)-1, max(1, min(lasting, int(maxDedicatedShare*float64(len(list))))))] {
 		cd.dedicated = true
 		room := cd.info.Room
@@ -125,8 +125,9 @@
 	}
 }
 
-// crashLoopAllows reports whether a task may be started on a worker while queues crash workers: not beside newcomers of another job if the queue of either
-// does, nor where it would be kept from tasks that last or from machines that other pools lack.
+// crashLoopAllows reports whether a task may be started on a worker while queues are crash looping. It may not start beside recent starts of
+// another job if the queue of either job is crash looping. Tasks of crash looping queues may not start on dedicated workers or on workers to be
+// freed for other pools. A long-running task may not start on other workers if it fits on a dedicated one.
 func (cr *Core) crashLoopAllows(now time.Time, st *step, cd *candidate) bool {
 	if len(cr.crashLoops) == 0 {
 		return true
@@ -136,11 +137,11 @@
 		return false
 	}
 	if sp := st.spec; sp.LongRunning && !cd.dedicated && sp.SpreadLimit == 0 && sp.ResourceRequest().Fits(cr.dedicatedRoom) {
-		// It waits for what is short and ends there.
+		// The task waits for one of the dedicated workers, which are scarce.
 		return false
 	}
-	if nc := &cd.recentStarts; nc.job != nil && (nc.mixed || nc.job != st.job) && (plagued || nc.crashLooping) {
-		cr.wakeAt(nc.until)
+	if rs := &cd.recentStarts; rs.job != nil && (rs.mixed || rs.job != st.job) && (plagued || rs.crashLooping) {
+		cr.wakeAt(rs.until)
 		return false
 	}
 	return true
--- a/cell/plague_test.go
+++ b/cell/plague_test.go
@@ -9,8 +9,8 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// lastingJobs hands in jobs of tasks that last, of which one may be away at once.
-func (cs *crashes) lastingJobs(count int) []job.ID {
+// addLongRunning submits jobs with long-running tasks, of which one may be disrupted at a time.
+func (cs *crashCell) addLongRunning(count int) []job.ID {
 	var ids []job.ID
 	for at := range count {
 		id := job.ID(fmt.Sprintf("lasting%d", at))
@@ -20,13 +20,13 @@
 	return ids
 }
 
-// In a pool of ten workers three jobs of ten had a task that ended the workers which started it. Each crash made suspects of all that had been
-// started there just before, their trials took the workers one by one, and at the end of the day 43 to 72 accepted jobs had not been started or
-// given up though most of the room was free. The pool's tasks that last had nothing to do with it: they lost four workers each, "job given up:
-// workers end under its task", and what was left of them was stopped.
+// Guards against a crash loop that blocks other jobs. In a pool of ten workers three of ten jobs had a task that crashed its workers. Each crash
+// made suspects of all recently started tasks, whose probations occupied the workers one by one, and at the end of the day 43 to 72 accepted jobs
+// had neither started nor failed though most of the room was free. Unrelated long-running tasks lost four workers each, so that their jobs failed
+// ("job given up: workers end under its task") and the rest of their tasks was stopped.
 func TestEachJobBesideManyThatCrashTheirWorkersEnds(t *testing.T) {
 	for _, share := range []int{5, 25, 30, 40} {
-		pg := newPlagueBeside(t, share)
+		pg := newSmallCrashLoop(t, share)
 		for range 400 {
 			pg.run(100 * time.Millisecond)
 			pg.count()
@@ -34,15 +34,15 @@
 				break
 			}
 		}
-		good := pg.jobs - pg.bad
-		t.Logf("%d%%: %d jobs, %d guilty, %d workers lost, %d innocent starts again, %d innocent jobs given up, %d of %d innocent jobs within 2 s, open %d after %v", share, pg.jobs, pg.bad, pg.lost, pg.again, pg.innocent, pg.inTime, good, pg.jobs-len(pg.seen), pg.now.Sub(pg.began))
+		good := pg.jobs - pg.crashing
+		t.Logf("%d%%: %d jobs, %d guilty, %d workers lost, %d innocent starts again, %d innocent jobs given up, %d of %d innocent jobs within 2 s, open %d after %v", share, pg.jobs, pg.crashing, pg.lost, pg.restarts, pg.wronglyFailed, pg.inTime, good, pg.jobs-len(pg.seen), pg.now.Sub(pg.began))
 		if open := pg.jobs - len(pg.seen); open > 0 {
 			t.Errorf("%d%%: %d of %d jobs have not ended", share, open, pg.jobs)
 		}
-		if pg.innocent > 0 {
-			t.Errorf("%d%%: %d innocent jobs were given up", share, pg.innocent)
+		if pg.wronglyFailed > 0 {
+			t.Errorf("%d%%: %d innocent jobs were given up", share, pg.wronglyFailed)
 		}
-		for _, id := range pg.lasting {
+		for _, id := range pg.longRunning {
 			if got := pg.state(id); got != job.Running {
 				t.Errorf("%d%%: %s is %s", share, id, got)
 			}
@@ -53,29 +53,29 @@
 	}
 }
 
-// plagueBeside is a plague in a small pool, beside tasks that last.
-type plagueBeside struct {
-	*plague
-	began   time.Time
-	lasting []job.ID
+// smallCrashLoop is a crash loop in a small pool that also has long-running tasks.
+type smallCrashLoop struct {
+	*crashLoopFleet
+	began       time.Time
+	longRunning []job.ID
 }
 
-func newPlagueBeside(t *testing.T, share int) *plagueBeside {
+func newSmallCrashLoop(t *testing.T, share int) *smallCrashLoop {
 	t.Helper()
-	pg := &plague{added: map[job.ID]time.Time{}, seen: map[job.ID]bool{}}
-	pg.crashes = newCrashes(t, 10, func(tk job.Task) (time.Duration, bool) {
-		return 40 * time.Millisecond, tk.Index == 0 && pg.isBad(tk.Job)
+	pg := &crashLoopFleet{added: map[job.ID]time.Time{}, seen: map[job.ID]bool{}}
+	pg.crashCell = newCrashCell(t, 10, func(tk job.Task) (time.Duration, bool) {
+		return 40 * time.Millisecond, tk.Index == 0 && pg.isCrashing(tk.Job)
 	})
-	pb := &plagueBeside{plague: pg, lasting: pg.lastingJobs(3), began: pg.now}
+	pb := &smallCrashLoop{crashLoopFleet: pg, longRunning: pg.addLongRunning(3), began: pg.now}
 	pg.run(6 * time.Second)
-	// Twice as many come at once for a second, then fewer, as the users' queues have it.
+	// As in the users' queues, the rate alternates: three times as many jobs arrive in every other second.
 	for second := range 8 {
 		perSecond := 10 + 20*(second%2)
 		for range perSecond {
 			id := job.ID(fmt.Sprintf("j%05d", pg.jobs))
 			if pg.jobs*37%100 < share {
 				id = job.ID(fmt.Sprintf("b%05d", pg.jobs))
-				pg.bad++
+				pg.crashing++
 			}
 			pg.jobs++
 			pg.added[id] = pg.now
@@ -87,7 +87,7 @@
 	return pb
 }
 
-// A job was given up, and its tasks that ran well were stopped before its callers could see that it had failed.
+// Guards against stopping the healthy tasks of a failed job before its callers can see that it has failed.
 func TestTasksOfAJobThatFailedRunUntilItsEndIsKept(t *testing.T) {
 	bd := newTestBed(t, 2)
 	bd.addJob("j", testEpoch, job.Step{Count: 2, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true, HasDisruptionBudget: true, DisruptionBudget: 0})
@@ -117,10 +117,11 @@
 	}
 }
 
-// Tasks of a queue that crashed workers stood one job on each of the pool's twenty workers, so that none became idle while another pool had six for
-// 190 open jobs; and once it had few, the pool asked for the room of its tasks alone, though each job needs a turn on a worker.
+// Guards against a crash looping queue that keeps all workers of its pool. With one job at a time on each of twenty workers none became idle,
+// while another pool had six for 190 open jobs. Once the pool had few workers, it only asked for the room of its tasks, although each job needs a
+// turn on a worker.
 func TestQueueThatCrashesWorkersLeavesMachinesToOthers(t *testing.T) {
-	cs := newCrashes(t, 20, func(job.Task) (time.Duration, bool) { return 0, false })
+	cs := newCrashCell(t, 20, func(job.Task) (time.Duration, bool) { return 0, false })
 	cs.core.markCrashLoop(cs.now, "q")
 	for at := range 40 {
 		cs.add(job.ID(fmt.Sprintf("j%02d", at)), testEpoch, taskStep(4))
--- a/cell/registry.go
+++ b/cell/registry.go
@@ -6,7 +6,7 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// Register tells of a worker as it is registered now.
+// Register records the current registration of a worker.
 func (cr *Core) Register(now time.Time, in Worker) {
 	wk := cr.ensureWorker(in.ID)
 	if in.Draining && !wk.info.Draining {
@@ -19,15 +19,15 @@
 	wk.info, wk.registered, wk.registrationRead, wk.unregisteredAt = in, true, true, time.Time{}
 }
 
-// uncertainRoomDivisor divides the room of a worker whose registration is old into what is counted on: an outage of the store keeps it from telling that its
-// room has shrunk, and what is overfull ends for all tasks there.
+// uncertainRoomDivisor reduces the room counted on for a worker with an old registration. During a store outage the registration cannot report
+// that the room has shrunk, and if a worker exceeds its room, all its tasks end.
 const uncertainRoomDivisor = 3
 
-// RegistrationRenewal is how long a registration that was old when it was first read may take to be written anew.
+// RegistrationRenewal is how long the renewal of a registration may take that was already old when it was first read.
 const RegistrationRenewal = 2500 * time.Millisecond
 
-// usableRoom is the room of a worker that is counted on. Some platforms do not tell that a registration was written anew and says the same; then its age
-// means nothing, but where it is old from the first.
+// usableRoom returns the room of a worker that is counted on. Some platforms do not report the renewal of a registration with the same content.
+// There its age means nothing, unless the registration was already old when first read.
 func (cr *Core) usableRoom(now time.Time, wk *worker) job.Size {
 	old := now.Sub(wk.info.WrittenAt) > cr.opts.RegistrationMaxAge
 	if old && (cr.renewalsVisible || now.Before(wk.roomUncertainUntil)) {
@@ -36,21 +36,21 @@
 	return wk.info.Room
 }
 
-// Unregister tells that a worker's registration is gone, which alone does not prove that it is.
+// Unregister records that a worker's registration is gone. This alone does not prove that the worker is.
 func (cr *Core) Unregister(now time.Time, id WorkerID) {
 	if wk, ok := cr.workers[id]; ok && wk.registered {
 		wk.registered, wk.unregisteredAt = false, now
 	}
 }
 
-// WorkerEnded tells that a life of a worker has ended for certain: its machine runs another or none.
+// WorkerEnded records that an incarnation of a worker has certainly ended: its machine runs another one or none.
 func (cr *Core) WorkerEnded(now time.Time, id WorkerID) {
 	if wk, ok := cr.workers[id]; ok {
-		cr.handleWorkerEnd(now, wk, "its machine says so", 0)
+		cr.handleWorkerEnd(now, wk, "reported by its machine", 0)
 	}
 }
 
-// MachineOf is the machine of a worker; empty if it is not known.
+// MachineOf returns the machine of a worker. It is empty if unknown.
 func (cr *Core) MachineOf(id WorkerID) MachineID {
 	if wk, ok := cr.workers[id]; ok {
 		return wk.info.Machine
@@ -58,7 +58,7 @@
 	return ""
 }
 
-// WorkerMoved tells that a worker has ended since its machine was moved to another pool, which is done only once nothing is left there.
+// WorkerMoved records that a worker has ended because its machine was moved to another pool, which only happens once nothing is left on it.
 func (cr *Core) WorkerMoved(now time.Time, id WorkerID) {
 	if _, open := cr.unresolved[id]; open {
 		cr.movedWorkers[id] = true
@@ -67,18 +67,18 @@
 }
 
 const (
-	// unresponsiveAfter is how long a worker must have been silent before it is asked for elsewhere.
+	// unresponsiveAfter is how long a worker must not have answered before its machine is asked about it.
 	unresponsiveAfter = 500 * time.Millisecond
-	// connBrokenAfter is how long one must be whose connections broke: its port is dead, so that most likely its life has ended. What ran there
-	// waits for that word.
+	// connBrokenAfter is the same for a worker with broken connections. Its port is closed, so it has most likely ended, and its tasks wait for
+	// confirmation.
 	connBrokenAfter = 50 * time.Millisecond
-	// urgentFor is for how long after that the question is pressing.
+	// urgentFor is how long after that the question is urgent.
 	urgentFor = 2 * time.Second
 )
 
-// Unresponsive lists the workers that do not answer while something runs, or may run, on them; pressing tells that the connections of one of them
-// broke just now.
-func (cr *Core) Unresponsive(now time.Time) (ids []WorkerID, pressing bool) {
+// Unresponsive returns the workers that do not answer although something runs, or may run, on them. urgent means that the connections of one of
+// them broke recently.
+func (cr *Core) Unresponsive(now time.Time) (ids []WorkerID, urgent bool) {
 	for _, wk := range cr.sortedWorkers {
 		_, open := cr.unresolved[wk.info.ID]
 		if wk.failedPolls == 0 || !open && len(wk.placements) == 0 && len(wk.leaseExpired) == 0 {
@@ -89,15 +89,15 @@
 			continue
 		}
 		ids = append(ids, wk.info.ID)
-		pressing = pressing || broke && now.Sub(wk.firstFailedAt) < urgentFor
+		urgent = urgent || broke && now.Sub(wk.firstFailedAt) < urgentFor
 	}
-	return ids, pressing
+	return ids, urgent
 }
 
-// Cordon tells which workers get no new tasks since their machines are wanted, whatever their lives.
+// Cordon sets the workers that get no new tasks because their machines are needed elsewhere. It applies to all their incarnations.
 func (cr *Core) Cordon(names map[WorkerName]bool) { cr.cordons = names }
 
-// Drained reports whether nothing runs or may run on a worker in any of its lives, and all that has ended there is kept.
+// Drained reports whether nothing runs or may run on any incarnation of a worker, and all its ended attempts are saved.
 func (cr *Core) Drained(name WorkerName) bool {
 	for _, wk := range cr.incarnations(name) {
 		if len(wk.placements)+len(wk.foreign)+len(wk.unackedEnds) > 0 || !wk.fenced && wk.recorded {
--- a/cell/silence_test.go
+++ b/cell/silence_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestLeasesAreNotJudgedWhileAllAreSilent: when no worker is heard of for longer than a lease, the owner's own link is the likely cause, and
-// what ran may have ended well. Nothing of it is started anew while nobody answers.
+// TestLeasesDoNotExpireWhileNoWorkerAnswers: if no worker answers for longer than a lease, the owner's own link is the likely cause, and attempts
+// may have completed. They are not restarted while nobody answers.
 func TestLeasesAreNotJudgedWhileAllAreSilent(t *testing.T) {
 	bd := newTestBed(t, 4)
 	bd.addJob("a", testEpoch, taskStep(4))
@@ -24,7 +24,7 @@
 	}
 }
 
-// A worker that stays silent while another answers has lost its tasks: they are started there once its lease is over.
+// A worker that does not answer while another one does has lost its tasks. They are started on the other worker once the lease has expired.
 func TestLeaseIsJudgedOnceOthersAnswer(t *testing.T) {
 	bd := newTestBed(t, 2)
 	bd.autoSave = true
--- a/cell/stall_test.go
+++ b/cell/stall_test.go
@@ -7,7 +7,7 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// An owner that stood still for three seconds decides by rooms and an ownership of before. It starts nothing until it has heard of both anew.
+// An owner that stalled for three seconds has outdated rooms and ownership. It starts nothing until both are confirmed again.
 func TestNothingIsStartedAfterStandingStillUntilConfirmed(t *testing.T) {
 	bd := newTestBed(t, 2)
 	bd.addJob("before", testEpoch, taskStep(1))
@@ -21,7 +21,7 @@
 	bd.wantStarts(bd.planUnconfirmed(), 1)
 }
 
-// A room that shrank below what runs in it gets nothing new until enough has ended, and does not take from what others have free.
+// A worker whose room shrank below its use gets no new tasks until enough of them have ended, and does not reduce the room of others.
 func TestShrunkRoomTakesNothing(t *testing.T) {
 	bd := newTestBed(t, 2)
 	bd.addJob("a", testEpoch, taskStep(8))
@@ -47,8 +47,8 @@
 	t.Fatal("the waiting task was not started though the other worker has room")
 }
 
-// A worker whose entry cannot be read any more gets nothing new, and keeps the tasks that last: nothing says that it leaves, and moving them away
-// would take several at once from a step that allows one.
+// A worker with an unreadable registration gets no new tasks and keeps its long-running ones. Nothing says that it leaves, and moving them would
+// disrupt several tasks at once of a step that allows one.
 func TestWithheldWorkerKeepsWhatRuns(t *testing.T) {
 	bd := newTestBed(t, 2)
 	bd.addJob("lasting", testEpoch, job.Step{Count: 2, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true, HasDisruptionBudget: true, DisruptionBudget: 1})
--- a/cell/trial.go
+++ b/cell/trial.go
@@ -7,39 +7,42 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// Trials of suspects.
+// Probation and quarantine of suspects.
 const (
-	// shortProbation is how long a suspect is the only new task on its worker; the answer to a look within it tells that it lives.
+	// shortProbation is how long a suspect is the only new task on its worker. A poll that is answered within it shows that the worker is alive.
 	shortProbation = 150 * time.Millisecond
-	// isolationLosses is from how many lost workers on a suspect has an empty worker to itself, for longProbation; after one more as long as it runs.
+	// isolationLosses is the number of losses from which on a suspect gets a worker of its own, for longProbation. After one more loss it has the
+	// worker for as long as it runs.
 	isolationLosses = 2
 	longProbation   = 2 * time.Second
-	// quarantineShare is the part of the workers that suspects may have to themselves at once, so that the others go on with their work.
+	// quarantineShare is the maximum share of the workers that suspects may have to themselves at once, so that the other tasks still make progress.
 	quarantineShare = 0.25
-	// idleQuarantineShare is the part that they may have where nothing else is to be started, so that workers do not stand idle while suspects wait.
+	// idleQuarantineShare is the share if nothing else waits to be started, so that workers are not idle while suspects wait.
 	idleQuarantineShare = 0.75
-	// soleJobQuarantineShare is the part that they may have of which it is as good as known that they will end the next one, too.
+	// soleJobQuarantineShare is the share for suspects that are almost certain to crash the next worker as well.
 	soleJobQuarantineShare = 0.1
-	// maxProbationsPerStep is how many tasks of one step may be on trial at once: where all of them crash their workers, two losses are enough to know.
+	// maxProbationsPerStep is how many tasks of one step may be on probation at once. If all of them crash their workers, two losses are enough to
+	// know.
 	maxProbationsPerStep = 2
-	// weightSharedWorker keeps suspects from workers with other tasks; it only ranks.
+	// weightSharedWorker keeps suspects from workers with other tasks. It only affects the ranking.
 	weightSharedWorker = 5.0
-	// lossPendingFor is for how long after its lease's end it is asked whether a silent worker lives, since its end would be a loss of its tasks.
+	// lossPendingFor is how long after the lease's end the core asks whether an unresponsive worker is alive, since its end would be a loss for its
+	// tasks.
 	lossPendingFor = 30 * time.Second
-	// suspectHoldTime is how long a suspect waits at most for word of the worker on which it was tried and that fell silent: it may be one more.
+	// suspectHoldTime is the maximum time that a suspect waits to learn whether its unresponsive worker has ended, which would be another loss.
 	suspectHoldTime = 10 * time.Second
 )
 
-// onProbation reports whether an attempt of a suspect has not proved yet that its worker outlives it.
+// onProbation reports whether an attempt of a suspect has not yet run for long enough without the loss of its worker.
 func (pl *placement) onProbation() bool { return pl.suspect && !pl.probationPassed }
 
-// exemptFromStop reports whether an attempt is not stopped for others: its task has cost workers, and would have to be tried once more.
+// exemptFromStop reports whether an attempt must not be stopped in favour of others: its task has lost workers, and would need another probation.
 func (pl *placement) exemptFromStop() bool {
 	lost := pl.step.tasks[pl.task.Index].lost
 	return lost.total()+len(lost.unresolved) >= isolationLosses
 }
 
-// recordSurvival notes that a worker answers with an attempt running there, which clears a suspect of suspicion in time.
+// recordSurvival records that a worker answers while an attempt runs on it. Over time this clears the task of suspicion.
 func (cr *Core) recordSurvival(pl *placement, sent time.Time) {
 	ts := &pl.step.tasks[pl.task.Index]
 	if !pl.suspect || pl.ackedAt.IsZero() {
@@ -52,17 +55,17 @@
 	if !pl.step.spec.LongRunning || ran < minSettleTime {
 		return
 	}
-	// Others are not kept waiting for a worker until it has proved itself.
+	// Other tasks are not kept off the worker until the task is settled.
 	pl.probationPassed = true
 	if ran >= ts.lost.settleTime() && ts.lost.suspected() {
-		// What lasts sees many workers end in its time, so that old losses do not count against it.
+		// A long-running task outlives many workers, so earlier losses do not count against it.
 		ts.lost = losses{longestRun: ts.lost.longestRun, unresolved: ts.lost.unresolved}
 		cr.markDirty(pl.step.job)
 	}
 }
 
-// probationTime is how long a suspect is on trial: if workers ended under it a while after its start, it is longer from the second loss on, and as
-// long as it runs after the third.
+// probationTime returns how long a suspect is on probation. If workers were lost some time after its start, probation is longer from the second
+// loss on, and lasts for as long as the task runs from the third loss on.
 func (lo losses) probationTime() (span time.Duration, ends bool) {
 	switch number := lo.weighted(); {
 	case number < isolationLosses || !lo.late:
@@ -73,7 +76,7 @@
 	return 0, false
 }
 
-// quarantined counts the suspects that have a worker to themselves.
+// quarantined counts the workers that suspects have to themselves.
 func (cr *Core) quarantined() int {
 	count := 0
 	for _, wk := range cr.sortedWorkers {
@@ -92,8 +95,8 @@
 	return slices.ContainsFunc(wk.placed, (*placement).onProbation)
 }
 
-// placeSuspects starts suspects of a step, each on a worker that gets nothing else until it has proved itself. It reports whether none is
-// left waiting.
+// placeSuspects starts suspects of a step, each on a worker that gets no other tasks during the probation. It reports whether none is left
+// waiting.
 func (cr *Core) placeSuspects(rd *round, st *step, waiting []int) bool {
 	all := true
 	for count, at := range waiting {
@@ -122,7 +125,7 @@
 	return all
 }
 
-// quarantineFor keeps a worker from tasks of all jobs but one, for the rest of the round.
+// quarantineFor excludes tasks of all other jobs from a worker for the rest of the round.
 func (rd *round) quarantineFor(cd *candidate, js *jobState) {
 	if cd.quarantinedFor != js {
 		cd.quarantinedFor = js
@@ -130,12 +133,12 @@
 	}
 }
 
-// hasQuarantineFor reports whether a worker is kept for a job that has room for one more of its suspects.
+// hasQuarantineFor reports whether a worker is reserved for a job and can take another of its suspects.
 func (rd *round) hasQuarantineFor(js *jobState) bool {
 	return slices.ContainsFunc(rd.usable, func(cd *candidate) bool { return cd.quarantinedFor == js })
 }
 
-// maxQuarantined is how many suspects may have a worker to themselves at once.
+// maxQuarantined returns how many workers suspects may have to themselves at once.
 func (rd *round) maxQuarantined(lo losses) int {
 	share := quarantineShare
 	switch {
@@ -144,11 +147,11 @@
 	case lo.soleJob:
 		share = soleJobQuarantineShare
 	}
-	// Those that suspects have are not among the usable ones.
+	// Workers that were quarantined before the round are not among the usable ones.
 	return max(1, int(share*float64(len(rd.usable)+rd.quarantinedBefore)))
 }
 
-// probationWorkers counts the workers on which tasks of a step are on trial, or about to be.
+// probationWorkers counts the workers on which tasks of a step are on probation or are about to be.
 func (st *step) probationWorkers() int {
 	var ids []WorkerID
 	for at := range st.tasks {
@@ -166,7 +169,7 @@
 	return len(ids)
 }
 
-// reserveForSuspects keeps the workers with the least on them free of other tasks until suspects that need one to themselves find it reserveForSuspects.
+// reserveForSuspects keeps the least loaded workers free of other tasks, so that they become empty for suspects that need a worker of their own.
 func (cr *Core) reserveForSuspects(rd *round, st *step, count int) {
 	for range min(count, maxProbationsPerStep) {
 		if rd.quarantined >= rd.maxQuarantined(losses{}) {
@@ -181,8 +184,8 @@
 	}
 }
 
-// isolationAllows reports whether a suspect may be started on a worker: beside tasks that have proved themselves after its first loss, beside none
-// but those that last after that.
+// isolationAllows reports whether a suspect may be started on a worker. After its first loss it may run beside tasks that are past their
+// probation, and later only beside settled long-running tasks.
 func (ts *taskState) isolationAllows(now time.Time, st *step, cd *candidate) bool {
 	if !ts.lost.suspected() {
 		return true
@@ -190,7 +193,7 @@
 	for _, other := range cd.placed {
 		switch {
 		case other.step.job == st.job && (st.spec.Gang || other.onProbation()):
-			// They are under the same suspicion.
+			// Tasks of the same job share the suspicion.
 		case other.longRunningFor(now, minSettleTime):
 		case ts.lost.needsIsolation():
 			return false
@@ -201,14 +204,14 @@
 	return true
 }
 
-// holdSuspect keeps a suspect whose trial ended in silence from being tried elsewhere before it is known what came of the worker.
+// holdSuspect delays the restart of a suspect whose worker stopped answering during the probation until it is known whether the worker has ended.
 func (cr *Core) holdSuspect(now time.Time, pl *placement) {
 	if ts := &pl.step.tasks[pl.task.Index]; pl.suspect && ts.lost.weighted() >= isolationLosses {
 		ts.notBefore = now.Add(suspectHoldTime)
 	}
 }
 
-// releaseSuspects lets the suspects go on that waited for word of a worker.
+// releaseSuspects lets suspects start again that waited to learn what became of a worker.
 func (cr *Core) releaseSuspects(now time.Time, wk *worker) {
 	for _, pl := range wk.leaseExpired {
 		ts := &pl.step.tasks[pl.task.Index]
@@ -224,7 +227,7 @@
 	wk.leaseExpired = nil
 }
 
-// lossPending reports whether the end of a silent worker would still be a loss of tasks.
+// lossPending reports whether the end of an unresponsive worker would still count as a loss of tasks.
 func (wk *worker) lossPending(now time.Time) bool {
 	return len(wk.leaseExpired) > 0 && now.Sub(wk.leaseEnd) < lossPendingFor
 }
--- a/cell/window_test.go
+++ b/cell/window_test.go
@@ -9,19 +9,19 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// narrowLink answers starts one after the other, each after a time of its own.
+// narrowLink answers starts one after the other, at a fixed interval.
 type narrowLink struct {
 	wi   *startWindow
 	now  time.Time
 	each time.Duration
-	// sent are the times at which the starts that have no answer were decided.
+	// sent holds the times at which the unanswered starts were decided.
 	sent []time.Time
-	// answered counts, longest is the longest time of an answer.
+	// answered is the number of answers, longest the longest time of an answer.
 	answered int
 	longest  time.Duration
 }
 
-// run lets the owner decide as much as it may for a while.
+// run sends as many starts as the window allows for a period.
 func (nl *narrowLink) run(span time.Duration) {
 	nl.answered, nl.longest = 0, 0
 	for until := nl.now.Add(span); nl.now.Before(until); {
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestStartsDoNotQueueOnANarrowLink: a link that takes 90 starts a second is kept busy, with a queue that leaves looks their time; a wider
-// one is used as soon as it is there.
+// TestStartsDoNotQueueOnANarrowLink: a link that carries 90 starts a second is kept busy, with a queue short enough for polls. A faster link is
+// used as soon as it is available.
 func TestStartsDoNotQueueOnANarrowLink(t *testing.T) {
 	const looksWait = 400 * time.Millisecond
 	nl := &narrowLink{wi: &startWindow{}, now: time.Unix(1_700_000_000, 0), each: 11 * time.Millisecond}
@@ -61,7 +61,7 @@
 	}
 }
 
-// TestStartsWithoutAnswersAreBounded: an owner none of whose starts is answered gives no further ones, however much waits.
+// TestStartsWithoutAnswersAreBounded: an owner without any answer sends no further starts, however many tasks wait.
 func TestStartsWithoutAnswersAreBounded(t *testing.T) {
 	bd := newTestBed(t, 4)
 	bd.addJob("a", testEpoch, job.Step{Count: 500, Size: job.Size{CPUMillis: 10, MemoryMB: 1}})
@@ -79,7 +79,7 @@
 	}
 }
 
-// TestStartWithoutItsPayloadIsTriedAgain: it was not sent, so its number is free, and the worker is not to blame.
+// TestStartWithoutItsPayloadIsTriedAgain: the start was not sent, so the attempt number is still free, and the worker is not blamed.
 func TestStartWithoutItsPayloadIsTriedAgain(t *testing.T) {
 	bd := newTestBed(t, 1)
 	bd.addJob("a", testEpoch, taskStep(1))
@@ -92,7 +92,8 @@
 	}
 }
 
-// TestLargeCellsKeepManyStartsUnderWay: answers that take long whatever the owner does leave a large cell half a start for each worker.
+// TestLargeCellsKeepManyStartsUnderWay: if answers are slow whatever the owner does, a large cell still has one start in flight for every two
+// workers.
 func TestLargeCellsKeepManyStartsUnderWay(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	wi := &startWindow{workers: 400}
@@ -105,9 +106,9 @@
 	}
 }
 
-// TestFullWindowCostsNoRounds: while no start is allowed, an event costs the same however many jobs wait; bytes allocated stand for what is
-// gone through, since sorting the jobs that wait copies them. Of several measurements the least counts: the runtime allocates some now and then
-// by itself, what is gone through costs each time.
+// TestFullWindowCostsNoRounds: while no start is allowed, the cost of an event does not depend on the number of waiting jobs. Allocated bytes
+// stand for the cost, since sorting the waiting jobs copies them. The minimum of several measurements counts, because the runtime sometimes
+// allocates memory by itself, while the cost of sorting recurs each time.
 func TestFullWindowCostsNoRounds(t *testing.T) {
 	cost := func(jobs int) uint64 {
 		bd := newTestBed(t, 4)
--- a/cell/worker.go
+++ b/cell/worker.go
@@ -9,36 +9,36 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// phase is where a placement stands.
+// phase is the state of a placement.
 type phase int
 
 const (
-	// starting: the start was ordered and has no answer yet.
+	// starting: the start was ordered and is not answered yet.
 	starting phase = iota
-	// uncertain: the start got no answer; a look under a higher token will tell.
+	// uncertain: the start was not answered. A poll with a higher token will settle it.
 	uncertain
 	running
 	stopping
 )
 
-// Times of the dealings with workers.
+// Timeouts and intervals of the communication with workers.
 const (
-	// minPollBackoff and backoffMost bound the pause after a look without an answer.
+	// minPollBackoff and maxPollBackoff bound the delay after an unanswered poll.
 	minPollBackoff = 40 * time.Millisecond
 	maxPollBackoff = time.Second
-	// unhealthyBackoff is how long a worker gets nothing new after it called itself unhealthy.
+	// unhealthyBackoff is how long a worker gets no new tasks after it reported to be unhealthy.
 	unhealthyBackoff = 700 * time.Millisecond
 	// unregisteredGrace is how long a worker whose registration is gone still gets tasks if it answers.
 	unregisteredGrace = 4 * time.Second
-	// freshPollAge is how old the newest answer of such a worker may be.
+	// freshPollAge is the maximum age of the newest answer of such a worker.
 	freshPollAge = 1500 * time.Millisecond
-	// foreignTaskGrace is how long an unknown task may run before it is stopped; its job may be on its way.
+	// foreignTaskGrace is how long an unknown task may run before it is stopped, since its job may not have been loaded yet.
 	foreignTaskGrace = 4 * time.Second
-	// stopRetryDelay is the pause before a stop without effect is ordered again.
+	// stopRetryDelay is the delay before a stop without effect is repeated.
 	stopRetryDelay = 500 * time.Millisecond
-	// ackDelay lets acknowledgements of several ends share a look.
+	// ackDelay allows several ended attempts to be acknowledged in one poll.
 	ackDelay = 250 * time.Millisecond
-	// maxListedEnds is how many ends a worker lists at once; a full list may lack some.
+	// maxListedEnds is the maximum number of ended attempts that a worker lists at once. A list of this length may be incomplete.
 	maxListedEnds = 500
 )
 
@@ -57,93 +57,93 @@
 	stopping   bool
 	stopReason string
 	progress   int
-	// seenAt is when the worker listed it last.
+	// seenAt is when the worker last listed it.
 	seenAt         time.Time
 	metric         int
 	throttle       int
 	throttleSentAt time.Time
-	// intentSaved means that it was kept before its start where it was to run.
+	// intentSaved means that an intent was saved before the start.
 	intentSaved bool
-	// suspect means that workers have ended under its task before, probationPassed that this one has outlived it for long enough.
+	// suspect means that workers were lost under its task before. probationPassed means that this attempt has run for long enough without a loss.
 	suspect, probationPassed bool
 }
 
-// unackedEnd is an end that was read but not acknowledged; it waits until what it changed is kept.
+// unackedEnd is an ended attempt that was read but not acknowledged yet, because its effect is not saved.
 type unackedEnd struct {
 	number int64
 	job    *jobState
 	gen    int
-	// unknownSince is when an end of an unknownSince job was read.
+	// unknownSince is when an ended attempt of an unknown job was read.
 	unknownSince time.Time
 	end          End
 }
 
-// worker is what the owner knows of a worker.
+// worker is the state of a worker as the owner knows it.
 type worker struct {
 	info Worker
-	// name is the worker's in all its lives.
+	// name is shared by all incarnations of the worker.
 	name       WorkerName
 	registered bool
-	// registrationRead means that this owner has read a registration of it.
+	// registrationRead means that this owner has read a registration of the worker.
 	registrationRead bool
 	unregisteredAt   time.Time
-	// roomUncertainUntil is until when a registration that was old when it was first read is not counted on whole.
+	// roomUncertainUntil is until when only a part of the room is counted on, because the registration was already old when it was first read.
 	roomUncertainUntil time.Time
 	recorded           bool
 	recording          bool
-	// tokenCounter is that of the tokens for all lives of the worker.
+	// tokenCounter is shared by all incarnations of the worker.
 	tokenCounter *Token
 	fenced       bool
-	// fencedAt is when it was first looked at under this owner's token.
+	// fencedAt is when the worker first answered a poll with a token of this owner.
 	fencedAt  time.Time
 	polling   bool
 	pollToken Token
 	nextPoll  time.Time
 	polledAt  time.Time
-	// aliveAt is when the newest look that it answered was sent: it lived then. Its answer may have waited for an owner that stood still.
+	// aliveAt is when the newest answered poll was sent, at which time the worker was alive. The answer may have waited for a stalled owner.
 	aliveAt     time.Time
 	failedPolls int
-	// firstFailedAt is when the first of these looks in a row had no answer.
+	// firstFailedAt is when the first of the consecutive failed polls failed.
 	firstFailedAt time.Time
-	// probeSince is since when an answer of it is wanted before a suspect is started there.
+	// probeSince is the time since which an answer is needed before a suspect is started on the worker.
 	probeSince time.Time
-	// failedPollSentAt is when the newest of them was sent.
+	// failedPollSentAt is when the newest failed poll was sent.
 	failedPollSentAt time.Time
-	// connBroken means that it ended sooner than a call is waited for: the connection broke.
+	// connBroken means that the first failed poll failed before its timeout, because the connection broke.
 	connBroken  bool
 	clockMillis int64
 	clockAt     time.Time
-	// leaseEnd is when, on the owner's clock, the last lease given has surely run out.
+	// leaseEnd is when, on the owner's clock, the last lease has certainly expired.
 	leaseEnd time.Time
-	// placements holds the attempts on the worker by task, placed in the order in which they came. placed is replaced, never changed.
+	// placements holds the attempts on the worker by task. placed holds them in the order in which they were added. placed is replaced, never
+	// modified.
 	placements map[job.Task]*placement
 	placed     []*placement
-	// used is the room of all that runs or may run on the worker; serving, filling and lasting count the tasks there that serve users, that
-	// take what is left, and that last.
+	// used is the room of all attempts that run or may run on the worker. serving, bestEffort and longRunning count the tasks of these kinds.
 	used                             job.Size
 	serving, bestEffort, longRunning int
-	// ledger counts what runs by organisation.
+	// ledger counts the running tasks by organisation.
 	ledger *Ledger
-	// suspects counts the attempts of suspects there.
+	// suspects counts the attempts of suspects.
 	suspects int
-	// leaseExpired are the attempts that were given up while the worker was silent; its end may have been theirs.
+	// leaseExpired holds the attempts whose leases expired while the worker did not answer. They may have ended with the worker.
 	leaseExpired []*placement
 	foreign      map[job.Task]*foreignRun
 	unackedEnds  []unackedEnd
 	lastEndRead  int64
 	ackedEnd     int64
-	// startUnsettled means that a start had no answer and no look under a higher token has settled it yet.
+	// startUnsettled means that a start was not answered and no poll with a higher token has settled it yet.
 	startUnsettled bool
 	// confirmedAck is the newest acknowledgement that the worker has confirmed.
 	confirmedAck   int64
 	unhealthyUntil time.Time
 	failures       failureTracker
 	speed          speed
-	// busyAt is when something last ran there.
+	// busyAt is when the last attempt ended.
 	busyAt time.Time
 }
 
-// foreignRun is an attempt that runs there without having been placed by this owner.
+// foreignRun is a running attempt that this owner has not placed.
 type foreignRun struct {
 	attempt job.Attempt
 	since   time.Time
@@ -162,7 +162,7 @@
 	return wk
 }
 
-// remove forgets a worker.
+// remove removes a worker from the core.
 func (cr *Core) remove(wk *worker) {
 	cr.rowOutdated = true
 	if !wk.info.ID.reusesName() {
@@ -184,7 +184,7 @@
 	}
 }
 
-// removePlacement takes an attempt from a worker.
+// removePlacement removes an attempt from a worker.
 func (wk *worker) removePlacement(pl *placement) {
 	if wk.placements[pl.task] != pl {
 		return
@@ -199,7 +199,7 @@
 	}
 }
 
-// countTasks notes that a task of a step came or went.
+// countTasks updates the counts of the kinds of tasks.
 func (wk *worker) countTasks(st *job.Step, by int) {
 	if st.LatencyObjective > 0 {
 		wk.serving += by
@@ -212,7 +212,7 @@
 	}
 }
 
-// foreignTasks are the tasks that run there without having been placed, in order.
+// foreignTasks returns the running tasks that this owner has not placed, in order.
 func (wk *worker) foreignTasks() []job.Task {
 	if len(wk.foreign) == 0 {
 		return nil
@@ -220,20 +220,20 @@
 	return slices.SortedFunc(maps.Keys(wk.foreign), compareTasks)
 }
 
-// compareTasks orders tasks by their names.
+// compareTasks orders tasks by job, run, step and index.
 func compareTasks(one, other job.Task) int {
 	return cmp.Or(cmp.Compare(one.Job, other.Job), cmp.Compare(one.Run, other.Run), cmp.Compare(one.Step, other.Step), cmp.Compare(one.Index, other.Index))
 }
 
-// token is the one under which orders go to the worker now.
+// token returns the current token for orders to the worker.
 func (cr *Core) token(wk *worker) Token {
 	return Token(cr.epoch)<<tokenBits | *wk.tokenCounter
 }
 
-// raiseToken makes every order sent so far void at the worker once it has seen the new token.
+// raiseToken raises the token. Once the worker has seen the new token, all orders sent before are void.
 func (wk *worker) raiseToken() { *wk.tokenCounter++ }
 
-// leaseUntil is the end of a lease given now, on the worker's clock; 0 if the clock is not known.
+// leaseUntil returns the end of a lease granted now on the worker's clock, or 0 if the clock is unknown.
 func (cr *Core) leaseUntil(wk *worker, now time.Time) int64 {
 	if wk.clockAt.IsZero() {
 		return 0
@@ -241,7 +241,7 @@
 	return wk.clockMillis + now.Sub(wk.clockAt).Milliseconds() + cr.opts.LeaseDuration.Milliseconds()
 }
 
-// recordLease notes a lease's end, so that it is known when it has surely run out.
+// recordLease records the end of a lease, to know when it has certainly expired.
 func (cr *Core) recordLease(wk *worker, until int64) {
 	if until == 0 {
 		return
@@ -252,14 +252,14 @@
 	}
 }
 
-// observeClock notes a reading of the worker's clock.
+// observeClock records a reading of the worker's clock.
 func (wk *worker) observeClock(clock int64, received time.Time) {
 	if clock != 0 && received.After(wk.clockAt) {
 		wk.clockMillis, wk.clockAt = clock, received
 	}
 }
 
-// release ends a placement of which it is certain that it does not run and has no end that counts.
+// release removes a placement that certainly does not run and has no end to be counted.
 func (cr *Core) release(now time.Time, pl *placement, why string) {
 	pl.worker.removePlacement(pl)
 	pl.worker.busyAt = now
@@ -269,21 +269,20 @@
 		ts.placement = nil
 	}
 	if pl.intentSaved {
-		// A next owner is not to look for it there.
+		// The next owner must not look for the task there.
 		cr.markDirty(pl.step.job)
 	}
 	cr.opts.Log(Decision{What: "attempt over", Task: pl.task, Attempt: pl.attempt, Worker: pl.worker.info.ID, Token: pl.token, Why: why, PollAge: now.Sub(pl.worker.polledAt)})
 }
 
-// handleWorkerEnd forgets a worker whose life has ended: nothing runs there any more. seen is the token that a later life under the name has seen, 0 if none
-// has answered.
+// handleWorkerEnd removes a worker whose incarnation has ended. seen is the token that a later incarnation has seen, or 0 if none has answered.
 func (cr *Core) handleWorkerEnd(now time.Time, wk *worker, why string, seen Token) {
 	cr.opts.Log(Decision{What: "worker gone", Worker: wk.info.ID, Why: why, PollAge: now.Sub(wk.polledAt)})
 	cr.chargeLoss(now, wk, why, true)
 	for _, pl := range wk.placed {
-		// Another owner may have taken note of its end before the worker went.
+		// Another owner may have recorded the end of the attempt before the worker ended.
 		pl.step.tasks[pl.task.Index].lostAt = now
-		cr.release(now, pl, "its worker is gone")
+		cr.release(now, pl, "its worker has ended")
 		cr.trackLateStart(now, pl)
 	}
 	cr.remove(wk)
@@ -291,21 +290,21 @@
 	cr.recordDeparture(now, wk)
 }
 
-// resolve notes that nothing runs unseen on a worker.
+// resolve records that nothing runs unseen on a worker.
 func (cr *Core) resolve(now time.Time, id WorkerID, why string) {
 	if _, open := cr.unresolved[id]; !open {
 		return
 	}
 	delete(cr.unresolved, id)
 	if _, gone := cr.departed[id]; gone {
-		// The row is not to name it any longer: a next owner would wait for its next life again.
+		// Remove the worker from the cell's row. The next owner would otherwise wait for its next incarnation again.
 		delete(cr.departed, id)
 		cr.rowOutdated = true
 	}
 	cr.opts.Log(Decision{What: "worker resolved", Worker: id, Why: why})
 }
 
-// resolveUnseen notes that nothing runs on a worker any more at which this owner has not looked: tasks may have been lost with it.
+// resolveUnseen records that nothing runs any more on a worker that this owner has not polled. Tasks may have been lost with it.
 func (cr *Core) resolveUnseen(now time.Time, id WorkerID, why string) {
 	cr.resolve(now, id, why)
 	if !cr.movedWorkers[id] {
@@ -314,12 +313,12 @@
 	delete(cr.movedWorkers, id)
 }
 
-// expireWorkers releases what ran on workers that have been silent for longer than their leases.
+// expireWorkers releases the attempts on workers that have not answered for longer than their leases, and removes workers that are gone.
 func (cr *Core) expireWorkers(now time.Time) {
 	for id, at := range cr.unresolved {
-		// An owner after this one may have renewed what earlier ones started, unless this one is confirmed later than that.
+		// A later owner may have renewed the leases of earlier owners, unless this owner was confirmed after their end.
 		if now.After(at) && cr.confirmedAt.After(at) && !cr.mayRunLate(now, id, at) {
-			cr.resolveUnseen(now, id, "what earlier owners started there is over")
+			cr.resolveUnseen(now, id, "leases of earlier owners have expired")
 		}
 	}
 	for _, wk := range cr.sortedWorkers {
@@ -333,24 +332,26 @@
 	}
 }
 
-// isEmpty reports whether nothing is left on a worker, nor to be told to it.
+// isEmpty reports whether nothing runs on a worker and nothing is left to be acknowledged.
 func (wk *worker) isEmpty() bool {
 	return wk.fenced && len(wk.placements) == 0 && len(wk.foreign) == 0 && len(wk.unackedEnds) == 0
 }
 
-// forgetWorker forgets a worker that has been gone from the list for long. If it has fallen silent, it counts as lost to what it may have run.
+// forgetWorker removes a worker that has been unregistered for long. If it does not answer, this counts as a loss for the attempts that it may
+// have run.
 func (cr *Core) forgetWorker(now time.Time, wk *worker) {
 	if wk.failedPolls > 0 {
-		cr.chargeLoss(now, wk, "not heard of again", false)
+		cr.chargeLoss(now, wk, "unregistered and not answering", false)
 	}
 	cr.remove(wk)
 }
 
-// expireLeases releases all that was leased on a silent worker; before it gets anything new it is looked at under a higher token.
+// expireLeases releases all attempts on a worker whose leases have expired. The worker gets no new tasks until it has answered a poll with a
+// higher token.
 func (cr *Core) expireLeases(now time.Time, wk *worker) {
 	wk.leaseExpired = append(wk.leaseExpired, wk.placed...)
 	for _, pl := range wk.placed {
-		cr.release(now, pl, "its lease has run out")
+		cr.release(now, pl, "its lease has expired")
 		cr.trackLateStart(now, pl)
 		pl.step.tasks[pl.task.Index].lost.markUnresolved(wk.info.ID)
 		pl.step.job.hasOpenLosses = true
