--- a/cell/ledger_test.go
+++ b/cell/ledger_test.go
@@ -206,7 +206,7 @@
 	lb := newLedgerTestBed(t, 2, cores(100))
 	lb.runRounds(4, map[int]Demand{0: {Waiting: cores(60), Unit: cores(1)}})
 	held := lb.rows["mill"].Account["0"].Held.CPUMillis / 1000
-	before := lb.cells[0]
+	predecessor := lb.cells[0]
 	lb.fill(0)
 	next := NewLedger("0", 500)
 	lb.cells[0] = next
@@ -218,8 +218,8 @@
 	if got := lb.fill(0); got+held > 100 || got == 0 {
 		t.Errorf("%d tasks started beside the %d that may run", got, held)
 	}
-	before.Update(lb.rows["mill"])
-	if !before.Superseded() {
+	predecessor.Update(lb.rows["mill"])
+	if !predecessor.Superseded() {
 		t.Error("the predecessor does not learn of its successor")
 	}
 }
--- a/cell/model_crash_test.go
+++ b/cell/model_crash_test.go
@@ -94,11 +94,11 @@
 
 // checkGivenUp checks the saved progress of a failed job. The job must have a task that failed too often or lost workers, and must stay failed.
 func (md *model) checkGivenUp(row SaveRow) {
-	before := md.progress[row.ID].Progress
-	if before != nil && before.State.Ended() && before.State != row.Progress.State {
-		md.violatef("%s was %s and is %s", row.ID, before.State, row.Progress.State)
+	previous := md.progress[row.ID].Progress
+	if previous != nil && previous.State.Ended() && previous.State != row.Progress.State {
+		md.violatef("%s was %s and is %s", row.ID, previous.State, row.Progress.State)
 	}
-	if row.Progress.State != job.Failed || before != nil && before.State == job.Failed {
+	if row.Progress.State != job.Failed || previous != nil && previous.State == job.Failed {
 		return
 	}
 	sp := md.jobs[row.ID].spec
--- a/cell/model_fault_test.go
+++ b/cell/model_fault_test.go
@@ -107,6 +107,7 @@
 	})
 }
 
+// cancel cancels a job. The owners learn of it later.
 func (md *model) cancel(id job.ID) {
 	jb := md.jobs[id]
 	if !jb.cancelled.IsZero() {
--- a/cell/model_test.go
+++ b/cell/model_test.go
@@ -210,13 +210,13 @@
 	if name == "" {
 		name = WorkerName(fmt.Sprintf("w%d", number))
 	}
-	began, born := time.Unix(1_700_000_000, 0), int64(0)
+	clockStart, startMillis := time.Unix(1_700_000_000, 0), int64(0)
 	if md.namesReused {
-		began, born = md.now, md.now.UnixMilli()
+		clockStart, startMillis = md.now, md.now.UnixMilli()
 	}
-	id := NewWorkerID(name, born)
+	id := NewWorkerID(name, startMillis)
 	wk := &modelWorker{
-		clockStart: began,
+		clockStart: clockStart,
 		info:       Worker{ID: id, Pool: modelPool, Address: address, Rack: fmt.Sprintf("r%d", md.rnd.Intn(2)), Room: job.Size{CPUMillis: modelRoom, MemoryMB: 4000}},
 		alive:      true, clockRate: 1 - 0.02*md.rnd.Float64(), runs: map[job.Task]*modelRun{}, finishedAttempts: map[job.Task]job.Attempt{},
 	}
@@ -294,11 +294,11 @@
 
 // claimCell makes a new owner claim the cell.
 func (md *model) claimCell() {
-	before, released := md.rowWorkers, md.rowReleased
+	previousWorkers, released := md.rowWorkers, md.rowReleased
 	md.version++
 	md.rowVersion, md.rowEpoch, md.rowReleased = md.version, job.Epoch(md.version), false
 	ow := &modelOwner{core: New(modelPool, md.rowEpoch, md.opts), epoch: md.rowEpoch, rowVersion: md.version, workerCutUntil: map[WorkerID]time.Time{}}
-	md.rowWorkers = append([]WorkerRef(nil), before...)
+	md.rowWorkers = append([]WorkerRef(nil), previousWorkers...)
 	for _, wk := range md.allWorkers() {
 		if wk.alive {
 			md.rowWorkers = appendRef(md.rowWorkers, WorkerRef{ID: wk.info.ID, Address: wk.info.Address})
@@ -308,7 +308,7 @@
 		// In a data hall that is cut off there are workers that only the previous owner can reach.
 		md.cutWorkers(ow)
 	}
-	ow.core.TakeOver(md.now, md.now, before, released)
+	ow.core.TakeOver(md.now, md.now, previousWorkers, released)
 	ow.core.NoteUnseenLosses(md.rowUnseenLossEpoch)
 	ow.core.Configure([]job.Queue{
 		{ID: modelQueue, Pool: modelPool, Priority: 2, MaxAttempts: modelAttempts, Stretch: 1.5, Slack: time.Second},
@@ -648,11 +648,11 @@
 		return LeaseExpired
 	}
 	md.checkStart(wk, order)
-	reason, took := EndDone, md.millis(50, 2500)
+	reason, duration := EndDone, md.millis(50, 2500)
 	if draw := md.rnd.Intn(20); draw == 0 && !md.faultsOff {
 		reason = EndFailed
 	}
-	rn := &modelRun{attempt: order.Attempt, endsAt: md.now.Add(took), reason: reason, workingAt: md.now.Add(200 * time.Millisecond)}
+	rn := &modelRun{attempt: order.Attempt, endsAt: md.now.Add(duration), reason: reason, workingAt: md.now.Add(200 * time.Millisecond)}
 	if md.stepOf(order.Task).LongRunning && reason == EndDone {
 		rn.endsAt = md.now.Add(time.Hour)
 	}
@@ -682,7 +682,7 @@
 		md.checkGivenUp(row)
 		row.Version = md.version
 		md.progress[row.ID] = row
-		if _, before := md.completedAt[row.ID]; !before && row.Progress.State == job.Completed {
+		if _, completed := md.completedAt[row.ID]; !completed && row.Progress.State == job.Completed {
 			md.completedAt[row.ID] = md.now
 		}
 	}
--- a/cell/takeover_test.go
+++ b/cell/takeover_test.go
@@ -58,9 +58,9 @@
 	bd.addJob("j", testEpoch, taskStep(1))
 	st := bd.wantStarts(bd.plan(), 1)[0]
 	bd.answerOrder(st, Done)
-	given := bd.now
+	leaseStart := bd.now
 	bd.failPoll(st.Worker)
-	for bd.now.Sub(given) < lease*100/98 {
+	for bd.now.Sub(leaseStart) < lease*100/98 {
 		bd.advance(100 * time.Millisecond)
 		bd.wantStarts(bd.plan(), 0)
 		bd.failPoll(st.Worker)
@@ -69,7 +69,7 @@
 	for range 20 {
 		bd.advance(100 * time.Millisecond)
 		// The ownership was last confirmed before the lease expired.
-		bd.core.confirmedAt = given.Add(lease)
+		bd.core.confirmedAt = leaseStart.Add(lease)
 		bd.wantStarts(bd.planUnconfirmed(), 0)
 		bd.failPoll(st.Worker)
 		bd.answerPendingPolls()
