--- a/fleet/machinecontroller.go
+++ b/fleet/machinecontroller.go
@@ -153,7 +153,7 @@
 	}
 }
 
-// servicedMachines returns the machines that the orders start maintenance on.
+// maintenanceMachines returns the machines that the orders start maintenance on.
 func maintenanceMachines(orders []machine.Order) []cell.MachineID {
 	var ids []cell.MachineID
 	for _, od := range orders {
--- a/fleet/workercache_test.go
+++ b/fleet/workercache_test.go
@@ -29,8 +29,9 @@
 	return unusable
 }
 
-// A registration that can't be read stops new tasks for its worker at once, whatever its former registration said, and does not
-// affect other workers. The worker is used again once its registration can be read.
+// TestUnreadableRegistrationStopsNewTasks checks that a registration that can't be read stops new tasks for its worker at once,
+// whatever its former registration said, and does not affect other workers. The worker is used again once its registration can be
+// read.
 func TestUnreadableRegistrationStopsNewTasks(t *testing.T) {
 	fl, ow := newRegistry(t)
 	row := func(id, value string) Row { return Row{Table: "registry", Key: id, Value: []byte(value)} }
@@ -51,7 +52,8 @@
 	}
 }
 
-// A worker whose registration names another pool leaves the cell of its former pool.
+// TestWorkerThatChangesPoolLeavesItsCell checks that a worker whose registration names another pool leaves the cell of its former
+// pool.
 func TestWorkerThatChangesPoolLeavesItsCell(t *testing.T) {
 	fl, ow := newRegistry(t)
 	fl.register(cell.Worker{ID: "w0", Pool: "pool", Address: "a"})
@@ -61,8 +63,8 @@
 	}
 }
 
-// If other workers name their machines, a registration without a machine was not written by its worker and is rejected; if none
-// does, all registrations are accepted.
+// TestRegistrationWithoutMachineIsRejectedAmongOthers checks that a registration without a machine is rejected if other workers
+// name their machines, since its worker did not write it. If no worker names a machine, all registrations are accepted.
 func TestRegistrationWithoutMachineIsRejectedAmongOthers(t *testing.T) {
 	for machine, want := range map[cell.MachineID]int{"m0": 1, "": 2} {
 		fl, ow := newRegistry(t)
@@ -82,8 +84,8 @@
 	return cell.Worker{ID: cell.NewWorkerID(cell.WorkerName(rw.Key), startMillis), Pool: "pool", Address: rw.Key, Room: job.Size{CPUMillis: 4000, MemoryMB: 4000}}, err
 }
 
-// A worker that restarts under the same name must count as a new worker, and a registration without a start time must be
-// rejected. Otherwise the owner mixes up the numbers and leases of the two incarnations.
+// TestRestartedWorkerIsANewWorker checks that a worker that restarts under the same name counts as a new worker, and that a
+// registration without a start time is rejected. Otherwise the owner mixes up the numbers and leases of the two incarnations.
 func TestRestartedWorkerIsANewWorker(t *testing.T) {
 	fl, ow := newRegistry(t)
 	fl.opts.Format = startTimeFormat{}
@@ -107,8 +109,9 @@
 	}
 }
 
-// Registrations that come with the first answer after an outage of the store may have been written before it. When they were
-// dated by the request, the owner relied on free resources that had shrunk in between.
+// TestRegistrationsAreDatedByThePreviousAnswer guards against registrations that are dated too late. Those that come with the
+// first answer after an outage of the store may have been written before it. When they were dated by the request, the owner
+// relied on free resources that had shrunk in between.
 func TestRegistrationsAreDatedByThePreviousAnswer(t *testing.T) {
 	fl, _ := newRegistry(t)
 	start := time.Now()
