--- a/fleet/machinelease.go
+++ b/fleet/machinelease.go
@@ -183,7 +183,7 @@
 		}
 		if rw.Version > ct.lease.version {
 			ct.lease.version, ct.lease.published = rw.Version, or.Ordered
-			ct.lease.expires = later(ct.lease.expires, ct.lease.firstAttempt.Add(or.Term))
+			ct.lease.expires = maxTime(ct.lease.expires, ct.lease.firstAttempt.Add(or.Term))
 			ct.lease.firstAttempt = time.Time{}
 		}
 		return true
--- a/fleet/members.go
+++ b/fleet/members.go
@@ -202,7 +202,7 @@
 			list = append(list, nd)
 		}
 	}
-	slices.SortFunc(list, func(one, other node) int { return cmp.Compare(one.Name, other.Name) })
+	slices.SortFunc(list, func(a, b node) int { return cmp.Compare(a.Name, b.Name) })
 	return list
 }
 
@@ -230,15 +230,15 @@
 	defer mb.mu.RUnlock()
 	cellTakenAt := map[string]time.Time{}
 	for name, or := range mb.owners {
-		cellTakenAt[or.Holder] = later(cellTakenAt[or.Holder], mb.ownerChangedAt[name])
+		cellTakenAt[or.Holder] = maxTime(cellTakenAt[or.Holder], mb.ownerChangedAt[name])
 	}
 	live := map[string]node{}
 	for name, nd := range mb.nodes {
 		span := idleDeadTimeout(len(mb.nodes))
-		lastSeen := later(mb.nodeSeenAt[name], since)
+		lastSeen := maxTime(mb.nodeSeenAt[name], since)
 		if tookCellAt, owns := cellTakenAt[name]; owns {
 			// The instance sends heartbeats more often since it took the cell.
-			span, lastSeen = maxSpan, later(lastSeen, tookCellAt)
+			span, lastSeen = maxSpan, maxTime(lastSeen, tookCellAt)
 		}
 		if until.Sub(lastSeen) < span {
 			live[name] = nd
@@ -260,11 +260,11 @@
 	return min(maxDeadTimeout, minDeadTimeout+deadCommitFactor*fl.store.commitLatency())
 }
 
-func later(one, other time.Time) time.Time {
-	if one.After(other) {
-		return one
+func maxTime(a, b time.Time) time.Time {
+	if a.After(b) {
+		return a
 	}
-	return other
+	return b
 }
 
 // heartbeat renews this instance's row until the context ends.
--- a/fleet/ownership.go
+++ b/fleet/ownership.go
@@ -155,7 +155,7 @@
 		return false
 	}
 	since, until := fl.control.healthyPeriod()
-	return until.Sub(later(fl.members.ownerChanged(machinesCell), since)) < max(or.Term, machineLeaseTermMin)+machineLeaseMargin
+	return until.Sub(maxTime(fl.members.ownerChanged(machinesCell), since)) < max(or.Term, machineLeaseTermMin)+machineLeaseMargin
 }
 
 // runsCell reports whether this instance runs a cell's owner or, for the machine cell, the controller.
--- a/fleet/partition.go
+++ b/fleet/partition.go
@@ -39,20 +39,20 @@
 func (pd *partitionDetector) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, partitionCheckInterval)
-		silent := pd.fl.opts.Now().Sub(pd.fl.store.lastAnswer())
-		if silent < partitionSilence {
-			pd.setCutOff(false, silent)
+		silence := pd.fl.opts.Now().Sub(pd.fl.store.lastAnswer())
+		if silence < partitionSilence {
+			pd.setCutOff(false, silence)
 			continue
 		}
 		targets := pd.probeTargets()
 		if len(targets) > 0 {
-			pd.setCutOff(!pd.anyAnswers(ctx, targets), silent)
+			pd.setCutOff(!pd.anyAnswers(ctx, targets), silence)
 		}
 	}
 }
 
 // setCutOff records whether this instance is cut off, and logs a change.
-func (pd *partitionDetector) setCutOff(cutOff bool, silent time.Duration) {
+func (pd *partitionDetector) setCutOff(cutOff bool, silence time.Duration) {
 	if pd.cutOff.Swap(cutOff) == cutOff {
 		return
 	}
@@ -60,7 +60,7 @@
 	if cutOff {
 		kind = event.HallCutOff
 	}
-	pd.fl.opts.Log.Emit(kind, zap.Duration("storeSilent", silent))
+	pd.fl.opts.Log.Emit(kind, zap.Duration("storeSilent", silence))
 }
 
 // probeTargets returns some instances of other data halls that were live when the store last answered, in rotation. The rows of
--- a/fleet/peers.go
+++ b/fleet/peers.go
@@ -142,8 +142,8 @@
 	}
 }
 
-// carriers returns the addresses of the peers to try, starting with a different one each time.
-func (pr *peers) carriers() []string {
+// carrierAddresses returns the addresses of the peers to try, starting with a different one each time.
+func (pr *peers) carrierAddresses() []string {
 	var addresses []string
 	for _, nd := range pr.fl.members.others(pr.fl.opts.Name) {
 		addresses = append(addresses, nd.Address)
@@ -170,7 +170,7 @@
 
 // carry makes a store call through a peer. It returns ErrRefused if no peer can have made the call.
 func (pr *peers) carry(ctx context.Context, raw []byte) (storeResult, error) {
-	for _, address := range pr.carriers() {
+	for _, address := range pr.carrierAddresses() {
 		rp, err := pr.clientFor(address).Carry(ctx, &peer.CarryRequest{Call: raw})
 		if err != nil {
 			pr.backOff(address)
--- a/fleet/relays.go
+++ b/fleet/relays.go
@@ -133,13 +133,13 @@
 			list = append(list, ln)
 		}
 	}
-	slices.SortFunc(list, func(one, other *relayLink) int {
-		return cmp.Or(cmp.Compare(cells[one.node.Name], cells[other.node.Name]), -cmp.Compare(weight(rs.ow.name, one.node), weight(rs.ow.name, other.node)), cmp.Compare(one.node.Name, other.node.Name))
+	slices.SortFunc(list, func(a, b *relayLink) int {
+		return cmp.Or(cmp.Compare(cells[a.node.Name], cells[b.node.Name]), -cmp.Compare(weight(rs.ow.name, a.node), weight(rs.ow.name, b.node)), cmp.Compare(a.node.Name, b.node.Name))
 	})
-	room := 0.0
+	capacity := 0.0
 	for i, ln := range list {
-		room += ln.node.cpuShare() * relayWorkersPerCore
-		if room >= workers {
+		capacity += ln.node.cpuShare() * relayWorkersPerCore
+		if capacity >= workers {
 			return list[:i+1]
 		}
 	}
--- a/fleet/serialstore_test.go
+++ b/fleet/serialstore_test.go
@@ -66,7 +66,7 @@
 		duration *= 2
 	}
 	for _, part := range parts {
-		start = later(start, ss.freeAt[part])
+		start = maxTime(start, ss.freeAt[part])
 	}
 	if start.Sub(now) > maxCommitWait {
 		return start, false
--- a/fleet/tablewatch.go
+++ b/fleet/tablewatch.go
@@ -207,13 +207,13 @@
 
 // merge merges rows and reports the new ones.
 func (wt *tableWatch) merge(rows []Row, sentAt time.Time) {
-	var fresh []Row
+	var changed []Row
 	wt.mu.Lock()
 	for _, rw := range rows {
 		if old, ok := wt.rows[rw.Place()]; ok && old.Version >= rw.Version {
 			continue
 		}
-		fresh = append(fresh, rw)
+		changed = append(changed, rw)
 		if rw.Deleted {
 			delete(wt.rows, rw.Place())
 			continue
@@ -221,7 +221,7 @@
 		wt.rows[rw.Place()] = rw
 	}
 	wt.mu.Unlock()
-	wt.onChange(fresh, sentAt)
+	wt.onChange(changed, sentAt)
 }
 
 // load reads the whole table. Rows that are no longer in it are reported as deleted.
@@ -235,16 +235,16 @@
 	for _, rw := range rows {
 		present[rw.Place()] = true
 	}
-	var gone []Row
+	var deleted []Row
 	wt.mu.Lock()
 	for place, rw := range wt.rows {
 		if !present[place] {
-			gone = append(gone, Row{Table: rw.Table, Part: rw.Part, Key: rw.Key, Version: rw.Version + 1, Deleted: true})
+			deleted = append(deleted, Row{Table: rw.Table, Part: rw.Part, Key: rw.Key, Version: rw.Version + 1, Deleted: true})
 		}
 	}
 	wt.mu.Unlock()
 	wt.version = version
-	wt.merge(append(rows, gone...), sentAt)
+	wt.merge(append(rows, deleted...), sentAt)
 	wt.recordSuccess(sentAt)
 	wt.ready.Store(true)
 	return nil
--- a/fleet/traffic.go
+++ b/fleet/traffic.go
@@ -39,10 +39,10 @@
 func (tr *Traffic) Moved(kind string, out, in int) {
 	found, known := tr.kinds.Load(kind)
 	if !known {
-		fresh := &trafficCount{}
-		if found, known = tr.kinds.LoadOrStore(kind, fresh); !known {
-			tr.registerGauge("bytes.out."+kind, &fresh.out)
-			tr.registerGauge("bytes.in."+kind, &fresh.in)
+		created := &trafficCount{}
+		if found, known = tr.kinds.LoadOrStore(kind, created); !known {
+			tr.registerGauge("bytes.out."+kind, &created.out)
+			tr.registerGauge("bytes.in."+kind, &created.in)
 		}
 	}
 	tc := found.(*trafficCount)
@@ -75,8 +75,8 @@
 		tc.loggedOut, tc.loggedIn = out, in
 		return true
 	})
-	slices.SortFunc(list, func(one, other trafficDelta) int {
-		return cmp.Or(cmp.Compare(other.out+other.in, one.out+one.in), cmp.Compare(one.kind, other.kind))
+	slices.SortFunc(list, func(a, b trafficDelta) int {
+		return cmp.Or(cmp.Compare(b.out+b.in, a.out+a.in), cmp.Compare(a.kind, b.kind))
 	})
 	return list
 }
