--- a/cell/cell.go
+++ b/cell/cell.go
@@ -239,7 +239,7 @@
 }
 
 // SetTimeOfDay sets the time of day relative to the owner's clock.
-func (cr *Core) SetTimeOfDay(now, day time.Time) { cr.clockOffset = day.Sub(now) }
+func (cr *Core) SetTimeOfDay(now, timeOfDay time.Time) { cr.clockOffset = timeOfDay.Sub(now) }
 
 // RegistrationsRead records the time as of which the registrations are known.
 func (cr *Core) RegistrationsRead(at time.Time) { cr.registrationsAt = latest(cr.registrationsAt, at) }
@@ -299,9 +299,9 @@
 func uniqueRefs(refs []WorkerRef) []WorkerRef {
 	seen := make(map[WorkerID]bool, len(refs))
 	return slices.DeleteFunc(refs, func(rf WorkerRef) bool {
-		again := seen[rf.ID]
+		duplicate := seen[rf.ID]
 		seen[rf.ID] = true
-		return again
+		return duplicate
 	})
 }
 
--- a/cell/crash.go
+++ b/cell/crash.go
@@ -95,25 +95,25 @@
 // chargeLoss charges the loss of a worker to the tasks on it, unless the worker had announced that it would leave. ended means that the worker's
 // incarnation is known to have ended; otherwise the worker only stopped answering for good.
 func (cr *Core) chargeLoss(now time.Time, wk *worker, why string, ended bool) {
-	silent := now
+	failedAt := now
 	if wk.failedPolls > 0 {
-		silent = wk.firstFailedAt
+		failedAt = wk.firstFailedAt
 	}
-	victims := wk.affectedAttempts()
-	loss := Loss{Tasks: len(victims)}
+	affected := wk.affectedAttempts()
+	loss := Loss{Tasks: len(affected)}
 	if wk.info.Draining {
 		loss.ExemptReason = "worker was leaving"
 	}
 	// A removed registration or a cordoned machine may explain the loss, but neither ends a worker by itself.
-	doubtful := !ended || wk.registrationRead && !wk.registered && wk.unregisteredAt.Before(silent) || cr.cordoned(now, wk)
+	otherCause := !ended || wk.registrationRead && !wk.registered && wk.unregisteredAt.Before(failedAt) || cr.cordoned(now, wk)
 	var newest time.Time
-	for _, pl := range victims {
+	for _, pl := range affected {
 		newest = latest(newest, pl.orderedAt)
 		loss.MaxPriorLosses = max(loss.MaxPriorLosses, len(pl.step.tasks[pl.task.Index].lost.workers))
 	}
-	loss.SinceStart = silent.Sub(newest)
-	defer cr.trackPendingLoss(wk, cr.affectedJobs(wk.info.ID, victims))
-	if len(victims) > 0 {
+	loss.SinceStart = failedAt.Sub(newest)
+	defer cr.trackPendingLoss(wk, cr.affectedJobs(wk.info.ID, affected))
+	if len(affected) > 0 {
 		cr.opts.Log(Decision{What: "worker lost with tasks", Worker: wk.info.ID, Why: why, PollAge: now.Sub(wk.polledAt), Loss: &loss})
 	}
 	if loss.ExemptReason != "" {
@@ -122,24 +122,24 @@
 		return
 	}
 	// Assess all attempts before charging any, since a charge changes which attempts count as settled.
-	judged := make([]evidence, len(victims))
-	for at, pl := range victims {
-		judged[at] = cr.assessLoss(wk, victims, pl, silent, newest, doubtful)
+	assessed := make([]evidence, len(affected))
+	for at, pl := range affected {
+		assessed[at] = cr.assessLoss(wk, affected, pl, failedAt, newest, otherCause)
 	}
-	for at, pl := range victims {
-		cr.charge(now, pl, judged[at])
+	for at, pl := range affected {
+		cr.charge(now, pl, assessed[at])
 	}
 	cr.chargeUnresolved(now, wk.info.ID)
 	cr.releaseSuspects(now, wk)
 }
 
 // assessLoss returns the evidence that the loss of a worker gives about an attempt on it. newest is the time of the last start on the worker.
-func (cr *Core) assessLoss(wk *worker, victims []*placement, pl *placement, silent, newest time.Time, doubtful bool) evidence {
-	fresh := silent.Sub(pl.orderedAt) <= suspectWindow
+func (cr *Core) assessLoss(wk *worker, affected []*placement, pl *placement, failedAt, newest time.Time, otherCause bool) evidence {
+	recent := failedAt.Sub(pl.orderedAt) <= suspectWindow
 	// A worker that never acknowledged the start may have ended before it. A worker that timed out may have ended after the attempt. An attempt that
 	// had run for some time beside one just started is the less likely cause.
-	strong := !pl.ackedAt.IsZero() && wk.connBroken && !doubtful && !cr.inMassBreak(wk, silent) && (fresh || silent.Sub(newest) > suspectWindow)
-	return evidence{strong: strong, onlyCandidate: cr.onlyJobOnWorker(wk, victims, pl), recentStart: fresh, onProbation: fresh && pl.onProbation(), soleJob: onlyJobStarted(victims, pl, silent), aliveAt: wk.aliveAt}
+	strong := !pl.ackedAt.IsZero() && wk.connBroken && !otherCause && !cr.inMassBreak(wk, failedAt) && (recent || failedAt.Sub(newest) > suspectWindow)
+	return evidence{strong: strong, onlyCandidate: cr.onlyJobOnWorker(wk, affected, pl), recentStart: recent, onProbation: recent && pl.onProbation(), soleJob: onlyJobStarted(affected, pl, failedAt), aliveAt: wk.aliveAt}
 }
 
 // affectedAttempts returns the attempts that the loss of the worker may have ended: those on it, and those whose lease expired while the worker
@@ -155,19 +155,19 @@
 }
 
 // onlyJobStarted reports whether all attempts recently started on a worker belong to one job.
-func onlyJobStarted(victims []*placement, pl *placement, silent time.Time) bool {
-	return !slices.ContainsFunc(victims, func(other *placement) bool {
-		return other.step.job != pl.step.job && silent.Sub(other.orderedAt) <= suspectWindow
+func onlyJobStarted(affected []*placement, pl *placement, failedAt time.Time) bool {
+	return !slices.ContainsFunc(affected, func(other *placement) bool {
+		return other.step.job != pl.step.job && failedAt.Sub(other.orderedAt) <= suspectWindow
 	})
 }
 
 // onlyJobOnWorker reports whether only tasks of one job can have caused the loss of the worker. Which task of the job it was makes no difference
 // to the job.
-func (cr *Core) onlyJobOnWorker(wk *worker, victims []*placement, pl *placement) bool {
+func (cr *Core) onlyJobOnWorker(wk *worker, affected []*placement, pl *placement) bool {
 	if len(wk.foreign) > 0 {
 		return false
 	}
-	for _, other := range victims {
+	for _, other := range affected {
 		if other.step.job != pl.step.job && !other.settled(wk.aliveAt) {
 			return false
 		}
@@ -184,10 +184,10 @@
 }
 
 // inMassBreak reports whether the connections of several other workers broke at the same time.
-func (cr *Core) inMassBreak(wk *worker, silent time.Time) bool {
+func (cr *Core) inMassBreak(wk *worker, failedAt time.Time) bool {
 	others := 0
 	for _, cb := range cr.connBreaks {
-		if cb.id != wk.info.ID && cb.at.Sub(silent).Abs() < massBreakWindow {
+		if cb.id != wk.info.ID && cb.at.Sub(failedAt).Abs() < massBreakWindow {
 			others++
 		}
 	}
--- a/cell/crash_bound_test.go
+++ b/cell/crash_bound_test.go
@@ -114,7 +114,7 @@
 
 // Guards against losing track of crashing tasks in a cell that changes owners each second while the workers time out without a broken connection.
 // Attempts on unresponsive workers were not saved, so the next owner had no task to charge with the loss: one task was started 60 times in 30 s.
-func TestTaskThatCrashesItsWorkersUnderOwnersByTurnsIsGivenUp(t *testing.T) {
+func TestTaskThatCrashesItsWorkersUnderChangingOwnersIsGivenUp(t *testing.T) {
 	for _, every := range []time.Duration{time.Second, 1500 * time.Millisecond, 3 * time.Second} {
 		for _, dark := range []bool{true, false} {
 			boundCase{name: fmt.Sprintf("every %v, dark %t", every, dark), every: every, noReset: dark, after: quick, step: short, span: 30 * time.Second}.play(t)
@@ -124,7 +124,7 @@
 
 // Guards against taking an expired registration for a leaving worker. A worker whose registration was gone when it stopped answering counted as
 // leaving, and its loss was charged to no task: one task was started 25 times in 30 s.
-func TestTaskThatCrashesItsWorkersIsGivenUpWhileRegistrationsLapse(t *testing.T) {
+func TestTaskThatCrashesItsWorkersIsGivenUpWhileRegistrationsExpire(t *testing.T) {
 	for _, every := range []time.Duration{500 * time.Millisecond, 4 * time.Second} {
 		for _, dark := range []bool{true, false} {
 			boundCase{name: fmt.Sprintf("half of %v, dark %t", every, dark), lapse: every / 2, lapseOf: every, noReset: dark, after: quick, step: short, span: 30 * time.Second}.play(t)
@@ -134,7 +134,7 @@
 
 // Guards against losses that prove nothing because each worker also has a run that its owner does not know, so that no task is ever alone on a
 // worker: one task was started 14 times in 30 s.
-func TestTaskThatCrashesItsWorkersBesideStrangersIsGivenUp(t *testing.T) {
+func TestTaskThatCrashesItsWorkersBesideForeignRunsIsGivenUp(t *testing.T) {
 	for _, dark := range []bool{true, false} {
 		boundCase{name: fmt.Sprintf("dark %t", dark), foreignRuns: true, noReset: dark, after: quick, step: short, span: 30 * time.Second}.play(t)
 	}
@@ -142,7 +142,7 @@
 
 // Guards against long-running tasks that crash each worker some seconds after their start. Losses of tasks that had run for so long were never
 // charged, and earlier charges were cleared.
-func TestLastingTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
+func TestLongRunningTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	lasting := job.Step{Count: 2, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true}
 	for _, dark := range []bool{true, false} {
 		boundCase{name: fmt.Sprintf("dark %t", dark), noReset: dark, after: []time.Duration{4 * time.Second, 6 * time.Second, 20 * time.Second}, step: lasting, span: 5 * time.Minute}.play(t)
@@ -151,6 +151,6 @@
 
 // Guards against endless restarts if workers end without a broken connection and nobody reports their end. Their tasks were restarted elsewhere
 // each time that the leases expired.
-func TestTaskOfWorkersThatFallSilentForGoodIsStartedAFewTimes(t *testing.T) {
+func TestTaskOfWorkersThatStopAnsweringIsStartedAFewTimes(t *testing.T) {
 	boundCase{name: "untold", noReset: true, unreported: true, after: quick, step: short, span: 5 * time.Minute}.play(t)
 }
--- a/cell/plague.go
+++ b/cell/crashloop.go
@@ -104,14 +104,14 @@
 	slices.SortStableFunc(list, func(one, other *candidate) int {
 		return cmp.Or(-cmp.Compare(one.longRunning, other.longRunning), cmp.Compare(len(one.placed), len(other.placed)))
 	})
-	lasting := 0
+	withLongRunning := 0
 	for _, cd := range list {
 		if cd.longRunning > 0 {
-			lasting++
+			withLongRunning++
 		}
 	}
 	// A single worker is shared by all tasks.
-	for _, cd := range list[:min(len(list)-1, max(1, min(lasting, int(maxDedicatedShare*float64(len(list))))))] {
+	for _, cd := range list[:min(len(list)-1, max(1, min(withLongRunning, int(maxDedicatedShare*float64(len(list))))))] {
 		cd.dedicated = true
 		room := cd.info.Room
 		for _, pl := range cd.placed {
@@ -127,20 +127,20 @@
 
 // crashLoopAllows reports whether a task may be started on a worker while queues are crash looping. It may not start beside recent starts of
 // another job if the queue of either job is crash looping. Tasks of crash looping queues may not start on dedicated workers or on workers to be
-// freed for other pools. A long-running task may not start on other workers if it fits on a dedicated one.
+// freed for other pools. A long-running task without a spread limit may not start on other workers if it fits on a dedicated one.
 func (cr *Core) crashLoopAllows(now time.Time, st *step, cd *candidate) bool {
 	if len(cr.crashLoops) == 0 {
 		return true
 	}
-	plagued := cr.crashLooping(now, st.job.spec.Queue) && !st.spec.LongRunning
-	if plagued && (cd.dedicated || cd.freeing) {
+	looping := cr.crashLooping(now, st.job.spec.Queue) && !st.spec.LongRunning
+	if looping && (cd.dedicated || cd.freeing) {
 		return false
 	}
 	if sp := st.spec; sp.LongRunning && !cd.dedicated && sp.SpreadLimit == 0 && sp.ResourceRequest().Fits(cr.dedicatedRoom) {
 		// The task waits for one of the dedicated workers, which are scarce.
 		return false
 	}
-	if rs := &cd.recentStarts; rs.job != nil && (rs.mixed || rs.job != st.job) && (plagued || rs.crashLooping) {
+	if rs := &cd.recentStarts; rs.job != nil && (rs.mixed || rs.job != st.job) && (looping || rs.crashLooping) {
 		cr.wakeAt(rs.until)
 		return false
 	}
--- a/cell/plague_test.go
+++ b/cell/crashloop_test.go
@@ -88,7 +88,7 @@
 }
 
 // Guards against stopping the healthy tasks of a failed job before its callers can see that it has failed.
-func TestTasksOfAJobThatFailedRunUntilItsEndIsKept(t *testing.T) {
+func TestTasksOfAFailedJobRunUntilItsEndIsSaved(t *testing.T) {
 	bd := newTestBed(t, 2)
 	bd.addJob("j", testEpoch, job.Step{Count: 2, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true, HasDisruptionBudget: true, DisruptionBudget: 0})
 	sts := bd.wantStarts(bd.plan(), 2)
--- a/cell/life.go
+++ b/cell/incarnation.go
@@ -170,23 +170,23 @@
 // their orders, or may have done so before this owner knew of it. The worker remains unresolved until the ownership is confirmed, since a later
 // owner may have seen ended attempts.
 func (cr *Core) recordDeparture(now time.Time, wk *worker) {
-	at, open := cr.unresolved[wk.info.ID]
-	if !open {
+	at, unresolved := cr.unresolved[wk.info.ID]
+	if !unresolved {
 		return
 	}
-	over := now
+	resolveAt := now
 	if wk.info.ID.reusesName() && !cr.movedWorkers[wk.info.ID] {
-		over = now.Add(lateStartWindow)
+		resolveAt = now.Add(lateStartWindow)
 		if _, known := cr.departed[wk.info.ID]; known {
-			over = at
+			resolveAt = at
 		}
 	}
 	for _, next := range cr.incarnations(wk.name) {
 		if next != wk && !next.fencedAt.IsZero() {
-			over = now
+			resolveAt = now
 		}
 	}
-	cr.unresolved[wk.info.ID], cr.departed[wk.info.ID] = over, wk.endedRef()
+	cr.unresolved[wk.info.ID], cr.departed[wk.info.ID] = resolveAt, wk.endedRef()
 }
 
 // resolveDeparted resolves former incarnations of a worker that has answered a poll. It carries out no more orders of earlier owners, and has
@@ -219,7 +219,7 @@
 	if !wk.info.ID.reusesName() {
 		return
 	}
-	began := time.UnixMilli(wk.info.ID.StartMillis()).Add(-cr.clockOffset)
-	last := earliest(began.Add(lateStartWindow), looked)
+	startedAt := time.UnixMilli(wk.info.ID.StartMillis()).Add(-cr.clockOffset)
+	last := earliest(startedAt.Add(lateStartWindow), looked)
 	wk.leaseEnd = latest(wk.leaseEnd, last.Add(cr.byWorkerClock(maxLateRun)+deliveryMargin))
 }
--- a/cell/life_test.go
+++ b/cell/incarnation_test.go
@@ -34,7 +34,7 @@
 
 // Guards against taking the machine of a restarted worker for empty because the former incarnation was: tasks of the new one were stopped with
 // the machine.
-func TestWorkerIsClearOnceAllItsLivesAre(t *testing.T) {
+func TestWorkerIsDrainedOnceAllItsIncarnationsAre(t *testing.T) {
 	bd, first, second := newIncarnationBed(t)
 	for _, lk := range pollsByWorker(bd.plan()) {
 		bd.answerPoll(lk, nil, nil)
@@ -56,7 +56,7 @@
 
 // Guards against tokens that repeat across incarnations. An order to a former incarnation could be carried out by the next one after a poll with
 // the same token.
-func TestFirstLookAtTheNextLifeIsAboveAllOrdersOfTheFormer(t *testing.T) {
+func TestFirstPollOfTheNextIncarnationHasAHigherToken(t *testing.T) {
 	bd, first, second := newIncarnationBed(t)
 	tokens := map[WorkerID]Token{}
 	for _, lk := range pollsByWorker(bd.plan()) {
@@ -76,7 +76,7 @@
 
 // Guards against starting a task twice. A worker ended while a start was in flight, and its next incarnation carried out the start before another
 // owner took over that could not reach it. That owner took the end of the former incarnation for the end of everything ordered from it.
-func TestNextLifeIsLookedAtBeforeASuccessorStartsWhatTheFormerMayHave(t *testing.T) {
+func TestNextIncarnationIsPolledBeforeANewOwnerRestartsTasks(t *testing.T) {
 	for _, looked := range []bool{true, false} {
 		bd := newTestBed(t, 2)
 		bd.autoSave = true
@@ -115,7 +115,7 @@
 
 // Guards against losing late starts in a handover. An owner that waited for an unanswered start was replaced, and the cell's row no longer named
 // the incarnation that it had been sent to, so that the next owner did not wait.
-func TestSuccessorIsToldOfStartsThatTheNextLifeMayCarryOut(t *testing.T) {
+func TestHandoverNamesLateStarts(t *testing.T) {
 	bd := newTestBed(t, 1)
 	first := bd.core.sortedWorkers[0].info
 	bd.core.remove(bd.core.sortedWorkers[0])
@@ -148,7 +148,7 @@
 // Guards against leases that run longer than assumed. An order to a worker's former incarnation was carried out by the next one, which read the
 // lease time on its own clock: its leases ran for ten seconds. The owner had granted five, got no more answers, and started the tasks elsewhere
 // while they still ran.
-func TestLeaseOfALifeThatBeganLatelyMayBeLonger(t *testing.T) {
+func TestLeaseOfARecentIncarnationMayBeLonger(t *testing.T) {
 	for age, lapses := range map[time.Duration]bool{time.Second: false, time.Minute: true} {
 		bd := newTestBed(t, 2)
 		in := bd.core.sortedWorkers[0].info
--- a/cell/silence_test.go
+++ b/cell/linkmonitor_test.go
@@ -7,7 +7,7 @@
 
 // TestLeasesDoNotExpireWhileNoWorkerAnswers: if no worker answers for longer than a lease, the owner's own link is the likely cause, and attempts
 // may have completed. They are not restarted while nobody answers.
-func TestLeasesAreNotJudgedWhileAllAreSilent(t *testing.T) {
+func TestLeasesDoNotExpireWhileNoWorkerAnswers(t *testing.T) {
 	bd := newTestBed(t, 4)
 	bd.addJob("a", testEpoch, taskStep(4))
 	for _, st := range bd.wantStarts(bd.plan(), 4) {
@@ -25,7 +25,7 @@
 }
 
 // A worker that does not answer while another one does has lost its tasks. They are started on the other worker once the lease has expired.
-func TestLeaseIsJudgedOnceOthersAnswer(t *testing.T) {
+func TestLeaseExpiresOnceOthersAnswer(t *testing.T) {
 	bd := newTestBed(t, 2)
 	bd.autoSave = true
 	bd.addJob("a", testEpoch, taskStep(1))
--- a/cell/registry.go
+++ b/cell/registry.go
@@ -7,16 +7,16 @@
 )
 
 // Register records the current registration of a worker.
-func (cr *Core) Register(now time.Time, in Worker) {
-	wk := cr.ensureWorker(in.ID)
-	if in.Draining && !wk.info.Draining {
-		cr.opts.Log(Decision{What: "worker drains", Worker: in.ID})
+func (cr *Core) Register(now time.Time, registration Worker) {
+	wk := cr.ensureWorker(registration.ID)
+	if registration.Draining && !wk.info.Draining {
+		cr.opts.Log(Decision{What: "worker drains", Worker: registration.ID})
 	}
-	cr.renewalsVisible = cr.renewalsVisible || wk.registrationRead && in.WrittenAt.After(wk.info.WrittenAt)
-	if !wk.registrationRead && !in.WrittenAt.IsZero() && now.Sub(in.WrittenAt) > cr.opts.RegistrationMaxAge {
+	cr.renewalsVisible = cr.renewalsVisible || wk.registrationRead && registration.WrittenAt.After(wk.info.WrittenAt)
+	if !wk.registrationRead && !registration.WrittenAt.IsZero() && now.Sub(registration.WrittenAt) > cr.opts.RegistrationMaxAge {
 		wk.roomUncertainUntil = now.Add(RegistrationRenewal)
 	}
-	wk.info, wk.registered, wk.registrationRead, wk.unregisteredAt = in, true, true, time.Time{}
+	wk.info, wk.registered, wk.registrationRead, wk.unregisteredAt = registration, true, true, time.Time{}
 }
 
 // uncertainRoomDivisor reduces the room counted on for a worker with an old registration. During a store outage the registration cannot report
@@ -60,7 +60,7 @@
 
 // WorkerMoved records that a worker has ended because its machine was moved to another pool, which only happens once nothing is left on it.
 func (cr *Core) WorkerMoved(now time.Time, id WorkerID) {
-	if _, open := cr.unresolved[id]; open {
+	if _, unresolved := cr.unresolved[id]; unresolved {
 		cr.movedWorkers[id] = true
 	}
 	cr.WorkerEnded(now, id)
@@ -80,16 +80,16 @@
 // them broke recently.
 func (cr *Core) Unresponsive(now time.Time) (ids []WorkerID, urgent bool) {
 	for _, wk := range cr.sortedWorkers {
-		_, open := cr.unresolved[wk.info.ID]
-		if wk.failedPolls == 0 || !open && len(wk.placements) == 0 && len(wk.leaseExpired) == 0 {
+		_, unresolved := cr.unresolved[wk.info.ID]
+		if wk.failedPolls == 0 || !unresolved && len(wk.placements) == 0 && len(wk.leaseExpired) == 0 {
 			continue
 		}
-		broke := wk.connBroken && now.Sub(wk.firstFailedAt) > connBrokenAfter
-		if !broke && now.Sub(wk.polledAt) <= unresponsiveAfter {
+		connBroken := wk.connBroken && now.Sub(wk.firstFailedAt) > connBrokenAfter
+		if !connBroken && now.Sub(wk.polledAt) <= unresponsiveAfter {
 			continue
 		}
 		ids = append(ids, wk.info.ID)
-		urgent = urgent || broke && now.Sub(wk.firstFailedAt) < urgentFor
+		urgent = urgent || connBroken && now.Sub(wk.firstFailedAt) < urgentFor
 	}
 	return ids, urgent
 }
--- a/cell/stall_test.go
+++ b/cell/stall_test.go
@@ -8,7 +8,7 @@
 )
 
 // An owner that stalled for three seconds has outdated rooms and ownership. It starts nothing until both are confirmed again.
-func TestNothingIsStartedAfterStandingStillUntilConfirmed(t *testing.T) {
+func TestNothingIsStartedAfterAStallUntilConfirmed(t *testing.T) {
 	bd := newTestBed(t, 2)
 	bd.addJob("before", testEpoch, taskStep(1))
 	bd.wantStarts(bd.plan(), 1)
@@ -49,7 +49,7 @@
 
 // A worker with an unreadable registration gets no new tasks and keeps its long-running ones. Nothing says that it leaves, and moving them would
 // disrupt several tasks at once of a step that allows one.
-func TestWithheldWorkerKeepsWhatRuns(t *testing.T) {
+func TestUnschedulableWorkerKeepsItsTasks(t *testing.T) {
 	bd := newTestBed(t, 2)
 	bd.addJob("lasting", testEpoch, job.Step{Count: 2, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true, HasDisruptionBudget: true, DisruptionBudget: 1})
 	for _, st := range bd.wantStarts(bd.plan(), 2) {
--- a/cell/left.go
+++ b/cell/unresolved.go
@@ -117,9 +117,9 @@
 }
 
 // affectedJobs returns the jobs that have, or may have, attempts on a worker.
-func (cr *Core) affectedJobs(id WorkerID, victims []*placement) []*jobState {
+func (cr *Core) affectedJobs(id WorkerID, affected []*placement) []*jobState {
 	var list []*jobState
-	for _, pl := range victims {
+	for _, pl := range affected {
 		list = append(list, pl.step.job)
 	}
 	for _, js := range cr.openJobs {
--- a/cell/exposure_test.go
+++ b/cell/unseenloss_test.go
@@ -12,7 +12,7 @@
 // Guards against intents that are not needed. After a takeover the cell's row named workers whose machines had been moved away long before. Each
 // older job then waited for a write before its start, and half of the workers' room was idle. Machines are only moved once nothing is left on
 // them, so such a worker causes no unseen loss, but one that ended in its place does.
-func TestVacatedWorkersExposeNothing(t *testing.T) {
+func TestMovedWorkersCauseNoUnseenLosses(t *testing.T) {
 	for _, vacated := range []bool{true, false} {
 		bd := newTestBed(t, 1)
 		bd.core.TakeOver(bd.now, bd.now, []WorkerRef{{ID: "gone", Address: "gone", Machine: "m1"}}, true)
@@ -37,7 +37,7 @@
 }
 
 // Guards against a cell's row that is only written when a worker is added: it named 91 workers, of which about 30 still existed.
-func TestRowOfACellNamesNoWorkersThatAreGone(t *testing.T) {
+func TestCellRowNamesNoWorkersThatAreGone(t *testing.T) {
 	bd := newTestBed(t, 2)
 	bd.autoSave = true
 	bd.core.Unregister(bd.now, "w1")
@@ -60,7 +60,7 @@
 
 // Guards against idle room after a takeover with unseen losses, where each start waited for a write once there was room, and half of the room was
 // idle. Intents of waiting tasks are saved before there is room, so that they start at once. Tasks that need advice are excepted.
-func TestExposedTasksAreKeptAheadOfRoom(t *testing.T) {
+func TestIntentsAreSavedAheadOfRoom(t *testing.T) {
 	for _, advised := range []bool{false, true} {
 		bd := newTestBed(t, 1)
 		bd.autoSave = true
@@ -126,7 +126,7 @@
 }
 
 // Guards against a cell's row that still names an ended worker of earlier owners after it was resolved. Each next owner waited for it again.
-func TestRowOfACellNamesNoEndedWorkerThatIsResolved(t *testing.T) {
+func TestCellRowNamesNoResolvedWorker(t *testing.T) {
 	bd := newTestBed(t, 1)
 	bd.autoSave = true
 	bd.core.TakeOver(bd.now, bd.now, []WorkerRef{{ID: "gone", Address: "gone"}}, true)
--- a/cell/worker.go
+++ b/cell/worker.go
@@ -292,7 +292,7 @@
 
 // resolve records that nothing runs unseen on a worker.
 func (cr *Core) resolve(now time.Time, id WorkerID, why string) {
-	if _, open := cr.unresolved[id]; !open {
+	if _, unresolved := cr.unresolved[id]; !unresolved {
 		return
 	}
 	delete(cr.unresolved, id)
@@ -325,8 +325,8 @@
 		if cr.leasesExpired(now, wk) && cr.unresponsive(now, wk) {
 			cr.expireLeases(now, wk)
 		}
-		_, open := cr.unresolved[wk.info.ID]
-		if !wk.registered && !open && len(wk.placements) == 0 && !wk.lossPending(now) && !wk.unregisteredAt.IsZero() && now.Sub(wk.unregisteredAt) > unregisteredGrace && (wk.failedPolls > 0 || wk.isEmpty() || now.Sub(wk.unregisteredAt) > 3*unregisteredGrace) {
+		_, unresolved := cr.unresolved[wk.info.ID]
+		if !wk.registered && !unresolved && len(wk.placements) == 0 && !wk.lossPending(now) && !wk.unregisteredAt.IsZero() && now.Sub(wk.unregisteredAt) > unregisteredGrace && (wk.failedPolls > 0 || wk.isEmpty() || now.Sub(wk.unregisteredAt) > 3*unregisteredGrace) {
 			cr.forgetWorker(now, wk)
 		}
 	}
