--- a/cell/cell_test.go
+++ b/cell/cell_test.go
@@ -122,9 +122,9 @@
 	spec := &job.Spec{Queue: "q"}
 	for range 200 {
 		st := &step{job: &jobState{spec: spec}, spec: &job.Step{Count: 4}, tasks: make([]taskState, 4)}
-		for _, took := range []time.Duration{600, 800, 1000, 1600} {
+		for _, runTime := range []time.Duration{600, 800, 1000, 1600} {
 			pl := &placement{ackedAt: time.Unix(100, 0)}
-			rt.observeTask(st, pl, pl.ackedAt.Add(took*time.Millisecond))
+			rt.observeTask(st, pl, pl.ackedAt.Add(runTime*time.Millisecond))
 		}
 		rt.observeStep(st)
 	}
--- a/cell/ledger.go
+++ b/cell/ledger.go
@@ -118,11 +118,11 @@
 func (lg *Ledger) MarkReconciled() { lg.reconciled = true }
 
 // addRunning adds a number of tasks of one size to the running total of an organisation; the number is negative for tasks that ended.
-func (lg *Ledger) addRunning(id job.OrganisationID, sz job.Size, by int) {
+func (lg *Ledger) addRunning(id job.OrganisationID, sz job.Size, tasks int) {
 	if id == "" {
 		return
 	}
-	running := lg.running[id].Add(sz.Mul(by))
+	running := lg.running[id].Add(sz.Mul(tasks))
 	if running == (job.Size{}) {
 		delete(lg.running, id)
 		return
@@ -136,9 +136,9 @@
 	if rw.Version <= as.Version {
 		return
 	}
-	own, former := rw.Account[lg.cell], as.Account[lg.cell]
-	if own.Epoch == lg.epoch && former.Epoch != lg.epoch {
-		as.inherited = former.Held
+	own, previous := rw.Account[lg.cell], as.Account[lg.cell]
+	if own.Epoch == lg.epoch && previous.Epoch != lg.epoch {
+		as.inherited = previous.Held
 	}
 	// Unconfirmed writes were conditional on an earlier version: they are either part of this row or will fail.
 	as.AccountRow, as.unconfirmed = rw, nil
@@ -262,14 +262,14 @@
 
 // PendingWrites returns the rows that this owner has to write now, each conditional on its version; none if nothing changes. Until the result of
 // a write is known, the lower of the old and the new allowance applies.
-func (lg *Ledger) PendingWrites(now time.Time, waiting map[job.OrganisationID]Demand) []AccountRow {
+func (lg *Ledger) PendingWrites(now time.Time, demand map[job.OrganisationID]Demand) []AccountRow {
 	var rows []AccountRow
 	for _, id := range slices.Sorted(maps.Keys(lg.maxima)) {
 		if len(rows) == MaxAccountChanges {
 			break
 		}
 		as := lg.account(id)
-		next, due := lg.nextAllowance(now, as, waiting[id])
+		next, due := lg.nextAllowance(now, as, demand[id])
 		if !due {
 			continue
 		}
--- a/cell/model_test.go
+++ b/cell/model_test.go
@@ -363,15 +363,15 @@
 		return
 	}
 	id := job.ID(fmt.Sprintf("j%d", len(md.jobs)))
-	known := md.owners[md.rnd.Intn(len(md.owners))]
-	sp := &job.Spec{ID: id, Queue: modelQueue, Pool: modelPool, AcceptedAt: md.now, Epoch: known.epoch}
+	knownOwner := md.owners[md.rnd.Intn(len(md.owners))]
+	sp := &job.Spec{ID: id, Queue: modelQueue, Pool: modelPool, AcceptedAt: md.now, Epoch: knownOwner.epoch}
 	if md.rnd.Intn(4) == 0 {
 		sp.Queue = modelUrgent
 	}
-	for at := range 1 + md.rnd.Intn(3) {
+	for i := range 1 + md.rnd.Intn(3) {
 		st := job.Step{Count: 1 + md.rnd.Intn(4), Size: job.Size{CPUMillis: 500 + 250*md.rnd.Intn(6), MemoryMB: 500}}
-		if at > 0 {
-			st.DependsOn = []int{at - 1}
+		if i > 0 {
+			st.DependsOn = []int{i - 1}
 		}
 		if md.rnd.Intn(6) == 0 {
 			st.SpreadLimit = 1 + md.rnd.Intn(2)
@@ -387,8 +387,8 @@
 	md.jobOrder = append(md.jobOrder, id)
 	md.chooseCrashingTask(sp)
 	md.tracef("job %s accepted under epoch %d", id, sp.Epoch)
-	if !known.dead {
-		md.schedule(md.millis(0, 5), func() { md.deliverJob(known, id) })
+	if !knownOwner.dead {
+		md.schedule(md.millis(0, 5), func() { md.deliverJob(knownOwner, id) })
 	}
 	for _, ow := range md.owners {
 		md.schedule(md.millis(100, 700), func() { md.deliverJob(ow, id) })
@@ -492,7 +492,8 @@
 }
 
 // callWorker sends an order to a worker. The order may be lost before or after it is executed, or be executed seconds later without an answer.
-func (md *model) callWorker(ow *modelOwner, id WorkerID, token Token, act func(sent time.Time, wk *modelWorker, failure Outcome) func()) {
+// execute executes the order on an incarnation, or on none if the call fails, and returns a function that passes the result to the owner.
+func (md *model) callWorker(ow *modelOwner, id WorkerID, token Token, execute func(sent time.Time, wk *modelWorker, failure Outcome) func()) {
 	sent := md.now
 	draw := md.rnd.Intn(100)
 	if md.faultsOff {
@@ -504,7 +505,7 @@
 	if draw < 8 {
 		md.injectOwnerFault(lostOrderFaultPercent)
 	}
-	noAnswer := func() { md.schedule(time.Second, func() { md.deliver(ow, act(sent, nil, NoAnswer)) }) }
+	noAnswer := func() { md.schedule(time.Second, func() { md.deliver(ow, execute(sent, nil, NoAnswer)) }) }
 	switch {
 	case md.now.Before(ow.workerCutUntil[id]) || draw < 3:
 		noAnswer()
@@ -514,14 +515,14 @@
 		md.schedule(md.millis(1, 8000), func() {
 			// The next incarnation under the name may execute the order, unless the previous one had already seen a higher token.
 			if wk := md.liveIncarnation(id.Name()); wk != nil && (wk == target || targetAlive && token >= target.token) {
-				act(sent, wk, NoAnswer)
+				execute(sent, wk, NoAnswer)
 			}
 		})
 		noAnswer()
 	case draw < 8:
 		md.schedule(md.millis(1, 10), func() {
 			if wk := md.workers[id]; wk.alive {
-				act(sent, wk, NoAnswer)
+				execute(sent, wk, NoAnswer)
 			}
 		})
 		noAnswer()
@@ -530,20 +531,20 @@
 			wk := md.workers[id]
 			if next := md.liveIncarnation(id.Name()); !wk.alive && next != nil {
 				// A new connection exchanges the incarnation and the order's token before anything else is sent.
-				md.deliver(ow, act(sent, nil, next.acceptConnection(token)))
+				md.deliver(ow, execute(sent, nil, next.acceptConnection(token)))
 				return
 			}
 			if !wk.alive && md.rnd.Intn(3) > 0 {
 				// Nothing listens on the port.
-				md.deliver(ow, act(sent, nil, NoAnswer))
+				md.deliver(ow, execute(sent, nil, NoAnswer))
 				return
 			}
 			if !wk.alive {
 				noAnswer()
 				return
 			}
-			back := act(sent, wk, NoAnswer)
-			md.schedule(md.millis(1, 10), func() { md.deliver(ow, back) })
+			reply := execute(sent, wk, NoAnswer)
+			md.schedule(md.millis(1, 10), func() { md.deliver(ow, reply) })
 		})
 	}
 }
--- a/cell/organisation.go
+++ b/cell/organisation.go
@@ -62,13 +62,13 @@
 
 // demandByOrganisation returns the demand of each organisation: its tasks that could start now if there were room.
 func (cr *Core) demandByOrganisation() map[job.OrganisationID]Demand {
-	waiting := map[job.OrganisationID]Demand{}
+	demand := map[job.OrganisationID]Demand{}
 	for _, js := range cr.openJobs {
 		if id := js.spec.Organisation; id != "" && !js.ended() && !js.fullyPlaced && !cr.pausedQueues[js.spec.Queue] {
-			waiting[id] = js.addDemand(waiting[id])
+			demand[id] = js.addDemand(demand[id])
 		}
 	}
-	return waiting
+	return demand
 }
 
 // addDemand adds the tasks of a job that are ready and not placed.
--- a/cell/share.go
+++ b/cell/share.go
@@ -16,9 +16,10 @@
 	minShareBurst = 8.0
 )
 
-// tokenBucket limits the rate of an organisation's jobs to its share. It fills at the organisation's weight in jobs per second, up to a burst of
-// shareBurstSeconds.
+// tokenBucket limits the rate of an organisation's jobs to its share. It fills at the organisation's weight in jobs per second. Its size is
+// shareBurstSeconds of that rate, but at least minShareBurst jobs.
 type tokenBucket struct {
+	// jobs is the number of jobs that may still be submitted within the share.
 	jobs      float64
 	updatedAt time.Time
 }
--- a/cell/testbed_test.go
+++ b/cell/testbed_test.go
@@ -50,7 +50,7 @@
 // clock returns the time of the workers' clocks in milliseconds.
 func (bd *testBed) clock() int64 { return bd.now.UnixMilli() - 1_699_999_000_000 }
 
-func (bd *testBed) advance(span time.Duration) { bd.now = bd.now.Add(span) }
+func (bd *testBed) advance(duration time.Duration) { bd.now = bd.now.Add(duration) }
 
 // plan confirms the ownership and returns the orders that are due.
 func (bd *testBed) plan() []Order {
@@ -194,11 +194,11 @@
 }
 
 // runUnresponsive advances the time while one worker answers no polls and the others answer all. It returns the number of starts that were ordered.
-func (bd *testBed) runUnresponsive(id WorkerID, span time.Duration) int {
+func (bd *testBed) runUnresponsive(id WorkerID, duration time.Duration) int {
 	bd.t.Helper()
 	const step = 250 * time.Millisecond
 	count := 0
-	for end := bd.now.Add(span); bd.now.Before(end); bd.advance(step) {
+	for end := bd.now.Add(duration); bd.now.Before(end); bd.advance(step) {
 		for _, st := range startsIn(bd.plan()) {
 			bd.answerOrder(st, Done)
 			count++
