--- a/cell/crash.go
+++ b/cell/crash.go
@@ -109,7 +109,7 @@
 	var newest time.Time
 	for _, pl := range affected {
 		newest = latest(newest, pl.orderedAt)
-		loss.MaxPriorLosses = max(loss.MaxPriorLosses, len(pl.step.tasks[pl.task.Index].lost.workers))
+		loss.MaxPriorLosses = max(loss.MaxPriorLosses, len(pl.step.tasks[pl.task.Index].losses.workers))
 	}
 	loss.SinceStart = failedAt.Sub(newest)
 	defer cr.trackPendingLoss(wk, cr.affectedJobs(wk.info.ID, affected))
@@ -196,7 +196,7 @@
 
 // settled reports whether an attempt belongs to a long-running task and had run for so long that it is not taken for the cause of a loss.
 func (pl *placement) settled(at time.Time) bool {
-	return pl.longRunningFor(at, pl.step.tasks[pl.task.Index].lost.settleTime())
+	return pl.longRunningFor(at, pl.step.tasks[pl.task.Index].losses.settleTime())
 }
 
 // longRunningFor reports whether an attempt belongs to a long-running task and had run for longer than span.
@@ -212,18 +212,18 @@
 // charge records the loss of a worker against an attempt, and fails the job if that proves its task to be the cause.
 func (cr *Core) charge(now time.Time, pl *placement, ev evidence) {
 	ts, js := &pl.step.tasks[pl.task.Index], pl.step.job
-	ts.lost.resolve(pl.worker.info.ID)
-	if ts.done || js.ended() || slices.Contains(ts.lost.workers, pl.worker.info.ID) {
+	ts.losses.resolve(pl.worker.info.ID)
+	if ts.done || js.ended() || slices.Contains(ts.losses.workers, pl.worker.info.ID) {
 		return
 	}
 	if pl.settled(ev.aliveAt) {
-		if ran := ev.aliveAt.Sub(pl.ackedAt); ran < maxSettleTime && ran > ts.lost.longestRun {
-			ts.lost.longestRun = ran
+		if ran := ev.aliveAt.Sub(pl.ackedAt); ran < maxSettleTime && ran > ts.losses.longestRun {
+			ts.losses.longestRun = ran
 			cr.markDirty(js)
 		}
 		return
 	}
-	ts.lost.add(pl.worker.info.ID, ev)
+	ts.losses.add(pl.worker.info.ID, ev)
 	if ev.strong && ev.recentStart && !pl.step.spec.LongRunning {
 		cr.markCrashLoop(now, js.spec.Queue)
 	}
@@ -232,13 +232,13 @@
 	if pl.step.spec.Gang {
 		// The members of a gang only start together, and it is unknown which of them caused the loss.
 		for at := range pl.step.tasks {
-			open := pl.step.tasks[at].lost.unresolved
-			pl.step.tasks[at].lost = ts.lost
-			pl.step.tasks[at].lost.unresolved = open
+			open := pl.step.tasks[at].losses.unresolved
+			pl.step.tasks[at].losses = ts.losses
+			pl.step.tasks[at].losses.unresolved = open
 		}
 	}
-	if ts.lost.conclusive(ev) {
-		cr.failCrashingJob(now, pl, ts.lost.workers)
+	if ts.losses.conclusive(ev) {
+		cr.failCrashingJob(now, pl, ts.losses.workers)
 	}
 }
 
--- a/cell/estimate.go
+++ b/cell/estimate.go
@@ -16,7 +16,8 @@
 	// ejectAfterJobs is how many different jobs in a row must fail on a worker before the worker is ejected. A single bad job must not eject
 	// it.
 	ejectAfterJobs = 3
-	// ejectMin is the duration of the first ejection. After an ejection a single failure ejects the worker again, for up to ejectMax.
+	// ejectMin is the duration of the first ejection. After an ejection a single failure ejects the worker again, for a longer time
+	// up to ejectMax.
 	ejectMin = 3 * time.Second
 	ejectMax = 12 * time.Second
 )
@@ -43,36 +44,36 @@
 	if pl == nil || st.spec.LongRunning || pl.ackedAt.IsZero() {
 		return
 	}
-	took := now.Sub(pl.ackedAt)
+	runTime := now.Sub(pl.ackedAt)
 	if pl.worker != nil && pl.worker.slow(now) {
 		// The run time reflects the slow worker, not the task.
 		return
 	}
-	st.longestRun = max(st.longestRun, took)
-	known, ok := rt[st.job.spec.Queue]
+	st.longestRun = max(st.longestRun, runTime)
+	stats, ok := rt[st.job.spec.Queue]
 	if !ok {
-		known = runTimeStats{mean: took, spread: defaultSpread, firstSample: now}
+		stats = runTimeStats{mean: runTime, spread: defaultSpread, firstSample: now}
 	}
-	known.samples++
-	known.mean += time.Duration(max(runTimeWeight, 1/float64(known.samples)) * float64(took-known.mean))
-	rt[st.job.spec.Queue] = known
+	stats.samples++
+	stats.mean += time.Duration(max(runTimeWeight, 1/float64(stats.samples)) * float64(runTime-stats.mean))
+	rt[st.job.spec.Queue] = stats
 }
 
 // observeStep updates the spread from the longest run time of a completed step.
 func (rt runTimes) observeStep(st *step) {
-	known, ok := rt[st.job.spec.Queue]
-	if !ok || st.longestRun == 0 || known.mean <= 0 || len(st.tasks) < 2 {
+	stats, ok := rt[st.job.spec.Queue]
+	if !ok || st.longestRun == 0 || stats.mean <= 0 || len(st.tasks) < 2 {
 		return
 	}
-	spread := (float64(st.longestRun)/float64(known.mean) - 1) / math.Log2(float64(len(st.tasks)))
-	known.spread = max(0, known.spread+runTimeWeight*(spread-known.spread))
-	rt[st.job.spec.Queue] = known
+	spread := (float64(st.longestRun)/float64(stats.mean) - 1) / math.Log2(float64(len(st.tasks)))
+	stats.spread = max(0, stats.spread+runTimeWeight*(spread-stats.spread))
+	rt[st.job.spec.Queue] = stats
 }
 
 // get returns the statistics of a queue, or the defaults.
 func (rt runTimes) get(queue job.QueueID) runTimeStats {
-	if known, ok := rt[queue]; ok {
-		return known
+	if stats, ok := rt[queue]; ok {
+		return stats
 	}
 	return runTimeStats{mean: defaultRunTime, spread: defaultSpread}
 }
@@ -123,7 +124,7 @@
 // meanwhile.
 const criticalPathMaxAge = 500 * time.Millisecond
 
-// criticalPath returns the minimum durations of the job's critical path and of its remaining part.
+// criticalPath returns the expected run times of the job's critical path and of its remaining part.
 func (cr *Core) criticalPath(js *jobState) (whole, left time.Duration) {
 	if js.criticalPath == 0 || js.criticalPathGen != js.gen || js.spec.HasSchedule() || cr.plannedAt.Sub(js.criticalPathAt) > criticalPathMaxAge {
 		js.criticalPath, js.criticalPathLeft, js.criticalStepsLeft = js.computeCriticalPath(cr.runTimes.get(js.spec.Queue))
--- a/cell/evict.go
+++ b/cell/evict.go
@@ -38,17 +38,17 @@
 	if pl.step.spec.HasDisruptionBudget {
 		budget = pl.step.spec.DisruptionBudget
 	}
-	away := 0
+	down := 0
 	for at := range pl.step.tasks {
 		other := pl.step.tasks[at].placement
 		if other == pl {
 			continue
 		}
 		if other == nil || other.phase != running || other.stopping || other.progress < servingProgress || other.worker.failedPolls > 0 || !cr.priorStopsFinished(other.worker) {
-			away++
+			down++
 		}
 	}
-	return away < budget
+	return down < budget
 }
 
 // stopMargin is added to the duration of a stop.
@@ -107,9 +107,9 @@
 }
 
 // nextThrottle returns the throttle for the worst tail latency, given as a share of its objective.
-func nextThrottle(pace int, worst float64) int {
+func nextThrottle(throttle int, worst float64) int {
 	switch {
-	case pace == throttleUnknown:
+	case throttle == throttleUnknown:
 		if worst == 0 {
 			return 100
 		}
@@ -117,11 +117,11 @@
 	case worst > 1:
 		return 0
 	case worst > throttleAbove:
-		return pace / 2
+		return throttle / 2
 	case worst < releaseBelow:
-		return min(100, pace+throttleReleaseStep)
+		return min(100, throttle+throttleReleaseStep)
 	}
-	return pace
+	return throttle
 }
 
 // throttled handles the result of a throttle order.
--- a/cell/incarnation.go
+++ b/cell/incarnation.go
@@ -109,7 +109,7 @@
 		return
 	}
 	ls := &lateStart{name: pl.worker.name, former: pl.worker.endedRef(), token: pl.token, task: &pl.step.tasks[pl.task.Index], job: pl.step.job, expiresAt: until}
-	ls.task.stray = ls
+	ls.task.lateStart = ls
 	cr.lateStarts = append(cr.lateStarts, ls)
 	for _, wk := range cr.incarnations(ls.name) {
 		if wk != pl.worker && wk.fenced {
@@ -124,13 +124,13 @@
 		return
 	}
 	cr.lateStarts = slices.DeleteFunc(cr.lateStarts, func(ls *lateStart) bool {
-		if ls.task.stray != ls || ls.job.ended() {
+		if ls.task.lateStart != ls || ls.job.ended() {
 			return true
 		}
 		if ls.name != name || ls.token >= seen {
 			return false
 		}
-		ls.task.stray, ls.job.fullyPlaced = nil, false
+		ls.task.lateStart, ls.job.fullyPlaced = nil, false
 		cr.rowOutdated = true
 		return true
 	})
@@ -155,11 +155,11 @@
 // expireLateStarts removes late starts that no incarnation can carry out any more.
 func (cr *Core) expireLateStarts(now time.Time) {
 	cr.lateStarts = slices.DeleteFunc(cr.lateStarts, func(ls *lateStart) bool {
-		if ls.task.stray == ls && (now.Before(ls.expiresAt) || cr.mayRunLate(now, ls.former.ID, ls.expiresAt)) {
+		if ls.task.lateStart == ls && (now.Before(ls.expiresAt) || cr.mayRunLate(now, ls.former.ID, ls.expiresAt)) {
 			return false
 		}
-		if ls.task.stray == ls {
-			ls.task.stray, ls.job.fullyPlaced = nil, false
+		if ls.task.lateStart == ls {
+			ls.task.lateStart, ls.job.fullyPlaced = nil, false
 		}
 		cr.rowOutdated = true
 		return true
--- a/cell/intent.go
+++ b/cell/intent.go
@@ -37,7 +37,7 @@
 // needsIntent reports whether a task has to be saved as an intent before it is started: it has lost a worker, or an earlier owner may have lost
 // one unseen with the task on it.
 func (cr *Core) needsIntent(js *jobState, ts *taskState) bool {
-	return ts.lost.total()+len(ts.lost.unresolved) > 0 || js.spec.Epoch < cr.unseenLossEpoch
+	return ts.losses.total()+len(ts.losses.unresolved) > 0 || js.spec.Epoch < cr.unseenLossEpoch
 }
 
 // ensureIntent reports whether a task may be started on a worker now. If that needs an intent, ensureIntent creates it and returns false until
@@ -58,7 +58,7 @@
 // answeredSinceIntent reports whether the worker has answered since the intent was made, if the suspect needs a worker of its own. If the worker
 // had already ended unnoticed, the next loss would count against the task without proving anything.
 func (cr *Core) answeredSinceIntent(now time.Time, ts *taskState, cd *candidate) bool {
-	if ts.lost.weighted() < isolationLosses || !cd.aliveAt.Before(ts.intent.createdAt) {
+	if ts.losses.weighted() < isolationLosses || !cd.aliveAt.Before(ts.intent.createdAt) {
 		return true
 	}
 	cd.probeSince = ts.intent.createdAt
@@ -71,7 +71,7 @@
 	cr.markDirty(st.job)
 	// Intents of tasks without a known loss are saved together with ended attempts, since there are many of them after a takeover.
 	ts := &st.tasks[at]
-	cr.urgentSave = cr.urgentSave || ts.lost.total()+len(ts.lost.unresolved) > 0
+	cr.urgentSave = cr.urgentSave || ts.losses.total()+len(ts.losses.unresolved) > 0
 	in := &intent{step: st, index: at, worker: cd.info.ID, jobGen: st.job.gen, createdAt: now}
 	cr.removeIntent(ts)
 	ts.intent = in
@@ -88,7 +88,7 @@
 	var cd *candidate
 	for _, at := range members {
 		ts := &st.tasks[at]
-		if ts.placement != nil || ts.intent != nil || ts.lost.total()+len(ts.lost.unresolved) > 0 || !cr.needsIntent(st.job, ts) {
+		if ts.placement != nil || ts.intent != nil || ts.losses.total()+len(ts.losses.unresolved) > 0 || !cr.needsIntent(st.job, ts) {
 			continue
 		}
 		// Tasks of a step are planned for the same worker, so that the job's row names few workers.
@@ -168,7 +168,7 @@
 		return
 	}
 	in.roomReserved, in.reservedRoom = true, in.step.spec.ResourceRequest()
-	if in.step.tasks[in.index].lost.suspected() {
+	if in.step.tasks[in.index].losses.suspected() {
 		rd.quarantineFor(cd, in.step.job)
 	}
 	cd.free = cd.free.Sub(in.reservedRoom)
--- a/cell/load.go
+++ b/cell/load.go
@@ -180,16 +180,16 @@
 	return shortest
 }
 
-// moveReservationTTL is how long a grabbed worker receives no tasks if it does not leave.
+// moveReservationTTL is how long a worker reserved for a move receives no tasks if it does not leave.
 const moveReservationTTL = 3 * time.Second
 
-// ReserveForMove blocks new tasks on idle workers whose machines are to be moved, and returns the names of those workers. A worker with ends that are
-// not saved yet is refused, since only that worker can report them to the next owner.
+// ReserveForMove blocks new tasks on idle workers whose machines are to be moved, and returns the names of those workers. It refuses workers
+// with ends that are not saved yet, since only the worker itself can report them to the next owner.
 func (cr *Core) ReserveForMove(now time.Time, names []WorkerName) []WorkerName {
 	maps.DeleteFunc(cr.reservedUntil, func(_ WorkerName, until time.Time) bool { return !now.Before(until) })
 	var granted []WorkerName
 	for _, name := range names {
-		if lives := cr.incarnations(name); len(lives) == 1 && cr.reserveWorker(now, lives[0]) {
+		if incarnations := cr.incarnations(name); len(incarnations) == 1 && cr.reserveWorker(now, incarnations[0]) {
 			granted = append(granted, name)
 		}
 	}
--- a/cell/machinelimit.go
+++ b/cell/machinelimit.go
@@ -39,20 +39,20 @@
 	if !now.Before(cr.machineLimitUntil) || cr.machineLimit == 0 {
 		return nil
 	}
-	ahead := 0.0
+	pending := 0.0
 	objectives := map[job.QueueID]time.Duration{}
 	for _, js := range cr.openJobs {
 		if js.ended() || js.spec.Steps[0].LongRunning || cr.laxity(now, js) < 0 {
 			continue
 		}
-		ahead += cr.machineSeconds(js, unit)
+		pending += cr.machineSeconds(js, unit)
 		objectives[js.spec.Queue] = max(objectives[js.spec.Queue], cr.objective(js))
 	}
-	wait := time.Duration(ahead / float64(cr.machineLimit) * float64(time.Second))
+	wait := time.Duration(pending / float64(cr.machineLimit) * float64(time.Second))
 	full := map[job.QueueID]time.Duration{}
 	for id, objective := range objectives {
-		if left := wait - expiryFactor*objective; left > 0 {
-			full[id] = left
+		if retryAfter := wait - expiryFactor*objective; retryAfter > 0 {
+			full[id] = retryAfter
 		}
 	}
 	return full
--- a/cell/model_check_test.go
+++ b/cell/model_check_test.go
@@ -81,7 +81,7 @@
 		for _, st := range rn.steps {
 			for i := range st.tasks {
 				ts := &st.tasks[i]
-				md.tracef("step %d %+v task %d done %t attempt %d lost %+v intent %+v placed %+v", st.index, *st.spec, i, ts.done, ts.attempt, ts.lost, ts.intent, ts.placement)
+				md.tracef("step %d %+v task %d done %t attempt %d lost %+v intent %+v placed %+v", st.index, *st.spec, i, ts.done, ts.attempt, ts.losses, ts.intent, ts.placement)
 			}
 		}
 	}
--- a/cell/place.go
+++ b/cell/place.go
@@ -76,15 +76,15 @@
 // placeJob starts waiting tasks of a job as far as there is room. If no task is left waiting, it marks the job as fully placed until one of
 // its tasks ends.
 func (cr *Core) placeJob(rd *round, js *jobState) {
-	settled := true
+	fullyPlaced := true
 	for _, rn := range cr.dueRuns(rd.now, js) {
 		for _, st := range rn.steps {
 			if st.done < len(st.tasks) && rn.ready(st) && !cr.placeStep(rd, st) {
-				settled = false
+				fullyPlaced = false
 			}
 		}
 	}
-	js.fullyPlaced = settled
+	js.fullyPlaced = fullyPlaced
 }
 
 // candidate is a worker that accepts tasks, with its free room in this round.
@@ -131,8 +131,8 @@
 
 // newRound collects the workers that may receive tasks now.
 func (cr *Core) newRound(now time.Time) *round {
-	taken := cr.quarantined()
-	rd := &round{now: now, usable: cr.usable(now), quarantined: taken, quarantinedBefore: taken}
+	quarantined := cr.quarantined()
+	rd := &round{now: now, usable: cr.usable(now), quarantined: quarantined, quarantinedBefore: quarantined}
 	for _, cd := range rd.usable {
 		// A worker whose room shrank below its usage counts as 0 instead of reducing the total.
 		rd.free = machineSize(job.Size(rd.free).Add(cd.free.NonNegative()))
@@ -153,7 +153,7 @@
 	return false
 }
 
-// recordNoRoom records that no worker has room for a size, unless some worker has and was not chosen for another reason.
+// recordNoRoom adds a size to noRoomFor if no worker has room for it. A task may also be unplaced for another reason.
 func (rd *round) recordNoRoom(room job.Size) {
 	for _, cd := range rd.usable {
 		if room.Fits(cd.free) {
@@ -244,7 +244,7 @@
 			waits = true
 			continue
 		}
-		if ts.lost.total()+len(ts.lost.unresolved) >= maxLosses {
+		if ts.losses.total()+len(ts.losses.unresolved) >= maxLosses {
 			// One more loss would reach the limit. The task waits until its unresolved attempts are known not to be losses.
 			waits = true
 			continue
@@ -254,12 +254,12 @@
 			waits = true
 			continue
 		}
-		if ts.stray != nil {
-			cr.wakeAt(ts.stray.expiresAt)
+		if ts.lateStart != nil {
+			cr.wakeAt(ts.lateStart.expiresAt)
 			waits = true
 			continue
 		}
-		if ts.lost.suspected() && !st.spec.Gang {
+		if ts.losses.suspected() && !st.spec.Gang {
 			suspects = append(suspects, at)
 			continue
 		}
@@ -382,7 +382,7 @@
 	if st.tasks[at].avoid == cd.info.ID {
 		cost += weightAvoid
 	}
-	if st.tasks[at].lost.suspected() {
+	if st.tasks[at].losses.suspected() {
 		// Tasks of its own job are under suspicion as well, so their company costs nothing.
 		cost += weightSharedWorker * float64(len(cd.placed)-2*st.job.tasksOn(cd.worker))
 	}
@@ -427,7 +427,7 @@
 	wk := cd.worker
 	ts.attempt = attempt
 	tk := job.Task{Job: st.job.spec.ID, Run: st.run, Step: st.index, Index: at}
-	pl := &placement{task: tk, step: st, worker: wk, attempt: attempt, phase: starting, token: cr.token(wk), room: st.spec.ResourceRequest(), orderedAt: now, throttle: 100, suspect: ts.lost.suspected(), intentSaved: ts.intent != nil}
+	pl := &placement{task: tk, step: st, worker: wk, attempt: attempt, phase: starting, token: cr.token(wk), room: st.spec.ResourceRequest(), orderedAt: now, throttle: 100, suspect: ts.losses.suspected(), intentSaved: ts.intent != nil}
 	cr.removeIntent(ts)
 	ts.placement = pl
 	wk.addPlacement(pl)
@@ -444,7 +444,7 @@
 	if pl.suspect {
 		why = "by itself, since workers ended under it"
 	}
-	cr.opts.Log(Decision{What: "start", Task: tk, Attempt: attempt, Worker: wk.info.ID, Token: pl.token, Why: why, PollAge: now.Sub(wk.polledAt), LossCount: ts.lost.total()})
+	cr.opts.Log(Decision{What: "start", Task: tk, Attempt: attempt, Worker: wk.info.ID, Token: pl.token, Why: why, PollAge: now.Sub(wk.polledAt), LossCount: ts.losses.total()})
 	cr.order(Start{
 		Worker: wk.info.ID, Address: wk.info.Address, Token: pl.token, Task: tk, Attempt: attempt,
 		Payload: st.job.spec.Payload, PayloadAt: st.job.spec.Acceptor, LeaseUntil: until, Checkpoint: ts.checkpoint, Ticket: st.tickets[wk.info.ID],
--- a/cell/plan.go
+++ b/cell/plan.go
@@ -95,8 +95,8 @@
 // minPruneInterval is the minimum interval between writes that only remove workers from the cell's row.
 const minPruneInterval = time.Second
 
-// pruneRecordedWorkers removes ended workers from the cell's row along with a save. The next owner would otherwise assume that tasks were lost on
-// them.
+// pruneRecordedWorkers removes ended workers from the cell's row along with a save. The next owner would otherwise assume that tasks were lost
+// with them.
 func (cr *Core) pruneRecordedWorkers(now time.Time) {
 	if cr.rowOutdated && now.Sub(cr.prunedAt) >= minPruneInterval {
 		cr.prunedAt = now
@@ -160,7 +160,7 @@
 	wk.nextPoll = earliest(wk.nextPoll, now.Add(cr.opts.PollInterval))
 }
 
-// stopForeign stops an attempt not placed by this owner if its job has ended or is still unknown after foreignFor.
+// stopForeign stops an attempt not placed by this owner if its job has ended or is still unknown after foreignTaskGrace.
 func (cr *Core) stopForeign(now time.Time, wk *worker, tk job.Task, fr *foreignRun) {
 	if wk.failedPolls > 0 || now.Sub(fr.stopped) < stopRetryDelay+cr.opts.MaxStopTime {
 		return
@@ -253,14 +253,14 @@
 }
 
 func (cr *Core) poll(now time.Time, wk *worker, wait time.Duration) {
-	lk := Poll{Worker: wk.info.ID, Address: wk.info.Address, Token: cr.token(wk), AckedEnd: wk.ackedEnd, Wait: wait}
+	po := Poll{Worker: wk.info.ID, Address: wk.info.Address, Token: cr.token(wk), AckedEnd: wk.ackedEnd, Wait: wait}
 	// The leases of an unresponsive worker are not renewed, so that it is known when its attempts have ended.
 	if wk.failedPolls == 0 && cr.mayRenew(now) && (len(wk.placements) > 0 || len(wk.foreign) > 0) {
-		lk.LeaseUntil = cr.leaseUntil(wk, now)
-		cr.recordLease(wk, lk.LeaseUntil)
+		po.LeaseUntil = cr.leaseUntil(wk, now)
+		cr.recordLease(wk, po.LeaseUntil)
 	}
-	wk.polling, wk.pollToken = true, lk.Token
-	cr.order(lk)
+	wk.polling, wk.pollToken = true, po.Token
+	cr.order(po)
 }
 
 // save orders a save of job progress. At most one save is in flight.
--- a/cell/pollresult.go
+++ b/cell/pollresult.go
@@ -143,9 +143,9 @@
 		return nil
 	}
 	ts.attempt = max(ts.attempt, rn.Attempt)
-	pl := &placement{task: rn.Task, step: st, worker: wk, attempt: rn.Attempt, phase: running, token: cr.token(wk), room: st.spec.ResourceRequest(), orderedAt: now, ackedAt: now, throttle: 100, suspect: ts.lost.suspected()}
-	pl.intentSaved = slices.Contains(ts.lost.unresolved, wk.info.ID)
-	ts.lost.resolve(wk.info.ID)
+	pl := &placement{task: rn.Task, step: st, worker: wk, attempt: rn.Attempt, phase: running, token: cr.token(wk), room: st.spec.ResourceRequest(), orderedAt: now, ackedAt: now, throttle: 100, suspect: ts.losses.suspected()}
+	pl.intentSaved = slices.Contains(ts.losses.unresolved, wk.info.ID)
+	ts.losses.resolve(wk.info.ID)
 	if st.spec.BestEffort {
 		// The throttle set by an earlier owner is unknown.
 		pl.throttle = throttleUnknown
--- a/cell/probation.go
+++ b/cell/probation.go
@@ -38,7 +38,7 @@
 
 // exemptFromStop reports whether an attempt must not be stopped in favour of others: its task has lost workers, and would need another probation.
 func (pl *placement) exemptFromStop() bool {
-	lost := pl.step.tasks[pl.task.Index].lost
+	lost := pl.step.tasks[pl.task.Index].losses
 	return lost.total()+len(lost.unresolved) >= isolationLosses
 }
 
@@ -49,7 +49,7 @@
 		return
 	}
 	ran := sent.Sub(pl.ackedAt)
-	if span, ends := ts.lost.probationTime(); ends && ran >= span {
+	if span, ends := ts.losses.probationTime(); ends && ran >= span {
 		pl.probationPassed = true
 	}
 	if !pl.step.spec.LongRunning || ran < minSettleTime {
@@ -57,9 +57,9 @@
 	}
 	// Other tasks are not kept off the worker until the task is settled.
 	pl.probationPassed = true
-	if ran >= ts.lost.settleTime() && ts.lost.suspected() {
+	if ran >= ts.losses.settleTime() && ts.losses.suspected() {
 		// A long-running task outlives many workers, so earlier losses do not count against it.
-		ts.lost = losses{longestRun: ts.lost.longestRun, unresolved: ts.lost.unresolved}
+		ts.losses = losses{longestRun: ts.losses.longestRun, unresolved: ts.losses.unresolved}
 		cr.markDirty(pl.step.job)
 	}
 }
@@ -103,7 +103,7 @@
 		if !cr.startWindow.canStart() || cr.deferred(rd, st.job) || !cr.mayStart(st, 1) {
 			return false
 		}
-		if in := st.tasks[at].intent; (in == nil || !in.roomReserved) && (rd.quarantined >= rd.maxQuarantined(st.tasks[at].lost) || st.probationWorkers() >= maxProbationsPerStep) && !rd.hasQuarantineFor(st.job) {
+		if in := st.tasks[at].intent; (in == nil || !in.roomReserved) && (rd.quarantined >= rd.maxQuarantined(st.tasks[at].losses) || st.probationWorkers() >= maxProbationsPerStep) && !rd.hasQuarantineFor(st.job) {
 			rd.suspectsWaiting = rd.suspectsWaiting || st.probationWorkers() < maxProbationsPerStep
 			all = false
 			continue
@@ -159,7 +159,7 @@
 		id := WorkerID("")
 		if pl := ts.placement; pl != nil && pl.onProbation() {
 			id = pl.worker.info.ID
-		} else if ts.intent != nil && ts.intent.roomReserved && ts.lost.suspected() {
+		} else if ts.intent != nil && ts.intent.roomReserved && ts.losses.suspected() {
 			id = ts.intent.worker
 		}
 		if id != "" && !slices.Contains(ids, id) {
@@ -187,7 +187,7 @@
 // isolationAllows reports whether a suspect may be started on a worker. After its first loss it may run beside tasks that are past their
 // probation, and later only beside settled long-running tasks.
 func (ts *taskState) isolationAllows(now time.Time, st *step, cd *candidate) bool {
-	if !ts.lost.suspected() {
+	if !ts.losses.suspected() {
 		return true
 	}
 	for _, other := range cd.placed {
@@ -195,7 +195,7 @@
 		case other.step.job == st.job && (st.spec.Gang || other.onProbation()):
 			// Tasks of the same job share the suspicion.
 		case other.longRunningFor(now, minSettleTime):
-		case ts.lost.needsIsolation():
+		case ts.losses.needsIsolation():
 			return false
 		case other.phase != running || other.ackedAt.IsZero() || now.Sub(other.ackedAt) < shortProbation:
 			return false
@@ -206,7 +206,7 @@
 
 // holdSuspect delays the restart of a suspect whose worker stopped answering during the probation until it is known whether the worker has ended.
 func (cr *Core) holdSuspect(now time.Time, pl *placement) {
-	if ts := &pl.step.tasks[pl.task.Index]; pl.suspect && ts.lost.weighted() >= isolationLosses {
+	if ts := &pl.step.tasks[pl.task.Index]; pl.suspect && ts.losses.weighted() >= isolationLosses {
 		ts.notBefore = now.Add(suspectHoldTime)
 	}
 }
@@ -218,8 +218,8 @@
 		if ts.notBefore.After(now) {
 			ts.notBefore = now
 		}
-		if slices.Contains(ts.lost.unresolved, wk.info.ID) {
-			ts.lost.resolve(wk.info.ID)
+		if slices.Contains(ts.losses.unresolved, wk.info.ID) {
+			ts.losses.resolve(wk.info.ID)
 			cr.markDirty(pl.step.job)
 		}
 		pl.step.job.fullyPlaced = false
--- a/cell/progress.go
+++ b/cell/progress.go
@@ -42,7 +42,7 @@
 			pg.FailedAttempts[key] = slices.Clone(ts.failed)
 		}
 		st.saveUnresolved(pg, at)
-		if lost := ts.lost; lost.suspect || lost.total() > 0 || lost.longestRun > 0 {
+		if lost := ts.losses; lost.suspect || lost.total() > 0 || lost.longestRun > 0 {
 			if pg.Losses == nil {
 				pg.Losses = map[string]job.Losses{}
 			}
@@ -88,8 +88,8 @@
 		bits := pg.Unresolved[id][key]
 		for at := range st.tasks {
 			if bits.Has(at) {
-				st.tasks[at].lost.markUnresolved(WorkerID(id))
-				st.job.hasOpenLosses = true
+				st.tasks[at].losses.markUnresolved(WorkerID(id))
+				st.job.hasUnresolved = true
 			}
 		}
 	}
--- a/cell/rank.go
+++ b/cell/rank.go
@@ -62,8 +62,8 @@
 // demandMaxAge is how long the total demand is cached, since computing it visits all open jobs.
 const demandMaxAge = 50 * time.Millisecond
 
-// totalDemand returns the number of machines that the open jobs need. It stops counting above most.
-func (cr *Core) totalDemand(now time.Time, most float64) float64 {
+// totalDemand returns the number of machines that the open jobs need. It stops counting above limit.
+func (cr *Core) totalDemand(now time.Time, limit float64) float64 {
 	if now.Sub(cr.demandAt) < demandMaxAge {
 		return cr.demand
 	}
@@ -72,7 +72,7 @@
 		if !js.ended() {
 			sum += cr.jobDemand(now, js, unit)
 		}
-		if sum > most {
+		if sum > limit {
 			break
 		}
 	}
@@ -86,7 +86,7 @@
 		rk.shareClass = 1
 	}
 	laxity := cr.laxity(now, js)
-	end := js.objectiveStart().Add(expiryFactor * cr.objective(js)).Sub(now)
+	untilEnd := js.objectiveStart().Add(expiryFactor * cr.objective(js)).Sub(now)
 	untilExpiry := cr.expiryLaxity(now, js)
 	switch {
 	case js.spec.Steps[0].LongRunning:
@@ -99,7 +99,7 @@
 		// Ordering by earliest expiry would make every job expire by a little. Starting with the smallest saves the largest number.
 		rk.urgency, rk.key = late, js.remainingWork()
 	default:
-		rk.urgency, rk.key = expired, -end.Seconds()
+		rk.urgency, rk.key = expired, -untilEnd.Seconds()
 	}
 	return rk
 }
--- a/cell/reserve.go
+++ b/cell/reserve.go
@@ -16,9 +16,9 @@
 	if !st.spec.LongRunning {
 		return
 	}
-	most := max(1, int(reserveShare*float64(len(rd.usable))))
+	limit := max(1, int(reserveShare*float64(len(rd.usable))))
 	for range min(count, reserveMaxPerStep) {
-		if rd.reserved >= most {
+		if rd.reserved >= limit {
 			return
 		}
 		cd := cr.roomiest(rd, st)
--- a/cell/speed.go
+++ b/cell/speed.go
@@ -32,17 +32,17 @@
 }
 
 // add records the progress of a task as a share of its whole, and the expected progress of the mean task in the same time.
-func (sp *speed) add(now time.Time, due, done float64) {
+func (sp *speed) add(now time.Time, expected, actual float64) {
 	sp.decay(now)
-	sp.expected += due
-	sp.actual += done
+	sp.expected += expected
+	sp.actual += actual
 }
 
 // decay reduces the weight of earlier observations.
 func (sp *speed) decay(now time.Time) {
 	if !sp.at.IsZero() && now.After(sp.at) {
-		left := math.Exp(-now.Sub(sp.at).Seconds() / speedDecay.Seconds())
-		sp.expected, sp.actual = sp.expected*left, sp.actual*left
+		weight := math.Exp(-now.Sub(sp.at).Seconds() / speedDecay.Seconds())
+		sp.expected, sp.actual = sp.expected*weight, sp.actual*weight
 	}
 	sp.at = now
 }
@@ -67,28 +67,28 @@
 
 // recordProgress records the progress of a short task since it was last reported.
 func (cr *Core) recordProgress(pl *placement, at time.Time, progress int) {
-	known := cr.runTimes.get(pl.step.job.spec.Queue)
-	if !known.trusted(at) || pl.step.spec.LongRunning || pl.step.spec.BestEffort || pl.seenAt.IsZero() || known.mean <= 0 || !at.After(pl.seenAt) {
+	stats := cr.runTimes.get(pl.step.job.spec.Queue)
+	if !stats.trusted(at) || pl.step.spec.LongRunning || pl.step.spec.BestEffort || pl.seenAt.IsZero() || stats.mean <= 0 || !at.After(pl.seenAt) {
 		pl.seenAt = at
 		return
 	}
-	pl.worker.speed.add(at, at.Sub(pl.seenAt).Seconds()/known.mean.Seconds(), float64(max(0, progress-pl.progress))/100)
+	pl.worker.speed.add(at, at.Sub(pl.seenAt).Seconds()/stats.mean.Seconds(), float64(max(0, progress-pl.progress))/100)
 	pl.seenAt = at
 }
 
 // withoutSlow removes slow workers from a list. If more than half would be removed, the measure is not reliable and the list is returned
 // unchanged.
 func withoutSlow(now time.Time, list []*candidate) []*candidate {
-	quick := make([]*candidate, 0, len(list))
+	fast := make([]*candidate, 0, len(list))
 	for _, cd := range list {
 		if !cd.slow(now) {
-			quick = append(quick, cd)
+			fast = append(fast, cd)
 		}
 	}
-	if 2*len(quick) < len(list) {
+	if 2*len(fast) < len(list) {
 		return list
 	}
-	return quick
+	return fast
 }
 
 // moveStragglers stops short tasks on slow workers that would end sooner elsewhere.
--- a/cell/task.go
+++ b/cell/task.go
@@ -41,16 +41,16 @@
 	fullyPlaced bool
 	// singleRun caches the only run of a job without due times, once it has started.
 	singleRun []*run
-	// criticalPath and criticalPathLeft are the minimum durations of the whole job and of its remaining steps, as of criticalPathGen and
-	// criticalPathAt.
+	// criticalPath and criticalPathLeft are the expected minimum run times of the whole job and of its remaining steps, as of criticalPathGen
+	// and criticalPathAt.
 	criticalPath, criticalPathLeft time.Duration
 	// criticalStepsLeft is the number of remaining steps on the critical path.
 	criticalStepsLeft int
 	criticalPathGen   int
 	criticalPathAt    time.Time
-	// hasOpenLosses means that the outcome of an attempt is unknown: an earlier owner left it on a worker that may have ended, or its lease
-	// lapsed.
-	hasOpenLosses bool
+	// hasUnresolved means that the outcome of an attempt is unknown: an earlier owner left it on a worker that may have ended, or its lease
+	// expired.
+	hasUnresolved bool
 	// archived means that the job has been removed from the table of open jobs.
 	archived bool
 }
@@ -92,12 +92,12 @@
 	checkpoint job.Checkpoint
 	placement  *placement
 	notBefore  time.Time
-	lost       losses
+	losses     losses
 	intent     *intent
 	// lostAt is when the task was lost with its worker. The task is restarted only after the ownership has been confirmed at a later time.
 	lostAt time.Time
-	// stray is a start that the next incarnation of its worker may still execute; nil if there is none.
-	stray *lateStart
+	// lateStart is a start that the next incarnation of its worker may still execute; nil if there is none.
+	lateStart *lateStart
 	// avoid is a worker on which the task failed or was refused.
 	avoid WorkerID
 	// downSince is when a long-running task last stopped serving.
@@ -174,8 +174,8 @@
 	}
 }
 
-// adoptEarlyReports handles ends and adopts attempts of a job that were reported before the job itself was known. An earlier owner may have
-// learned of the job sooner.
+// adoptEarlyReports processes ends and adopts attempts that workers reported before this owner knew the job. An earlier owner may have started
+// it.
 func (cr *Core) adoptEarlyReports(now time.Time, id job.ID) {
 	for _, wk := range cr.sortedWorkers {
 		for at := range wk.unackedEnds {
@@ -280,8 +280,8 @@
 		key := job.TaskKey(job.Task{Run: st.run, Step: st.index, Index: at})
 		ts.failed, ts.attempt = pg.FailedAttempts[key], max(pg.Attempts[key], job.Attempt(len(pg.FailedAttempts[key])))
 		if lost, ok := pg.Losses[key]; ok {
-			ts.lost = restoreLosses(lost)
-			st.job.hasOpenLosses = st.job.hasOpenLosses || len(ts.lost.unresolved) > 0
+			ts.losses = restoreLosses(lost)
+			st.job.hasUnresolved = st.job.hasUnresolved || len(ts.losses.unresolved) > 0
 		}
 		if done.Has(at) {
 			ts.done = true
@@ -305,7 +305,7 @@
 func (cr *Core) handleEnd(now time.Time, wk *worker, st *step, en End) {
 	ts := &st.tasks[en.Task.Index]
 	ts.attempt = max(ts.attempt, en.Attempt)
-	ts.lost.resolve(wk.info.ID)
+	ts.losses.resolve(wk.info.ID)
 	pl := wk.placements[en.Task]
 	if pl != nil && pl.attempt == en.Attempt {
 		if en.Reason == EndDone {
--- a/cell/unresolved.go
+++ b/cell/unresolved.go
@@ -30,13 +30,13 @@
 // unresolvedOn iterates over the tasks of a job that have an attempt with an unknown outcome on a worker.
 func (js *jobState) unresolvedOn(id WorkerID) iter.Seq2[*step, int] {
 	return func(yield func(*step, int) bool) {
-		if !js.hasOpenLosses {
+		if !js.hasUnresolved {
 			return
 		}
 		for _, rn := range js.runs {
 			for _, st := range rn.steps {
 				for at := range st.tasks {
-					if slices.Contains(st.tasks[at].lost.unresolved, id) && !yield(st, at) {
+					if slices.Contains(st.tasks[at].losses.unresolved, id) && !yield(st, at) {
 						return
 					}
 				}
@@ -49,7 +49,7 @@
 func (cr *Core) clearUnresolved(id WorkerID) {
 	for _, js := range cr.openJobs {
 		for st, at := range js.unresolvedOn(id) {
-			st.tasks[at].lost.resolve(id)
+			st.tasks[at].losses.resolve(id)
 			cr.markDirty(js)
 		}
 	}
@@ -60,10 +60,10 @@
 	for _, rn := range js.runs {
 		for _, st := range rn.steps {
 			for at := range st.tasks {
-				for _, id := range slices.Clone(st.tasks[at].lost.unresolved) {
+				for _, id := range slices.Clone(st.tasks[at].losses.unresolved) {
 					// A worker is missing from the cell's row only if its loss was saved for all jobs concerned.
 					if wk := cr.workers[id]; wk == nil || wk.fenced && wk.failedPolls == 0 {
-						st.tasks[at].lost.resolve(id)
+						st.tasks[at].losses.resolve(id)
 						cr.markDirty(js)
 					}
 				}
@@ -98,7 +98,7 @@
 
 // unresolvedLosses returns the losses of a task, with the workers on which the next owner may not find it any more as unresolved.
 func (ts *taskState) unresolvedLosses() losses {
-	lo := ts.lost
+	lo := ts.losses
 	if in := ts.intent; in != nil {
 		lo.markUnresolved(in.worker)
 	}
--- a/cell/worker.go
+++ b/cell/worker.go
@@ -353,8 +353,8 @@
 	for _, pl := range wk.placed {
 		cr.release(now, pl, "its lease has expired")
 		cr.trackLateStart(now, pl)
-		pl.step.tasks[pl.task.Index].lost.markUnresolved(wk.info.ID)
-		pl.step.job.hasOpenLosses = true
+		pl.step.tasks[pl.task.Index].losses.markUnresolved(wk.info.ID)
+		pl.step.job.hasUnresolved = true
 		cr.markDirty(pl.step.job)
 		cr.holdSuspect(now, pl)
 	}
--- a/machine/size.go
+++ b/machine/size.go
@@ -82,21 +82,21 @@
 )
 
 // forecast extrapolates the demand of a pool by Lookahead.
-func (sz *Sizer) forecast(now time.Time, id job.PoolID, need float64) float64 {
+func (sz *Sizer) forecast(now time.Time, id job.PoolID, demand float64) float64 {
 	tr, ok := sz.trends[id]
 	if !ok {
-		sz.trends[id] = &trend{at: now, demand: need}
-		return need
+		sz.trends[id] = &trend{at: now, demand: demand}
+		return demand
 	}
 	if span := now.Sub(tr.at); span >= trendInterval {
-		slope := (need - tr.demand) / span.Seconds()
+		slope := (demand - tr.demand) / span.Seconds()
 		tr.slope += trendWeight * (slope - tr.slope)
-		tr.at, tr.demand = now, need
+		tr.at, tr.demand = now, demand
 	}
-	return need + min(max(0, tr.slope)*sz.opts.Lookahead.Seconds(), trendMaxFactor*need)
+	return demand + min(max(0, tr.slope)*sz.opts.Lookahead.Seconds(), trendMaxFactor*demand)
 }
 
-// moveTimeout is when a machine that has not arrived counts as not moved.
+// moveTimeout is how long a move may take before it counts as failed.
 const moveTimeout = 6 * time.Second
 
 // NewSizer returns a sizer without pending moves.
@@ -131,33 +131,33 @@
 func (sz *Sizer) Plan(now time.Time, pools []job.Pool, machines map[cell.MachineID]Machine, loads map[job.PoolID]cell.Load, held func(cell.MachineID) bool) []Move {
 	views := sz.views(now, pools, machines, loads, held)
 	sz.limits = sz.allot(views)
-	var wanting, giving []*poolView
+	var short, surplus []*poolView
 	var reserves []*poolView
 	for _, pv := range views {
 		switch {
 		case pv.reserve:
 			reserves = append(reserves, pv)
 		case pv.loadKnown && pv.current < pv.target:
-			wanting = append(wanting, pv)
+			short = append(short, pv)
 		case pv.loadKnown:
-			giving = append(giving, pv)
+			surplus = append(surplus, pv)
 		}
 	}
-	slices.SortFunc(wanting, func(one, other *poolView) int {
+	slices.SortFunc(short, func(one, other *poolView) int {
 		// Pools below their spread limits come first, since long-running tasks cannot run elsewhere.
 		return cmp.Or(cmp.Compare(min(0, one.current-one.minWorkers), min(0, other.current-other.minWorkers)), cmp.Compare(one.current-one.target, other.current-other.target), cmp.Compare(one.id, other.id))
 	})
-	var shifts []Move
-	for _, pv := range wanting {
+	var moves []Move
+	for _, pv := range short {
 		for pv.current < pv.target {
-			sh, ok := sz.acquire(now, pv, giving, reserves)
+			mv, ok := sz.acquire(now, pv, surplus, reserves)
 			if !ok {
 				break
 			}
-			shifts = append(shifts, sh)
+			moves = append(moves, mv)
 		}
 	}
-	return append(shifts, sz.returnIdle(now, giving, reserves)...)
+	return append(moves, sz.returnIdle(now, surplus, reserves)...)
 }
 
 // Limits returns the target sizes of pools while there are too few machines for all, as of the last plan.
@@ -167,8 +167,8 @@
 func (sz *Sizer) BelowMinimum() bool { return sz.belowMinimum }
 
 // machinesFor returns the number of machines that a pool should have for a demand.
-func (sz *Sizer) machinesFor(pv *poolView, need float64) int {
-	return max(pv.minMachines, int(math.Ceil(need*sz.opts.Margin)))
+func (sz *Sizer) machinesFor(pv *poolView, demand float64) int {
+	return max(pv.minMachines, int(math.Ceil(demand*sz.opts.Margin)))
 }
 
 // views returns snapshots of all pools.
@@ -267,27 +267,27 @@
 }
 
 // acquire finds a machine for a pool. It prefers an idle machine of another pool, which is already paid for, to one that is off.
-func (sz *Sizer) acquire(now time.Time, to *poolView, giving, reserves []*poolView) (Move, bool) {
-	for _, from := range giving {
+func (sz *Sizer) acquire(now time.Time, to *poolView, surplus, reserves []*poolView) (Move, bool) {
+	for _, from := range surplus {
 		if from.current <= from.target {
 			continue
 		}
-		if sh, ok := sz.take(now, from, to, sz.opts.LendAfter); ok {
-			return sh, true
+		if mv, ok := sz.take(now, from, to, sz.opts.LendAfter); ok {
+			return mv, true
 		}
 	}
 	for _, from := range reserves {
-		if sh, ok := sz.take(now, from, to, 0); ok {
-			return sh, true
+		if mv, ok := sz.take(now, from, to, 0); ok {
+			return mv, true
 		}
 	}
 	return Move{}, false
 }
 
 // take moves the machine that has been idle longest.
-func (sz *Sizer) take(now time.Time, from, to *poolView, idleFor time.Duration) (Move, bool) {
+func (sz *Sizer) take(now time.Time, from, to *poolView, minIdle time.Duration) (Move, bool) {
 	for at, im := range from.idle {
-		if im.idle < idleFor || sz.refused[kindKey(im.mc, to.id)] {
+		if im.idle < minIdle || sz.refused[kindKey(im.mc, to.id)] {
 			continue
 		}
 		from.idle = slices.Delete(from.idle, at, at+1)
@@ -300,21 +300,21 @@
 }
 
 // returnIdle moves machines that have been idle for ReturnAfter into a reserve pool.
-func (sz *Sizer) returnIdle(now time.Time, giving, reserves []*poolView) []Move {
+func (sz *Sizer) returnIdle(now time.Time, surplus, reserves []*poolView) []Move {
 	if len(reserves) == 0 {
 		return nil
 	}
-	var shifts []Move
-	for _, from := range giving {
+	var moves []Move
+	for _, from := range surplus {
 		for from.current > from.target {
-			sh, ok := sz.take(now, from, reserves[0], sz.opts.ReturnAfter)
+			mv, ok := sz.take(now, from, reserves[0], sz.opts.ReturnAfter)
 			if !ok {
 				break
 			}
-			shifts = append(shifts, sh)
+			moves = append(moves, mv)
 		}
 	}
-	return shifts
+	return moves
 }
 
 func kindKey(mc Machine, pool job.PoolID) string {
@@ -326,14 +326,14 @@
 }
 
 // MoveResult handles the outcome of a move.
-func (sz *Sizer) MoveResult(mc Machine, sh Move, oc Outcome) {
+func (sz *Sizer) MoveResult(mc Machine, mv Move, oc Outcome) {
 	switch oc {
 	case Done, NoAnswer:
 	case Invalid:
-		sz.refused[kindKey(mc, sh.To)] = true
-		delete(sz.moves, sh.Machine)
+		sz.refused[kindKey(mc, mv.To)] = true
+		delete(sz.moves, mv.Machine)
 	default:
-		delete(sz.moves, sh.Machine)
+		delete(sz.moves, mv.Machine)
 	}
 }
 
--- a/machine/wave.go
+++ b/machine/wave.go
@@ -88,13 +88,13 @@
 	sentAt    time.Time
 	worker    cell.WorkerName
 	confirmed bool
-	// unanswered is set once an attempt got no answer. A later refusal then doesn't mean that the machine is not down.
+	// unanswered is set once an attempt got no answer. After that a refusal does not prove that the machine is up.
 	unanswered bool
 }
 
 // WaveRunner carries out waves as long as its holder is not superseded.
 type WaveRunner struct {
-	// inheritDelay is how long after its start it gives no order for a machine that an earlier holder handled.
+	// inheritDelay is how long after its start the runner gives no orders for machines handled by an earlier holder.
 	inheritDelay time.Duration
 	started      time.Time
 	waves        map[int]*waveState
@@ -105,8 +105,8 @@
 }
 
 // NewWaveRunner returns a runner that starts now.
-func NewWaveRunner(now time.Time, quiet time.Duration) *WaveRunner {
-	return &WaveRunner{inheritDelay: quiet, started: now, waves: map[int]*waveState{}, machines: map[cell.MachineID]Machine{}, drains: map[cell.MachineID]*Drain{}}
+func NewWaveRunner(now time.Time, inheritDelay time.Duration) *WaveRunner {
+	return &WaveRunner{inheritDelay: inheritDelay, started: now, waves: map[int]*waveState{}, machines: map[cell.MachineID]Machine{}, drains: map[cell.MachineID]*Drain{}}
 }
 
 // Superseded reports whether another holder has taken over.
@@ -165,8 +165,8 @@
 }
 
 // List sets the list of machines, as of the time of the request for it.
-func (wr *WaveRunner) List(asked time.Time, list []Machine) {
-	wr.listedAt = asked
+func (wr *WaveRunner) List(requestedAt time.Time, list []Machine) {
+	wr.listedAt = requestedAt
 	wr.machines = make(map[cell.MachineID]Machine, len(list))
 	for _, mc := range list {
 		wr.machines[mc.ID] = mc
@@ -316,9 +316,9 @@
 
 // requestDrains requests the next drains, from the pools with the smallest share of machines missing first.
 func (wr *WaveRunner) requestDrains(now time.Time, wv *waveState) []Order {
-	wanted, size := wr.countByPool()
-	open := 0
-	var next []Machine
+	unavailable, size := wr.countByPool()
+	draining := 0
+	var candidates []Machine
 	for _, id := range wv.Machines {
 		mc, listed := wr.machines[id]
 		if wv.done[id] || !listed {
@@ -329,27 +329,27 @@
 				// The worker has crashed since; its successor has to be drained.
 				delete(wr.drains, id)
 			} else {
-				open++
+				draining++
 				continue
 			}
 		}
 		if mc.State == Up && mc.Worker != "" {
-			next = append(next, mc)
+			candidates = append(candidates, mc)
 		}
 	}
 	var orders []Order
-	most := max(1, wv.MaxDown) + drainAhead
-	for open < most && len(next) > 0 {
-		slices.SortStableFunc(next, func(one, other Machine) int {
-			return cmp.Or(cmp.Compare(fraction(wanted[one.Pool], size[one.Pool]), fraction(wanted[other.Pool], size[other.Pool])), cmp.Compare(one.ID, other.ID))
+	limit := max(1, wv.MaxDown) + drainAhead
+	for draining < limit && len(candidates) > 0 {
+		slices.SortStableFunc(candidates, func(one, other Machine) int {
+			return cmp.Or(cmp.Compare(fraction(unavailable[one.Pool], size[one.Pool]), fraction(unavailable[other.Pool], size[other.Pool])), cmp.Compare(one.ID, other.ID))
 		})
-		mc := next[0]
-		next = next[1:]
-		if wanted[mc.Pool] > 0 && fraction(wanted[mc.Pool]+1, size[mc.Pool]) > maxDrainShare && !wr.behindSchedule(now, wv) {
+		mc := candidates[0]
+		candidates = candidates[1:]
+		if unavailable[mc.Pool] > 0 && fraction(unavailable[mc.Pool]+1, size[mc.Pool]) > maxDrainShare && !wr.behindSchedule(now, wv) {
 			break
 		}
-		wanted[mc.Pool]++
-		open++
+		unavailable[mc.Pool]++
+		draining++
 		dr := Drain{Machine: mc.ID, Worker: mc.Worker, Pool: mc.Pool, Wave: wv.Number, Since: now}
 		wr.drains[mc.ID] = &dr
 		orders = append(orders, RequestDrain{dr})
@@ -357,30 +357,30 @@
 	return orders
 }
 
-// behindSchedule reports whether a wave is behind schedule.
+// behindSchedule reports whether fewer machines are done than finishShare requires at this time.
 func (wr *WaveRunner) behindSchedule(now time.Time, wv *waveState) bool {
-	gone := float64(now.Sub(wv.startedAt)) / float64(wv.Duration)
+	elapsed := float64(now.Sub(wv.startedAt)) / float64(wv.Duration)
 	done := float64(len(wv.done)) / float64(len(wv.Machines))
-	return gone > done*finishShare
+	return elapsed > done*finishShare
 }
 
 // countByPool counts the machines drained or down, and all machines, by pool.
-func (wr *WaveRunner) countByPool() (wanted, size map[job.PoolID]int) {
-	wanted, size = map[job.PoolID]int{}, map[job.PoolID]int{}
+func (wr *WaveRunner) countByPool() (unavailable, size map[job.PoolID]int) {
+	unavailable, size = map[job.PoolID]int{}, map[job.PoolID]int{}
 	for _, mc := range wr.machines {
 		size[mc.Pool]++
 		if wr.drains[mc.ID] != nil || mc.State != Up {
-			wanted[mc.Pool]++
+			unavailable[mc.Pool]++
 		}
 	}
-	return wanted, size
+	return unavailable, size
 }
 
-func fraction(some, all int) float64 {
+func fraction(part, all int) float64 {
 	if all == 0 {
 		return 1
 	}
-	return float64(some) / float64(all)
+	return float64(part) / float64(all)
 }
 
 // releaseUnused returns machines that no wave needs any longer.
