--- a/cell/crash.go
+++ b/cell/crash.go
@@ -232,9 +232,9 @@
 	if pl.step.spec.Gang {
 		// The members of a gang only start together, and it is unknown which of them caused the loss.
 		for at := range pl.step.tasks {
-			open := pl.step.tasks[at].losses.unresolved
+			unresolved := pl.step.tasks[at].losses.unresolved
 			pl.step.tasks[at].losses = ts.losses
-			pl.step.tasks[at].losses.unresolved = open
+			pl.step.tasks[at].losses.unresolved = unresolved
 		}
 	}
 	if ts.losses.conclusive(ev) {
--- a/cell/crash_bound_test.go
+++ b/cell/crash_bound_test.go
@@ -34,27 +34,27 @@
 	t.Helper()
 	for _, after := range bc.after {
 		t.Run(fmt.Sprintf("%s/%v", bc.name, after), func(t *testing.T) {
-			cs := newCrashCell(t, 6, crashingJobs(after, "bad0", "bad1", "bad2"))
-			cs.noReset, cs.unreported, cs.foreignRuns = bc.noReset, bc.unreported, bc.foreignRuns
+			cc := newCrashCell(t, 6, crashingJobs(after, "bad0", "bad1", "bad2"))
+			cc.noReset, cc.unreported, cc.foreignRuns = bc.noReset, bc.unreported, bc.foreignRuns
 			for at := range 12 {
-				cs.add(job.ID(fmt.Sprintf("good%02d", at)), testEpoch, taskStep(6))
+				cc.add(job.ID(fmt.Sprintf("good%02d", at)), testEpoch, taskStep(6))
 			}
 			for at := range 3 {
-				cs.add(job.ID(fmt.Sprintf("bad%d", at)), testEpoch, bc.step)
+				cc.add(job.ID(fmt.Sprintf("bad%d", at)), testEpoch, bc.step)
 			}
-			bc.run(cs)
+			bc.run(cc)
 			for at := range 3 {
 				id := job.ID(fmt.Sprintf("bad%d", at))
-				if got := cs.starts[job.Task{Job: id}]; got > boundStarts {
-					t.Errorf("the guilty task of %s was started %d times, want %d at most", id, got, boundStarts)
+				if got := cc.starts[job.Task{Job: id}]; got > boundStarts {
+					t.Errorf("the crashing task of %s was started %d times, want %d at most", id, got, boundStarts)
 				}
-				if got := cs.state(id); got != job.Failed && !bc.unreported {
+				if got := cc.state(id); got != job.Failed && !bc.unreported {
 					t.Errorf("%s is %s, want failed", id, got)
 				}
 			}
 			for at := range 12 {
-				if id := job.ID(fmt.Sprintf("good%02d", at)); cs.state(id) != job.Completed {
-					t.Errorf("%s is %s, want completed", id, cs.state(id))
+				if id := job.ID(fmt.Sprintf("good%02d", at)); cc.state(id) != job.Completed {
+					t.Errorf("%s is %s, want completed", id, cc.state(id))
 				}
 			}
 		})
@@ -62,47 +62,47 @@
 }
 
 // run simulates the span of the case under its conditions.
-func (bc boundCase) run(cs *crashCell) {
+func (bc boundCase) run(cc *crashCell) {
 	const step = 50 * time.Millisecond
 	for passed := time.Duration(0); passed < bc.span; passed += step {
 		if bc.every > 0 && passed > 0 && passed%bc.every == 0 {
-			cs.changeOwner()
+			cc.changeOwner()
 		}
 		if bc.lapseOf > 0 {
-			cs.setRegistered(passed%bc.lapseOf >= bc.lapse)
+			cc.setRegistered(passed%bc.lapseOf >= bc.lapse)
 		}
-		cs.run(step)
+		cc.run(step)
 	}
 }
 
 // changeOwner hands the cell over to another owner, which knows what was saved.
-func (cs *crashCell) changeOwner() {
-	refs, exposed, before := cs.core.Release(cs.now), cs.core.UnseenLossEpoch(), cs.core
-	cs.core = New(testPool, before.epoch+1, before.opts)
-	cs.core.TakeOver(cs.now, cs.now, refs, true)
-	cs.core.NoteUnseenLosses(exposed)
-	cs.core.Configure([]job.Queue{{ID: "q", Pool: testPool, MaxAttempts: 2, Stretch: 1.5, Slack: time.Second}})
-	cs.pendingPolls = map[WorkerID]Poll{}
-	for _, fr := range cs.workers {
-		fr.poll = nil
+func (cc *crashCell) changeOwner() {
+	refs, exposed, before := cc.core.Release(cc.now), cc.core.UnseenLossEpoch(), cc.core
+	cc.core = New(testPool, before.epoch+1, before.opts)
+	cc.core.TakeOver(cc.now, cc.now, refs, true)
+	cc.core.NoteUnseenLosses(exposed)
+	cc.core.Configure([]job.Queue{{ID: "q", Pool: testPool, MaxAttempts: 2, Stretch: 1.5, Slack: time.Second}})
+	cc.pendingPolls = map[WorkerID]Poll{}
+	for _, sw := range cc.workers {
+		sw.poll = nil
 	}
-	cs.setRegistered(true)
-	for id, sp := range cs.specs {
-		cs.core.Add(cs.now, StoredJob{Spec: sp, Progress: cs.rows[id], Version: 9})
+	cc.setRegistered(true)
+	for id, sp := range cc.specs {
+		cc.core.Add(cc.now, StoredJob{Spec: sp, Progress: cc.rows[id], Version: 9})
 	}
 }
 
 // setRegistered adds or removes the registrations of all live workers.
-func (cs *crashCell) setRegistered(listed bool) {
-	for id, fr := range cs.workers {
-		if wk := cs.core.workers[id]; wk != nil && wk.registered == listed {
+func (cc *crashCell) setRegistered(listed bool) {
+	for id, sw := range cc.workers {
+		if wk := cc.core.workers[id]; wk != nil && wk.registered == listed {
 			continue
 		}
 		if listed {
-			cs.core.Register(cs.now, fr.info)
-			cs.core.WorkersRecorded([]WorkerRef{{ID: id, Address: string(id)}})
+			cc.core.Register(cc.now, sw.info)
+			cc.core.WorkersRecorded([]WorkerRef{{ID: id, Address: string(id)}})
 		} else {
-			cs.core.Unregister(cs.now, id)
+			cc.core.Unregister(cc.now, id)
 		}
 	}
 }
@@ -116,8 +116,8 @@
 // Attempts on unresponsive workers were not saved, so the next owner had no task to charge with the loss: one task was started 60 times in 30 s.
 func TestTaskThatCrashesItsWorkersUnderChangingOwnersIsGivenUp(t *testing.T) {
 	for _, every := range []time.Duration{time.Second, 1500 * time.Millisecond, 3 * time.Second} {
-		for _, dark := range []bool{true, false} {
-			boundCase{name: fmt.Sprintf("every %v, dark %t", every, dark), every: every, noReset: dark, after: quick, step: short, span: 30 * time.Second}.play(t)
+		for _, noReset := range []bool{true, false} {
+			boundCase{name: fmt.Sprintf("every %v, no reset %t", every, noReset), every: every, noReset: noReset, after: quick, step: short, span: 30 * time.Second}.play(t)
 		}
 	}
 }
@@ -126,8 +126,8 @@
 // leaving, and its loss was charged to no task: one task was started 25 times in 30 s.
 func TestTaskThatCrashesItsWorkersIsGivenUpWhileRegistrationsExpire(t *testing.T) {
 	for _, every := range []time.Duration{500 * time.Millisecond, 4 * time.Second} {
-		for _, dark := range []bool{true, false} {
-			boundCase{name: fmt.Sprintf("half of %v, dark %t", every, dark), lapse: every / 2, lapseOf: every, noReset: dark, after: quick, step: short, span: 30 * time.Second}.play(t)
+		for _, noReset := range []bool{true, false} {
+			boundCase{name: fmt.Sprintf("half of %v, no reset %t", every, noReset), lapse: every / 2, lapseOf: every, noReset: noReset, after: quick, step: short, span: 30 * time.Second}.play(t)
 		}
 	}
 }
@@ -135,8 +135,8 @@
 // Guards against losses that prove nothing because each worker also has a run that its owner does not know, so that no task is ever alone on a
 // worker: one task was started 14 times in 30 s.
 func TestTaskThatCrashesItsWorkersBesideForeignRunsIsGivenUp(t *testing.T) {
-	for _, dark := range []bool{true, false} {
-		boundCase{name: fmt.Sprintf("dark %t", dark), foreignRuns: true, noReset: dark, after: quick, step: short, span: 30 * time.Second}.play(t)
+	for _, noReset := range []bool{true, false} {
+		boundCase{name: fmt.Sprintf("no reset %t", noReset), foreignRuns: true, noReset: noReset, after: quick, step: short, span: 30 * time.Second}.play(t)
 	}
 }
 
@@ -144,13 +144,13 @@
 // charged, and earlier charges were cleared.
 func TestLongRunningTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	lasting := job.Step{Count: 2, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true}
-	for _, dark := range []bool{true, false} {
-		boundCase{name: fmt.Sprintf("dark %t", dark), noReset: dark, after: []time.Duration{4 * time.Second, 6 * time.Second, 20 * time.Second}, step: lasting, span: 5 * time.Minute}.play(t)
+	for _, noReset := range []bool{true, false} {
+		boundCase{name: fmt.Sprintf("no reset %t", noReset), noReset: noReset, after: []time.Duration{4 * time.Second, 6 * time.Second, 20 * time.Second}, step: lasting, span: 5 * time.Minute}.play(t)
 	}
 }
 
 // Guards against endless restarts if workers end without a broken connection and nobody reports their end. Their tasks were restarted elsewhere
 // each time that the leases expired.
 func TestTaskOfWorkersThatStopAnsweringIsStartedAFewTimes(t *testing.T) {
-	boundCase{name: "untold", noReset: true, unreported: true, after: quick, step: short, span: 5 * time.Minute}.play(t)
+	boundCase{name: "unreported", noReset: true, unreported: true, after: quick, step: short, span: 5 * time.Minute}.play(t)
 }
--- a/cell/crash_test.go
+++ b/cell/crash_test.go
@@ -73,66 +73,66 @@
 	do func()
 }
 
-func newCrashCell(t *testing.T, workers int, guilty func(job.Task) (time.Duration, bool)) *crashCell {
+func newCrashCell(t *testing.T, workers int, crashAfter func(job.Task) (time.Duration, bool)) *crashCell {
 	t.Helper()
-	cs := &crashCell{testBed: newTestBed(t, 0), workers: map[WorkerID]*simulatedWorker{}, crashAfter: guilty, starts: map[job.Task]int{}, specs: map[job.ID]*job.Spec{}, rows: map[job.ID]*job.Progress{}}
-	cs.autoSave = true
+	cc := &crashCell{testBed: newTestBed(t, 0), workers: map[WorkerID]*simulatedWorker{}, crashAfter: crashAfter, starts: map[job.Task]int{}, specs: map[job.ID]*job.Spec{}, rows: map[job.ID]*job.Progress{}}
+	cc.autoSave = true
 	for range workers {
-		cs.addWorker()
+		cc.addWorker()
 	}
-	cs.run(200 * time.Millisecond)
-	return cs
+	cc.run(200 * time.Millisecond)
+	return cc
 }
 
 // addWorker registers a new incarnation of a worker.
-func (cs *crashCell) addWorker() {
-	cs.incarnations++
-	id := WorkerID(fmt.Sprintf("w%04d", cs.incarnations))
-	info := Worker{ID: id, Pool: testPool, Address: string(id), Rack: fmt.Sprintf("r%d", cs.incarnations%12), Room: job.Size{CPUMillis: 1000 * crashSlots, MemoryMB: 32000}}
-	cs.workers[id] = &simulatedWorker{id: id, info: info, runs: map[job.Task]*simulatedRun{}}
-	cs.core.Register(cs.now, info)
-	cs.core.WorkersRecorded([]WorkerRef{{ID: id, Address: string(id)}})
+func (cc *crashCell) addWorker() {
+	cc.incarnations++
+	id := WorkerID(fmt.Sprintf("w%04d", cc.incarnations))
+	info := Worker{ID: id, Pool: testPool, Address: string(id), Rack: fmt.Sprintf("r%d", cc.incarnations%12), Room: job.Size{CPUMillis: 1000 * crashSlots, MemoryMB: 32000}}
+	cc.workers[id] = &simulatedWorker{id: id, info: info, runs: map[job.Task]*simulatedRun{}}
+	cc.core.Register(cc.now, info)
+	cc.core.WorkersRecorded([]WorkerRef{{ID: id, Address: string(id)}})
 }
 
-func (cs *crashCell) after(span time.Duration, do func()) {
-	cs.timers = append(cs.timers, timer{cs.now.Add(span), do})
+func (cc *crashCell) after(span time.Duration, do func()) {
+	cc.timers = append(cc.timers, timer{cc.now.Add(span), do})
 }
 
 // run simulates a period of time.
-func (cs *crashCell) run(span time.Duration) {
-	for end := cs.now.Add(span); cs.now.Before(end); cs.advance(crashTick) {
-		cs.runTimers()
-		for _, id := range slices.Sorted(maps.Keys(cs.workers)) {
-			cs.stepWorker(cs.workers[id])
+func (cc *crashCell) run(span time.Duration) {
+	for end := cc.now.Add(span); cc.now.Before(end); cc.advance(crashTick) {
+		cc.runTimers()
+		for _, id := range slices.Sorted(maps.Keys(cc.workers)) {
+			cc.stepWorker(cc.workers[id])
 		}
-		cs.reportEnded()
-		for _, od := range cs.plan() {
-			cs.execute(od)
+		cc.reportEnded()
+		for _, od := range cc.plan() {
+			cc.execute(od)
 		}
 	}
 }
 
 // reportEnded reports which of the unresponsive workers have ended, as often as an owner may ask.
-func (cs *crashCell) reportEnded() {
-	missing, pressing := cs.core.Unresponsive(cs.now)
-	if len(missing) == 0 || cs.unreported || !pressing && !cs.noReset || cs.now.Sub(cs.reportedAt) < crashReportInterval {
+func (cc *crashCell) reportEnded() {
+	unresponsive, urgent := cc.core.Unresponsive(cc.now)
+	if len(unresponsive) == 0 || cc.unreported || !urgent && !cc.noReset || cc.now.Sub(cc.reportedAt) < crashReportInterval {
 		return
 	}
-	cs.reportedAt = cs.now
-	for _, id := range missing {
-		if cs.workers[id] == nil {
-			cs.core.WorkerEnded(cs.now, id)
+	cc.reportedAt = cc.now
+	for _, id := range unresponsive {
+		if cc.workers[id] == nil {
+			cc.core.WorkerEnded(cc.now, id)
 		}
 	}
 }
 
 // runTimers runs the actions that are due.
-func (cs *crashCell) runTimers() {
-	due := cs.timers
-	cs.timers = nil
+func (cc *crashCell) runTimers() {
+	due := cc.timers
+	cc.timers = nil
 	for _, tm := range due {
-		if tm.at.After(cs.now) {
-			cs.timers = append(cs.timers, tm)
+		if tm.at.After(cc.now) {
+			cc.timers = append(cc.timers, tm)
 			continue
 		}
 		tm.do()
@@ -140,62 +140,62 @@
 }
 
 // stepWorker ends the worker's tasks that are due, or crashes the worker, and answers its poll.
-func (cs *crashCell) stepWorker(fr *simulatedWorker) {
-	for _, tk := range slices.SortedFunc(maps.Keys(fr.runs), compareTasks) {
-		rn := fr.runs[tk]
-		if cs.now.Before(rn.ends) {
+func (cc *crashCell) stepWorker(sw *simulatedWorker) {
+	for _, tk := range slices.SortedFunc(maps.Keys(sw.runs), compareTasks) {
+		rn := sw.runs[tk]
+		if cc.now.Before(rn.ends) {
 			continue
 		}
 		if rn.crashes {
-			cs.crash(fr)
+			cc.crash(sw)
 			return
 		}
-		delete(fr.runs, tk)
-		fr.last++
-		fr.ends = append(fr.ends, End{Number: fr.last, Task: tk, Attempt: rn.start.Attempt, Reason: rn.how})
+		delete(sw.runs, tk)
+		sw.last++
+		sw.ends = append(sw.ends, End{Number: sw.last, Task: tk, Attempt: rn.start.Attempt, Reason: rn.how})
 	}
-	if fr.poll != nil && (len(fr.ends) > 0 || !cs.now.Before(fr.due)) {
-		lk := *fr.poll
-		fr.poll = nil
-		fr.ends = slices.DeleteFunc(fr.ends, func(en End) bool { return en.Number <= lk.AckedEnd })
-		running := fr.running(cs.now)
-		if cs.foreignRuns && len(running) > 0 {
+	if sw.poll != nil && (len(sw.ends) > 0 || !cc.now.Before(sw.due)) {
+		po := *sw.poll
+		sw.poll = nil
+		sw.ends = slices.DeleteFunc(sw.ends, func(en End) bool { return en.Number <= po.AckedEnd })
+		running := sw.running(cc.now)
+		if cc.foreignRuns && len(running) > 0 {
 			running = append(running, Running{Task: job.Task{Job: "stranger"}, Attempt: 1})
 		}
-		cs.answerPoll(lk, running, fr.ends)
+		cc.answerPoll(po, running, sw.ends)
 	}
 }
 
-func (fr *simulatedWorker) running(now time.Time) []Running {
+func (sw *simulatedWorker) running(now time.Time) []Running {
 	var list []Running
-	for _, rn := range fr.runs {
+	for _, rn := range sw.runs {
 		list = append(list, Running{Task: rn.start.Task, Attempt: rn.start.Attempt, Progress: int(100 * now.Sub(rn.since) / crashTaskTime)})
 	}
 	return list
 }
 
 // crash ends an incarnation of a worker.
-func (cs *crashCell) crash(fr *simulatedWorker) {
-	delete(cs.workers, fr.id)
-	fr.dead = true
-	cs.breakGangs(fr)
-	cs.lost++
-	if fr.poll != nil {
-		cs.unanswered(*fr.poll)
+func (cc *crashCell) crash(sw *simulatedWorker) {
+	delete(cc.workers, sw.id)
+	sw.dead = true
+	cc.breakGangs(sw)
+	cc.lost++
+	if sw.poll != nil {
+		cc.unanswered(*sw.poll)
 	}
-	cs.after(crashRestartTime, cs.addWorker)
+	cc.after(crashRestartTime, cc.addWorker)
 }
 
 // breakGangs ends the members on other workers of gangs that had a member on an ended worker.
-func (cs *crashCell) breakGangs(fr *simulatedWorker) {
-	for tk := range fr.runs {
-		if st := cs.core.findStep(tk); st == nil || !st.spec.Gang {
+func (cc *crashCell) breakGangs(sw *simulatedWorker) {
+	for tk := range sw.runs {
+		if st := cc.core.findStep(tk); st == nil || !st.spec.Gang {
 			continue
 		}
-		for _, other := range cs.workers {
+		for _, other := range cc.workers {
 			for member, rn := range other.runs {
 				if member.Job == tk.Job && member.Step == tk.Step {
-					rn.how, rn.crashes, rn.ends = EndGangBroken, false, cs.now
+					rn.how, rn.crashes, rn.ends = EndGangBroken, false, cc.now
 				}
 			}
 		}
@@ -203,85 +203,85 @@
 }
 
 // unanswered reports that a poll of an ended worker was not answered.
-func (cs *crashCell) unanswered(lk Poll) {
-	sent := cs.now
-	core := cs.core
-	if !cs.noReset {
-		core.HandlePoll(cs.now, PollResult{Poll: lk, Outcome: NoAnswer, Sent: sent, Received: sent})
+func (cc *crashCell) unanswered(po Poll) {
+	sent := cc.now
+	core := cc.core
+	if !cc.noReset {
+		core.HandlePoll(cc.now, PollResult{Poll: po, Outcome: NoAnswer, Sent: sent, Received: sent})
 		return
 	}
-	cs.after(lk.Wait+crashCallTimeout, func() {
-		core.HandlePoll(cs.now, PollResult{Poll: lk, Outcome: NoAnswer, Sent: sent, Received: cs.now})
+	cc.after(po.Wait+crashCallTimeout, func() {
+		core.HandlePoll(cc.now, PollResult{Poll: po, Outcome: NoAnswer, Sent: sent, Received: cc.now})
 	})
 }
 
 // execute carries out an order.
-func (cs *crashCell) execute(od Order) {
+func (cc *crashCell) execute(od Order) {
 	switch order := od.(type) {
 	case Save:
 		for _, row := range order.Rows {
-			cs.rows[row.ID] = copyProgress(cs.t, row.Progress)
+			cc.rows[row.ID] = copyProgress(cc.t, row.Progress)
 		}
 	case Poll:
-		fr := cs.workers[order.Worker]
-		if fr == nil {
-			cs.unanswered(order)
+		sw := cc.workers[order.Worker]
+		if sw == nil {
+			cc.unanswered(order)
 			return
 		}
-		fr.poll, fr.due = &order, cs.now.Add(max(crashTick, order.Wait))
+		sw.poll, sw.due = &order, cc.now.Add(max(crashTick, order.Wait))
 	case Start:
-		fr := cs.workers[order.Worker]
-		if fr == nil && cs.noReset {
-			core := cs.core
-			cs.after(crashCallTimeout, func() {
-				core.HandleOrder(cs.now, OrderResult{Order: order, Outcome: NoAnswer, Sent: cs.now, Received: cs.now})
+		sw := cc.workers[order.Worker]
+		if sw == nil && cc.noReset {
+			core := cc.core
+			cc.after(crashCallTimeout, func() {
+				core.HandleOrder(cc.now, OrderResult{Order: order, Outcome: NoAnswer, Sent: cc.now, Received: cc.now})
 			})
 			return
 		}
-		if fr == nil {
-			cs.answerOrder(order, NoAnswer)
+		if sw == nil {
+			cc.answerOrder(order, NoAnswer)
 			return
 		}
-		cs.started(fr, order)
-		cs.answerOrder(order, Done)
+		cc.started(sw, order)
+		cc.answerOrder(order, Done)
 	case Stop:
-		if st := cs.core.findStep(order.Task); st != nil && st.spec.LongRunning {
-			cs.stopped = append(cs.stopped, order.Task)
+		if st := cc.core.findStep(order.Task); st != nil && st.spec.LongRunning {
+			cc.stopped = append(cc.stopped, order.Task)
 		}
-		if fr := cs.workers[order.Worker]; fr != nil {
-			if rn := fr.runs[order.Task]; rn != nil {
-				rn.crashes, rn.how, rn.ends = false, EndStopped, cs.now.Add(crashStopTime)
+		if sw := cc.workers[order.Worker]; sw != nil {
+			if rn := sw.runs[order.Task]; rn != nil {
+				rn.crashes, rn.how, rn.ends = false, EndStopped, cc.now.Add(crashStopTime)
 			}
-			cs.answerOrder(order, Done)
+			cc.answerOrder(order, Done)
 		}
 	}
 }
 
-func (cs *crashCell) started(fr *simulatedWorker, order Start) {
-	cs.starts[order.Task]++
-	after, guilty := cs.crashAfter(order.Task)
-	if !guilty {
+func (cc *crashCell) started(sw *simulatedWorker, order Start) {
+	cc.starts[order.Task]++
+	after, crashes := cc.crashAfter(order.Task)
+	if !crashes {
 		after = crashTaskTime
-		if cs.starts[order.Task] > 1 {
-			cs.restarts++
+		if cc.starts[order.Task] > 1 {
+			cc.restarts++
 		}
 	}
-	if st := cs.core.findStep(order.Task); st != nil && st.spec.LongRunning && !guilty {
+	if st := cc.core.findStep(order.Task); st != nil && st.spec.LongRunning && !crashes {
 		after = time.Hour
 	}
-	fr.runs[order.Task] = &simulatedRun{start: order, since: cs.now, ends: cs.now.Add(after), how: EndDone, crashes: guilty}
+	sw.runs[order.Task] = &simulatedRun{start: order, since: cc.now, ends: cc.now.Add(after), how: EndDone, crashes: crashes}
 }
 
 // add submits a job.
-func (cs *crashCell) add(id job.ID, epoch job.Epoch, steps ...job.Step) {
-	cs.specs[id] = &job.Spec{ID: id, Queue: "q", Pool: testPool, Steps: steps, Epoch: epoch, AcceptedAt: cs.now}
-	cs.core.Add(cs.now, StoredJob{Spec: cs.specs[id]})
+func (cc *crashCell) add(id job.ID, epoch job.Epoch, steps ...job.Step) {
+	cc.specs[id] = &job.Spec{ID: id, Queue: "q", Pool: testPool, Steps: steps, Epoch: epoch, AcceptedAt: cc.now}
+	cc.core.Add(cc.now, StoredJob{Spec: cc.specs[id]})
 }
 
 // copyProgress returns progress as the next owner reads it from a progress row.
-func copyProgress(t *testing.T, pg *job.Progress) *job.Progress {
+func copyProgress(t *testing.T, cf *job.Progress) *job.Progress {
 	t.Helper()
-	raw, err := job.EncodeProgress(pg)
+	raw, err := job.EncodeProgress(cf)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -300,8 +300,8 @@
 }
 
 // state returns the state of a job as callers see it.
-func (cs *crashCell) state(id job.ID) job.State {
-	st, _ := cs.core.State(id)
+func (cc *crashCell) state(id job.ID) job.State {
+	st, _ := cc.core.State(id)
 	return st
 }
 
@@ -311,22 +311,22 @@
 func TestTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	for _, after := range []time.Duration{10 * time.Millisecond, 300 * time.Millisecond, 1500 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
-			cs := newCrashCell(t, 6, crashingJobs(after, "bad"))
+			cc := newCrashCell(t, 6, crashingJobs(after, "bad"))
 			for at := range 12 {
-				cs.add(job.ID(fmt.Sprintf("good%02d", at)), testEpoch, taskStep(6))
+				cc.add(job.ID(fmt.Sprintf("good%02d", at)), testEpoch, taskStep(6))
 			}
-			cs.add("bad", testEpoch, taskStep(6))
-			cs.run(20 * time.Second)
+			cc.add("bad", testEpoch, taskStep(6))
+			cc.run(20 * time.Second)
 			// Three losses may be needed for certainty. A start more than two after the third loss is one too many.
-			if most := 4; cs.lost > most {
-				t.Errorf("%d workers were lost under one task, want %d at most", cs.lost, most)
+			if most := 4; cc.lost > most {
+				t.Errorf("%d workers were lost under one task, want %d at most", cc.lost, most)
 			}
-			if got := cs.state("bad"); got != job.Failed {
+			if got := cc.state("bad"); got != job.Failed {
 				t.Errorf("the job that crashes workers is %s, want failed", got)
 			}
 			for at := range 12 {
-				if id := job.ID(fmt.Sprintf("good%02d", at)); cs.state(id) != job.Completed {
-					t.Errorf("%s is %s, want completed", id, cs.state(id))
+				if id := job.ID(fmt.Sprintf("good%02d", at)); cc.state(id) != job.Completed {
+					t.Errorf("%s is %s, want completed", id, cc.state(id))
 				}
 			}
 		})
@@ -347,78 +347,78 @@
 // newCrashLoopFleet submits jobs of six tasks each for a period. share percent of them crash their workers.
 func newCrashLoopFleet(t *testing.T, workers, perSecond, share int, after, span time.Duration) *crashLoopFleet {
 	t.Helper()
-	pg := &crashLoopFleet{added: map[job.ID]time.Time{}, seen: map[job.ID]bool{}}
-	pg.crashCell = newCrashCell(t, workers, func(tk job.Task) (time.Duration, bool) { return after, tk.Index == 0 && pg.isCrashing(tk.Job) })
+	cf := &crashLoopFleet{added: map[job.ID]time.Time{}, seen: map[job.ID]bool{}}
+	cf.crashCell = newCrashCell(t, workers, func(tk job.Task) (time.Duration, bool) { return after, tk.Index == 0 && cf.isCrashing(tk.Job) })
 	for range int(span / (100 * time.Millisecond)) {
 		for range perSecond / 10 {
-			id := job.ID(fmt.Sprintf("j%05d", pg.jobs))
+			id := job.ID(fmt.Sprintf("j%05d", cf.jobs))
 			// The crashing jobs are spread among the others.
-			if pg.jobs*37%100 < share {
-				id = job.ID(fmt.Sprintf("b%05d", pg.jobs))
-				pg.crashing++
+			if cf.jobs*37%100 < share {
+				id = job.ID(fmt.Sprintf("b%05d", cf.jobs))
+				cf.crashing++
 			}
-			pg.jobs++
-			pg.added[id] = pg.now
-			pg.add(id, testEpoch, taskStep(6))
-			pg.run(time.Second / time.Duration(perSecond))
+			cf.jobs++
+			cf.added[id] = cf.now
+			cf.add(id, testEpoch, taskStep(6))
+			cf.run(time.Second / time.Duration(perSecond))
 		}
-		pg.count()
+		cf.count()
 	}
 	for range 300 {
-		if len(pg.seen) == pg.jobs {
+		if len(cf.seen) == cf.jobs {
 			break
 		}
-		pg.run(100 * time.Millisecond)
-		pg.count()
+		cf.run(100 * time.Millisecond)
+		cf.count()
 	}
-	return pg
+	return cf
 }
 
-func (pg *crashLoopFleet) isCrashing(id job.ID) bool { return id[0] == 'b' }
+func (cf *crashLoopFleet) isCrashing(id job.ID) bool { return id[0] == 'b' }
 
 // count records which jobs have ended.
-func (pg *crashLoopFleet) count() {
-	for id, at := range pg.added {
-		state := pg.state(id)
-		if !state.Ended() || pg.seen[id] {
+func (cf *crashLoopFleet) count() {
+	for id, at := range cf.added {
+		state := cf.state(id)
+		if !state.Ended() || cf.seen[id] {
 			continue
 		}
-		pg.seen[id] = true
+		cf.seen[id] = true
 		switch {
-		case pg.isCrashing(id) && state == job.Failed:
-			pg.failedAfter = append(pg.failedAfter, pg.now.Sub(at))
-		case !pg.isCrashing(id) && state == job.Failed:
-			pg.wronglyFailed++
-		case !pg.isCrashing(id) && pg.now.Sub(at) < 2*time.Second:
-			pg.inTime++
+		case cf.isCrashing(id) && state == job.Failed:
+			cf.failedAfter = append(cf.failedAfter, cf.now.Sub(at))
+		case !cf.isCrashing(id) && state == job.Failed:
+			cf.wronglyFailed++
+		case !cf.isCrashing(id) && cf.now.Sub(at) < 2*time.Second:
+			cf.inTime++
 		}
 	}
-	slices.Sort(pg.failedAfter)
+	slices.Sort(cf.failedAfter)
 }
 
 // TestCrashingTasksAreContained: a fleet at half load with some crashing tasks loses little more than two workers for each crashing job, fails no
 // harmless job, and serves the others nearly as well as without crashing tasks.
 func TestCrashingTasksAreContained(t *testing.T) {
 	for _, share := range []int{0, 1, 5, 20} {
-		pg := newCrashLoopFleet(t, 50, 80, share, 10*time.Millisecond, 6*time.Second)
+		cf := newCrashLoopFleet(t, 50, 80, share, 10*time.Millisecond, 6*time.Second)
 		median := time.Duration(0)
-		if len(pg.failedAfter) > 0 {
-			median = pg.failedAfter[len(pg.failedAfter)/2]
+		if len(cf.failedAfter) > 0 {
+			median = cf.failedAfter[len(cf.failedAfter)/2]
 		}
-		good := pg.jobs - pg.crashing
-		t.Logf("%d%% guilty: %d workers lost for %d guilty jobs, %d innocent starts again, %d innocent jobs given up, %d guilty given up, median after %v; %d of %d innocent within 2 s", share, pg.lost, pg.crashing, pg.restarts, pg.wronglyFailed, len(pg.failedAfter), median, pg.inTime, good)
-		if pg.wronglyFailed > 0 {
-			t.Errorf("%d innocent jobs were given up", pg.wronglyFailed)
+		good := cf.jobs - cf.crashing
+		t.Logf("%d%% crashing: %d workers lost for %d crashing jobs, %d restarts of harmless tasks, %d harmless jobs failed, %d crashing jobs failed, median after %v; %d of %d harmless jobs within 2 s", share, cf.lost, cf.crashing, cf.restarts, cf.wronglyFailed, len(cf.failedAfter), median, cf.inTime, good)
+		if cf.wronglyFailed > 0 {
+			t.Errorf("%d harmless jobs failed", cf.wronglyFailed)
 		}
-		if len(pg.failedAfter) < pg.crashing {
-			t.Errorf("%d of %d guilty jobs were given up", len(pg.failedAfter), pg.crashing)
+		if len(cf.failedAfter) < cf.crashing {
+			t.Errorf("%d of %d crashing jobs failed", len(cf.failedAfter), cf.crashing)
 		}
 		// At 20% the crashing tasks alone would keep 32 of the 50 workers down at any time, so many tasks become suspects.
-		if share <= 5 && 2*pg.lost > 5*pg.crashing || pg.lost > 4*pg.crashing {
-			t.Errorf("%d workers were lost for %d guilty jobs", pg.lost, pg.crashing)
+		if share <= 5 && 2*cf.lost > 5*cf.crashing || cf.lost > 4*cf.crashing {
+			t.Errorf("%d workers were lost for %d crashing jobs", cf.lost, cf.crashing)
 		}
-		if share <= 5 && 20*pg.inTime < 19*good {
-			t.Errorf("%d of %d innocent jobs were done within 2 s", pg.inTime, good)
+		if share <= 5 && 20*cf.inTime < 19*good {
+			t.Errorf("%d of %d harmless jobs completed within 2 s", cf.inTime, good)
 		}
 	}
 }
@@ -426,10 +426,10 @@
 // Guards against failing jobs when a third of the workers ends at the same time, three times, for a reason unrelated to any task. All jobs
 // complete soon afterwards.
 func TestTasksOfWorkersThatEndTogetherGoOn(t *testing.T) {
-	for _, dark := range []bool{false, true} {
-		t.Run(fmt.Sprintf("dark %t", dark), func(t *testing.T) {
-			cs := newCrashCell(t, 12, func(job.Task) (time.Duration, bool) { return 0, false })
-			cs.noReset = dark
+	for _, noReset := range []bool{false, true} {
+		t.Run(fmt.Sprintf("no reset %t", noReset), func(t *testing.T) {
+			cc := newCrashCell(t, 12, func(job.Task) (time.Duration, bool) { return 0, false })
+			cc.noReset = noReset
 			var ids []job.ID
 			for wave := range 3 {
 				for at := range 20 {
@@ -439,34 +439,34 @@
 					if at == 0 {
 						step = job.Step{Count: 4, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true}
 					}
-					cs.add(id, testEpoch, step)
+					cc.add(id, testEpoch, step)
 				}
-				cs.run(400 * time.Millisecond)
+				cc.run(400 * time.Millisecond)
 				lost := 0
-				for _, id := range slices.Sorted(maps.Keys(cs.workers)) {
-					if fr := cs.workers[id]; len(fr.runs) > 0 && lost < 4 {
-						cs.crash(fr)
+				for _, id := range slices.Sorted(maps.Keys(cc.workers)) {
+					if sw := cc.workers[id]; len(sw.runs) > 0 && lost < 4 {
+						cc.crash(sw)
 						lost++
 					}
 				}
-				cs.run(3 * time.Second)
+				cc.run(3 * time.Second)
 			}
-			cs.run(10 * time.Second)
+			cc.run(10 * time.Second)
 			for _, id := range ids {
 				want := job.Completed
 				if id[2:] == "00" {
 					want = job.Running
 				}
-				if got := cs.state(id); got != want {
+				if got := cc.state(id); got != want {
 					t.Errorf("%s is %s, want %s", id, got, want)
 				}
 			}
 			running := 0
-			for _, fr := range cs.workers {
-				running += len(fr.runs)
+			for _, sw := range cc.workers {
+				running += len(sw.runs)
 			}
 			if running != 12 {
-				t.Errorf("%d tasks that last run, want 12", running)
+				t.Errorf("%d long-running tasks run, want 12", running)
 			}
 		})
 	}
@@ -476,32 +476,32 @@
 // worker that ends at the same time as two more. The job only fails if its worker ends alone.
 func TestWorkersThatEndInOneInstantProveNothing(t *testing.T) {
 	for others, want := range map[int]job.State{0: job.Failed, 2: job.Completed} {
-		cs := newCrashCell(t, 8, func(job.Task) (time.Duration, bool) { return 0, false })
+		cc := newCrashCell(t, 8, func(job.Task) (time.Duration, bool) { return 0, false })
 		// Every worker has an attempt to be polled for.
-		cs.add("lasting", testEpoch, job.Step{Count: 8, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true, SpreadLimit: 1})
-		cs.run(6 * time.Second)
-		cs.add("a", testEpoch, taskStep(1))
+		cc.add("lasting", testEpoch, job.Step{Count: 8, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true, SpreadLimit: 1})
+		cc.run(6 * time.Second)
+		cc.add("a", testEpoch, taskStep(1))
 		task := job.Task{Job: "a"}
 		for start := 1; start <= 2; start++ {
 			for range 300 {
-				if cs.starts[task] == start {
+				if cc.starts[task] == start {
 					break
 				}
-				cs.run(crashTick)
+				cc.run(crashTick)
 			}
 			ended := 0
-			for _, id := range slices.Sorted(maps.Keys(cs.workers)) {
-				fr := cs.workers[id]
-				if fr.runs[task] != nil {
-					cs.crash(fr)
+			for _, id := range slices.Sorted(maps.Keys(cc.workers)) {
+				sw := cc.workers[id]
+				if sw.runs[task] != nil {
+					cc.crash(sw)
 				} else if start == 2 && ended < others {
-					cs.crash(fr)
+					cc.crash(sw)
 					ended++
 				}
 			}
 		}
-		cs.run(5 * time.Second)
-		if got := cs.state("a"); got != want {
+		cc.run(5 * time.Second)
+		if got := cc.state("a"); got != want {
 			t.Errorf("beside %d others the job is %s, want %s", others, got, want)
 		}
 	}
@@ -510,19 +510,19 @@
 // A gang with a member that crashes its worker fails as soon as a single task does. A gang that lost a worker together with other jobs continues.
 func TestGangThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	for _, after := range []time.Duration{10 * time.Millisecond, 300 * time.Millisecond} {
-		cs := newCrashCell(t, 8, crashingJobs(after, "bad"))
+		cc := newCrashCell(t, 8, crashingJobs(after, "bad"))
 		gang := taskStep(4)
 		gang.Gang = true
-		cs.add("good", testEpoch, gang)
-		cs.add("bad", testEpoch, gang)
+		cc.add("good", testEpoch, gang)
+		cc.add("bad", testEpoch, gang)
 		for at := range 6 {
-			cs.add(job.ID(fmt.Sprintf("other%d", at)), testEpoch, taskStep(6))
+			cc.add(job.ID(fmt.Sprintf("other%d", at)), testEpoch, taskStep(6))
 		}
-		cs.run(20 * time.Second)
-		if got := cs.state("bad"); got != job.Failed || cs.lost > 4 {
-			t.Errorf("crash after %v: the gang is %s after %d losses", after, got, cs.lost)
+		cc.run(20 * time.Second)
+		if got := cc.state("bad"); got != job.Failed || cc.lost > 4 {
+			t.Errorf("crash after %v: the gang is %s after %d losses", after, got, cc.lost)
 		}
-		if got := cs.state("good"); got != job.Completed {
+		if got := cc.state("good"); got != job.Completed {
 			t.Errorf("crash after %v: the gang beside it is %s", after, got)
 		}
 	}
--- a/cell/crashloop_test.go
+++ b/cell/crashloop_test.go
@@ -10,12 +10,12 @@
 )
 
 // addLongRunning submits jobs with long-running tasks, of which one may be disrupted at a time.
-func (cs *crashCell) addLongRunning(count int) []job.ID {
+func (cc *crashCell) addLongRunning(count int) []job.ID {
 	var ids []job.ID
 	for at := range count {
 		id := job.ID(fmt.Sprintf("lasting%d", at))
 		ids = append(ids, id)
-		cs.add(id, testEpoch, job.Step{Count: 5, Size: job.Size{CPUMillis: 500, MemoryMB: 200}, LongRunning: true, HasDisruptionBudget: true, DisruptionBudget: 1})
+		cc.add(id, testEpoch, job.Step{Count: 5, Size: job.Size{CPUMillis: 500, MemoryMB: 200}, LongRunning: true, HasDisruptionBudget: true, DisruptionBudget: 1})
 	}
 	return ids
 }
@@ -26,29 +26,29 @@
 // ("job given up: workers end under its task") and the rest of their tasks was stopped.
 func TestEachJobBesideManyThatCrashTheirWorkersEnds(t *testing.T) {
 	for _, share := range []int{5, 25, 30, 40} {
-		pg := newSmallCrashLoop(t, share)
+		cf := newSmallCrashLoop(t, share)
 		for range 400 {
-			pg.run(100 * time.Millisecond)
-			pg.count()
-			if len(pg.seen) == pg.jobs {
+			cf.run(100 * time.Millisecond)
+			cf.count()
+			if len(cf.seen) == cf.jobs {
 				break
 			}
 		}
-		good := pg.jobs - pg.crashing
-		t.Logf("%d%%: %d jobs, %d guilty, %d workers lost, %d innocent starts again, %d innocent jobs given up, %d of %d innocent jobs within 2 s, open %d after %v", share, pg.jobs, pg.crashing, pg.lost, pg.restarts, pg.wronglyFailed, pg.inTime, good, pg.jobs-len(pg.seen), pg.now.Sub(pg.began))
-		if open := pg.jobs - len(pg.seen); open > 0 {
-			t.Errorf("%d%%: %d of %d jobs have not ended", share, open, pg.jobs)
+		good := cf.jobs - cf.crashing
+		t.Logf("%d%%: %d jobs, %d crashing, %d workers lost, %d restarts of harmless tasks, %d harmless jobs failed, %d of %d harmless jobs within 2 s, %d open after %v", share, cf.jobs, cf.crashing, cf.lost, cf.restarts, cf.wronglyFailed, cf.inTime, good, cf.jobs-len(cf.seen), cf.now.Sub(cf.began))
+		if open := cf.jobs - len(cf.seen); open > 0 {
+			t.Errorf("%d%%: %d of %d jobs have not ended", share, open, cf.jobs)
 		}
-		if pg.wronglyFailed > 0 {
-			t.Errorf("%d%%: %d innocent jobs were given up", share, pg.wronglyFailed)
+		if cf.wronglyFailed > 0 {
+			t.Errorf("%d%%: %d harmless jobs failed", share, cf.wronglyFailed)
 		}
-		for _, id := range pg.longRunning {
-			if got := pg.state(id); got != job.Running {
+		for _, id := range cf.longRunning {
+			if got := cf.state(id); got != job.Running {
 				t.Errorf("%d%%: %s is %s", share, id, got)
 			}
 		}
-		if len(pg.stopped) > 0 {
-			t.Errorf("%d%%: tasks that last were stopped: %v", share, pg.stopped)
+		if len(cf.stopped) > 0 {
+			t.Errorf("%d%%: long-running tasks were stopped: %v", share, cf.stopped)
 		}
 	}
 }
@@ -62,29 +62,29 @@
 
 func newSmallCrashLoop(t *testing.T, share int) *smallCrashLoop {
 	t.Helper()
-	pg := &crashLoopFleet{added: map[job.ID]time.Time{}, seen: map[job.ID]bool{}}
-	pg.crashCell = newCrashCell(t, 10, func(tk job.Task) (time.Duration, bool) {
-		return 40 * time.Millisecond, tk.Index == 0 && pg.isCrashing(tk.Job)
+	cf := &crashLoopFleet{added: map[job.ID]time.Time{}, seen: map[job.ID]bool{}}
+	cf.crashCell = newCrashCell(t, 10, func(tk job.Task) (time.Duration, bool) {
+		return 40 * time.Millisecond, tk.Index == 0 && cf.isCrashing(tk.Job)
 	})
-	pb := &smallCrashLoop{crashLoopFleet: pg, longRunning: pg.addLongRunning(3), began: pg.now}
-	pg.run(6 * time.Second)
+	sc := &smallCrashLoop{crashLoopFleet: cf, longRunning: cf.addLongRunning(3), began: cf.now}
+	cf.run(6 * time.Second)
 	// As in the users' queues, the rate alternates: three times as many jobs arrive in every other second.
 	for second := range 8 {
 		perSecond := 10 + 20*(second%2)
 		for range perSecond {
-			id := job.ID(fmt.Sprintf("j%05d", pg.jobs))
-			if pg.jobs*37%100 < share {
-				id = job.ID(fmt.Sprintf("b%05d", pg.jobs))
-				pg.crashing++
+			id := job.ID(fmt.Sprintf("j%05d", cf.jobs))
+			if cf.jobs*37%100 < share {
+				id = job.ID(fmt.Sprintf("b%05d", cf.jobs))
+				cf.crashing++
 			}
-			pg.jobs++
-			pg.added[id] = pg.now
-			pg.add(id, testEpoch, taskStep(10))
-			pg.run(time.Second / time.Duration(perSecond))
-			pg.count()
+			cf.jobs++
+			cf.added[id] = cf.now
+			cf.add(id, testEpoch, taskStep(10))
+			cf.run(time.Second / time.Duration(perSecond))
+			cf.count()
 		}
 	}
-	return pb
+	return sc
 }
 
 // Guards against stopping the healthy tasks of a failed job before its callers can see that it has failed.
@@ -102,18 +102,18 @@
 	for _, od := range bd.plan() {
 		switch order := od.(type) {
 		case Stop:
-			t.Errorf("%v is stopped before the end of its job is kept", order.Task)
+			t.Errorf("%v is stopped before the end of its job is saved", order.Task)
 		case Save:
 			save = &order
 		}
 	}
 	if save == nil {
-		t.Fatal("the end of the job is not kept")
+		t.Fatal("the end of the job is not saved")
 	}
 	bd.core.Saved(bd.now, 7)
 	stops := slices.DeleteFunc(bd.plan(), func(od Order) bool { _, ok := od.(Stop); return !ok })
 	if len(stops) != 2 {
-		t.Errorf("%d tasks are stopped once it is kept, want 2", len(stops))
+		t.Errorf("%d tasks are stopped once it is saved, want 2", len(stops))
 	}
 }
 
@@ -121,33 +121,33 @@
 // while another pool had six for 190 open jobs. Once the pool had few workers, it only asked for the room of its tasks, although each job needs a
 // turn on a worker.
 func TestQueueThatCrashesWorkersLeavesMachinesToOthers(t *testing.T) {
-	cs := newCrashCell(t, 20, func(job.Task) (time.Duration, bool) { return 0, false })
-	cs.core.markCrashLoop(cs.now, "q")
+	cc := newCrashCell(t, 20, func(job.Task) (time.Duration, bool) { return 0, false })
+	cc.core.markCrashLoop(cc.now, "q")
 	for at := range 40 {
-		cs.add(job.ID(fmt.Sprintf("j%02d", at)), testEpoch, taskStep(4))
+		cc.add(job.ID(fmt.Sprintf("j%02d", at)), testEpoch, taskStep(4))
 	}
 	used := func() int {
 		count := 0
-		for _, fr := range cs.workers {
-			if len(fr.runs) > 0 {
+		for _, sw := range cc.workers {
+			if len(sw.runs) > 0 {
 				count++
 			}
 		}
 		return count
 	}
-	cs.core.LimitMachines(cs.now, 3, false)
-	cs.run(crashTick)
+	cc.core.LimitMachines(cc.now, 3, false)
+	cc.run(crashTick)
 	if got := used(); got == 0 || got > crashLoopMinWorkers {
 		t.Errorf("%d workers have tasks while other pools lack machines, want %d at most", got, crashLoopMinWorkers)
 	}
-	if got, least := cs.core.Load(cs.now).Demand, 40*crashLoopTurn.Seconds()/crashLoopTurnPeriod.Seconds(); got < least {
-		t.Errorf("the pool wants %.1f machines for 40 jobs, want %.1f at least", got, least)
+	if got, least := cc.core.Load(cc.now).Demand, 40*crashLoopTurn.Seconds()/crashLoopTurnPeriod.Seconds(); got < least {
+		t.Errorf("the pool needs %.1f machines for 40 jobs, want %.1f at least", got, least)
 	}
-	cs.run(machineLimitTTL)
+	cc.run(machineLimitTTL)
 	for at := range 40 {
-		cs.add(job.ID(fmt.Sprintf("k%02d", at)), testEpoch, taskStep(4))
+		cc.add(job.ID(fmt.Sprintf("k%02d", at)), testEpoch, taskStep(4))
 	}
-	cs.run(2 * crashTick)
+	cc.run(2 * crashTick)
 	if got := used(); got <= crashLoopMinWorkers {
 		t.Errorf("%d workers have tasks once no pool lacks machines", got)
 	}
--- a/cell/incarnation_test.go
+++ b/cell/incarnation_test.go
@@ -45,12 +45,12 @@
 		t.Fatalf("started on %s", st.Worker)
 	}
 	if bd.core.Drained("w0") || len(bd.core.ReserveForMove(bd.now, []WorkerName{"w0"})) > 0 {
-		t.Error("a worker with a task counts as clear")
+		t.Error("a worker with a task counts as drained")
 	}
 	bd.core.Cordon(map[WorkerName]bool{"w0": true})
 	bd.addJob("k", testEpoch, taskStep(1))
 	if more := startsIn(bd.plan()); len(more) > 0 {
-		t.Errorf("a worker whose machine is wanted gets %v", more)
+		t.Errorf("a cordoned worker gets %v", more)
 	}
 }
 
@@ -70,14 +70,14 @@
 	bd.advance(time.Second)
 	lks := pollsByWorker(bd.plan())
 	if len(lks) != 1 || lks[third.ID].Token <= max(tokens[first.ID], tokens[second.ID]) {
-		t.Errorf("looks %+v after tokens %v", lks, tokens)
+		t.Errorf("polls %+v after tokens %v", lks, tokens)
 	}
 }
 
 // Guards against starting a task twice. A worker ended while a start was in flight, and its next incarnation carried out the start before another
 // owner took over that could not reach it. That owner took the end of the former incarnation for the end of everything ordered from it.
 func TestNextIncarnationIsPolledBeforeANewOwnerRestartsTasks(t *testing.T) {
-	for _, looked := range []bool{true, false} {
+	for _, polled := range []bool{true, false} {
 		bd := newTestBed(t, 2)
 		bd.autoSave = true
 		first, second := bd.core.sortedWorkers[0].info, bd.core.sortedWorkers[0].info
@@ -93,14 +93,14 @@
 		bd.advance(10 * time.Millisecond)
 		// Intents for unseen losses are saved in the first round and would start in the second.
 		if got := len(startsIn(append(bd.plan(), bd.plan()...))); got != 0 {
-			t.Fatalf("%d tasks start while the next life may be at them", got)
+			t.Fatalf("%d tasks start while the next incarnation may run them", got)
 		}
-		if !looked {
+		if !polled {
 			if got := bd.runUnresponsive(second.ID, lateStartWindow+maxLateRun-2*time.Second); got != 0 {
-				t.Errorf("%d tasks start before what the next life may be at is over", got)
+				t.Errorf("%d tasks start before the late starts of the next incarnation are over", got)
 			}
 			if got := bd.runUnresponsive(second.ID, 3*time.Second); got == 0 {
-				t.Error("no task starts once it is over")
+				t.Error("no task starts once they are over")
 			}
 			continue
 		}
@@ -136,7 +136,7 @@
 	next := New(testPool, testEpoch+1, Options{})
 	next.TakeOver(bd.now, bd.now, refs, true)
 	if got := next.Release(bd.now); len(got) != 1 || got[0].Remaining != lateStartWindow-time.Second {
-		t.Errorf("the next one passes on %+v", got)
+		t.Errorf("the next owner passes on %+v", got)
 	}
 	bd.advance(lateStartWindow)
 	bd.plan()
@@ -149,7 +149,7 @@
 // lease time on its own clock: its leases ran for ten seconds. The owner had granted five, got no more answers, and started the tasks elsewhere
 // while they still ran.
 func TestLeaseOfARecentIncarnationMayBeLonger(t *testing.T) {
-	for age, lapses := range map[time.Duration]bool{time.Second: false, time.Minute: true} {
+	for age, expires := range map[time.Duration]bool{time.Second: false, time.Minute: true} {
 		bd := newTestBed(t, 2)
 		in := bd.core.sortedWorkers[0].info
 		bd.core.remove(bd.core.sortedWorkers[0])
@@ -163,12 +163,12 @@
 		}
 		wk := bd.core.workers[in.ID]
 		bd.runUnresponsive(in.ID, 8*time.Second)
-		if got := len(wk.placements) == 0; got != lapses {
-			t.Errorf("began %v ago: lapsed after 8 s %t, want %t", age, got, lapses)
+		if got := len(wk.placements) == 0; got != expires {
+			t.Errorf("started %v ago: leases expired after 8 s %t, want %t", age, got, expires)
 		}
 		bd.runUnresponsive(in.ID, 4*time.Second)
 		if len(wk.placements) > 0 {
-			t.Errorf("began %v ago: not lapsed after 12 s", age)
+			t.Errorf("started %v ago: leases not expired after 12 s", age)
 		}
 	}
 }
--- a/cell/intent.go
+++ b/cell/intent.go
@@ -41,7 +41,7 @@
 }
 
 // ensureIntent reports whether a task may be started on a worker now. If that needs an intent, ensureIntent creates it and returns false until
-// the intent is saved.
+// the intent is saved and, for a suspect that needs a worker of its own, the worker has answered since.
 func (cr *Core) ensureIntent(rd *round, st *step, at int, cd *candidate) bool {
 	ts := &st.tasks[at]
 	if !cr.needsIntent(st.job, ts) {
@@ -218,23 +218,23 @@
 // ensureGangIntents reports whether all members of a gang may be started on the chosen workers. If that needs intents, ensureGangIntents creates
 // them and returns false until they are saved.
 func (cr *Core) ensureGangIntents(rd *round, st *step, members []int, chosen []*candidate) bool {
-	cautious := false
+	needed := false
 	for _, at := range members {
-		cautious = cautious || cr.needsIntent(st.job, &st.tasks[at])
+		needed = needed || cr.needsIntent(st.job, &st.tasks[at])
 	}
-	if !cautious {
+	if !needed {
 		return true
 	}
-	all := true
+	ready := true
 	for order, at := range members {
 		in := st.tasks[at].intent
 		if in == nil || in.worker != chosen[order].info.ID {
 			cr.addIntent(rd.now, st, at, chosen[order])
 		}
-		all = all && st.job.savedGen >= st.tasks[at].intent.jobGen && cr.answeredSinceIntent(rd.now, &st.tasks[at], chosen[order])
+		ready = ready && st.job.savedGen >= st.tasks[at].intent.jobGen && cr.answeredSinceIntent(rd.now, &st.tasks[at], chosen[order])
 		rd.reserveIntent(st.tasks[at].intent)
 	}
-	return all
+	return ready
 }
 
 // NoteUnseenLosses records that jobs accepted before an epoch may have lost tasks with workers that no owner saw again.
--- a/cell/outage_test.go
+++ b/cell/outage_test.go
@@ -62,7 +62,7 @@
 	bd.addJob("k", testEpoch, taskStep(1))
 	orders := bd.plan()
 	if got := len(startsIn(orders)); got != 0 {
-		t.Errorf("%d tasks start beside one on a worker with room for four that was last told %v ago", got, DefaultRegistrationMaxAge)
+		t.Errorf("%d tasks start beside one on a worker with room for four whose registration was written %v ago", got, DefaultRegistrationMaxAge)
 	}
 	bd.answerPoll(bd.waitForPoll("w0"), nil, []End{bd.newEnd(first[1], EndDone)})
 	bd.wantStarts(bd.plan(), 1)
--- a/cell/pollresult.go
+++ b/cell/pollresult.go
@@ -91,7 +91,7 @@
 		cr.clearUnresolved(wk.info.ID)
 	}
 	if first || !wk.recorded {
-		cr.resolve(now, wk.info.ID, "polled")
+		cr.resolve(now, wk.info.ID, "worker was polled")
 	}
 }
 
--- a/cell/stall_test.go
+++ b/cell/stall_test.go
@@ -39,7 +39,7 @@
 		bd.answerPoll(bd.waitForPoll(st.Worker), nil, []End{bd.newEnd(st, EndDone)})
 		for _, again := range startsIn(bd.plan()) {
 			if again.Worker == "w0" && bd.core.workers["w0"].used.CPUMillis > 1000 {
-				t.Fatalf("%s is over its room after %d ends", again.Worker, at+1)
+				t.Fatalf("%s exceeds its room after %d ended attempts", again.Worker, at+1)
 			}
 			return
 		}
@@ -65,7 +65,7 @@
 		for _, od := range bd.plan() {
 			switch od.(type) {
 			case Start, Stop:
-				t.Fatalf("%+v for a worker that is withheld", od)
+				t.Fatalf("%+v for an unschedulable worker", od)
 			}
 		}
 		for id, lk := range bd.pendingPolls {
--- a/cell/startwindow_test.go
+++ b/cell/startwindow_test.go
@@ -11,9 +11,9 @@
 
 // narrowLink answers starts one after the other, at a fixed interval.
 type narrowLink struct {
-	wi   *startWindow
-	now  time.Time
-	each time.Duration
+	window *startWindow
+	now    time.Time
+	each   time.Duration
 	// sent holds the times at which the unanswered starts were decided.
 	sent []time.Time
 	// answered is the number of answers, longest the longest time of an answer.
@@ -25,7 +25,7 @@
 func (nl *narrowLink) run(span time.Duration) {
 	nl.answered, nl.longest = 0, 0
 	for until := nl.now.Add(span); nl.now.Before(until); {
-		for nl.wi.inFlight = len(nl.sent); nl.wi.canStart(); nl.wi.inFlight++ {
+		for nl.window.inFlight = len(nl.sent); nl.window.canStart(); nl.window.inFlight++ {
 			nl.sent = append(nl.sent, nl.now)
 		}
 		nl.now = nl.now.Add(nl.each)
@@ -33,7 +33,7 @@
 		nl.sent = nl.sent[1:]
 		nl.longest = max(nl.longest, took)
 		nl.answered++
-		nl.wi.observe(nl.now, took)
+		nl.window.observe(nl.now, took)
 	}
 }
 
@@ -41,7 +41,7 @@
 // used as soon as it is available.
 func TestStartsDoNotQueueOnANarrowLink(t *testing.T) {
 	const looksWait = 400 * time.Millisecond
-	nl := &narrowLink{wi: &startWindow{}, now: time.Unix(1_700_000_000, 0), each: 11 * time.Millisecond}
+	nl := &narrowLink{window: &startWindow{}, now: time.Unix(1_700_000_000, 0), each: 11 * time.Millisecond}
 	nl.run(3 * time.Second)
 	nl.run(10 * time.Second)
 	if nl.longest > looksWait {
@@ -57,7 +57,7 @@
 	nl.run(20 * time.Second)
 	nl.run(5 * time.Second)
 	if nl.longest > 2*looksWait {
-		t.Errorf("a start took %v once the link had become narrow", nl.longest)
+		t.Errorf("a start took %v after the link became narrow", nl.longest)
 	}
 }
 
@@ -96,13 +96,13 @@
 // workers.
 func TestLargeCellsKeepManyStartsUnderWay(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	wi := &startWindow{workers: 400}
+	sw := &startWindow{workers: 400}
 	for at := range 1000 {
-		wi.observe(now.Add(time.Duration(at)*startWindowShrinkPause), 5*startQueueTime+time.Duration(at%7)*startQueueTime)
-		wi.observe(now.Add(time.Duration(at)*startWindowShrinkPause), time.Millisecond)
+		sw.observe(now.Add(time.Duration(at)*startWindowShrinkPause), 5*startQueueTime+time.Duration(at%7)*startQueueTime)
+		sw.observe(now.Add(time.Duration(at)*startWindowShrinkPause), time.Millisecond)
 	}
-	if got := int(wi.limit()); got < 200 {
-		t.Errorf("%d starts may be under way", got)
+	if got := int(sw.limit()); got < 200 {
+		t.Errorf("%d starts may be in flight", got)
 	}
 }
 
--- a/cell/unseenloss_test.go
+++ b/cell/unseenloss_test.go
@@ -13,25 +13,25 @@
 // older job then waited for a write before its start, and half of the workers' room was idle. Machines are only moved once nothing is left on
 // them, so such a worker causes no unseen loss, but one that ended in its place does.
 func TestMovedWorkersCauseNoUnseenLosses(t *testing.T) {
-	for _, vacated := range []bool{true, false} {
+	for _, moved := range []bool{true, false} {
 		bd := newTestBed(t, 1)
 		bd.core.TakeOver(bd.now, bd.now, []WorkerRef{{ID: "gone", Address: "gone", Machine: "m1"}}, true)
 		bd.addJob("old", 1, taskStep(1))
 		if got := bd.core.MachineOf("gone"); got != "m1" {
 			t.Fatalf("the machine is %q", got)
 		}
-		if vacated {
+		if moved {
 			bd.core.WorkerMoved(bd.now, "gone")
 		} else {
 			bd.core.WorkerEnded(bd.now, "gone")
 		}
 		bd.core.Plan(bd.now)
 		bd.advance(time.Millisecond)
-		if got := len(startsIn(bd.plan())); (got == 1) != vacated {
-			t.Errorf("vacated %t: %d starts before anything was kept", vacated, got)
+		if got := len(startsIn(bd.plan())); (got == 1) != moved {
+			t.Errorf("moved %t: %d starts before anything was saved", moved, got)
 		}
-		if got := bd.core.UnseenLossEpoch() != 0; got == vacated {
-			t.Errorf("vacated %t: exposed %t", vacated, got)
+		if got := bd.core.UnseenLossEpoch() != 0; got == moved {
+			t.Errorf("moved %t: unseen losses %t", moved, got)
 		}
 	}
 }
@@ -54,7 +54,7 @@
 		}
 	}
 	if len(named) != 1 || slices.ContainsFunc(named, func(rf WorkerRef) bool { return rf.ID == "w1" }) {
-		t.Errorf("along with the save the row names %v", named)
+		t.Errorf("the row written with the save names %v", named)
 	}
 }
 
@@ -77,15 +77,15 @@
 		bd.core.NoteUnseenLosses(testEpoch)
 		bd.addJob("old", 1, taskStep(4))
 		bd.wantStarts(bd.plan(), 0)
-		ahead := 0
+		planned := 0
 		for _, in := range bd.core.intents {
 			if in.planned {
-				ahead++
+				planned++
 			}
 		}
 		// Half of the worker's room, which fits four tasks.
-		if want := map[bool]int{false: 2, true: 0}[advised]; ahead != want {
-			t.Errorf("advised %t: %d starts are kept ahead, want %d", advised, ahead, want)
+		if want := map[bool]int{false: 2, true: 0}[advised]; planned != want {
+			t.Errorf("advised %t: %d planned intents, want %d", advised, planned, want)
 		}
 		bd.advance(time.Second)
 		var running []Running
@@ -121,7 +121,7 @@
 	next.OwnershipConfirmed(bd.now)
 	next.Plan(bd.now)
 	if next.UnseenLossEpoch() == 0 {
-		t.Error("the next owner knows of nothing that may have been lost there")
+		t.Error("the next owner does not know of possible unseen losses")
 	}
 }
 
