--- a/cell/crash_bound_test.go
+++ b/cell/crash_bound_test.go
@@ -152,5 +152,5 @@
 // Guards against endless restarts if workers end without a broken connection and nobody reports their end. Their tasks were restarted elsewhere
 // each time that the leases expired.
 func TestTaskOfWorkersThatStopAnsweringIsStartedAFewTimes(t *testing.T) {
-	boundCase{name: "unreported", noReset: true, unreported: true, after: quick, step: short, span: 5 * time.Minute}.play(t)
+	boundCase{name: "untold", noReset: true, unreported: true, after: quick, step: short, span: 5 * time.Minute}.play(t)
 }
