--- a/cell/crash.go
+++ b/cell/crash.go
@@ -273,20 +273,20 @@
 
 // stored returns the losses in the form in which they are saved for the next owner.
 func (lo losses) stored() job.Losses {
-	kept := job.Losses{WeakCount: lo.weak, Suspect: lo.suspect, Late: lo.late, LongestRun: lo.longestRun}
+	saved := job.Losses{WeakCount: lo.weak, Suspect: lo.suspect, Late: lo.late, LongestRun: lo.longestRun}
 	for _, id := range lo.workers {
-		kept.Workers = append(kept.Workers, string(id))
+		saved.Workers = append(saved.Workers, string(id))
 	}
-	return kept
+	return saved
 }
 
 // restoreLosses returns the losses that an earlier owner saved.
-func restoreLosses(kept job.Losses) losses {
-	lo := losses{weak: kept.WeakCount, suspect: kept.Suspect, late: kept.Late, longestRun: kept.LongestRun}
-	if kept.LegacyUnresolved != "" {
-		lo.markUnresolved(WorkerID(kept.LegacyUnresolved))
+func restoreLosses(saved job.Losses) losses {
+	lo := losses{weak: saved.WeakCount, suspect: saved.Suspect, late: saved.Late, longestRun: saved.LongestRun}
+	if saved.LegacyUnresolved != "" {
+		lo.markUnresolved(WorkerID(saved.LegacyUnresolved))
 	}
-	for _, id := range kept.Workers {
+	for _, id := range saved.Workers {
 		lo.workers = append(lo.workers, WorkerID(id))
 	}
 	return lo
--- a/cell/crash_bound_test.go
+++ b/cell/crash_bound_test.go
@@ -19,8 +19,8 @@
 	noReset bool
 	// unreported means that nobody reports which workers have ended.
 	unreported bool
-	// For the first lapse of each lapseOf the registrations are gone.
-	lapse, lapseOf time.Duration
+	// The registrations are gone for the first expiredFor of each expiryPeriod.
+	expiredFor, expiryPeriod time.Duration
 	// foreignRuns means that each worker has a run that the owner does not know.
 	foreignRuns bool
 	// after lists how long the crashing task runs before it crashes its worker.
@@ -68,8 +68,8 @@
 		if bc.every > 0 && passed > 0 && passed%bc.every == 0 {
 			cc.changeOwner()
 		}
-		if bc.lapseOf > 0 {
-			cc.setRegistered(passed%bc.lapseOf >= bc.lapse)
+		if bc.expiryPeriod > 0 {
+			cc.setRegistered(passed%bc.expiryPeriod >= bc.expiredFor)
 		}
 		cc.run(step)
 	}
@@ -77,10 +77,10 @@
 
 // changeOwner hands the cell over to another owner, which knows what was saved.
 func (cc *crashCell) changeOwner() {
-	refs, exposed, before := cc.core.Release(cc.now), cc.core.UnseenLossEpoch(), cc.core
+	refs, unseenLossEpoch, before := cc.core.Release(cc.now), cc.core.UnseenLossEpoch(), cc.core
 	cc.core = New(testPool, before.epoch+1, before.opts)
 	cc.core.TakeOver(cc.now, cc.now, refs, true)
-	cc.core.NoteUnseenLosses(exposed)
+	cc.core.NoteUnseenLosses(unseenLossEpoch)
 	cc.core.Configure([]job.Queue{{ID: "q", Pool: testPool, MaxAttempts: 2, Stretch: 1.5, Slack: time.Second}})
 	cc.pendingPolls = map[WorkerID]Poll{}
 	for _, sw := range cc.workers {
@@ -93,12 +93,12 @@
 }
 
 // setRegistered adds or removes the registrations of all live workers.
-func (cc *crashCell) setRegistered(listed bool) {
+func (cc *crashCell) setRegistered(registered bool) {
 	for id, sw := range cc.workers {
-		if wk := cc.core.workers[id]; wk != nil && wk.registered == listed {
+		if wk := cc.core.workers[id]; wk != nil && wk.registered == registered {
 			continue
 		}
-		if listed {
+		if registered {
 			cc.core.Register(cc.now, sw.info)
 			cc.core.WorkersRecorded([]WorkerRef{{ID: id, Address: string(id)}})
 		} else {
@@ -127,7 +127,7 @@
 func TestTaskThatCrashesItsWorkersIsGivenUpWhileRegistrationsExpire(t *testing.T) {
 	for _, every := range []time.Duration{500 * time.Millisecond, 4 * time.Second} {
 		for _, noReset := range []bool{true, false} {
-			boundCase{name: fmt.Sprintf("half of %v, no reset %t", every, noReset), lapse: every / 2, lapseOf: every, noReset: noReset, after: quick, step: short, span: 30 * time.Second}.play(t)
+			boundCase{name: fmt.Sprintf("half of %v, no reset %t", every, noReset), expiredFor: every / 2, expiryPeriod: every, noReset: noReset, after: quick, step: short, span: 30 * time.Second}.play(t)
 		}
 	}
 }
@@ -143,9 +143,9 @@
 // Guards against long-running tasks that crash each worker some seconds after their start. Losses of tasks that had run for so long were never
 // charged, and earlier charges were cleared.
 func TestLongRunningTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
-	lasting := job.Step{Count: 2, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true}
+	longRunning := job.Step{Count: 2, Size: job.Size{CPUMillis: 1000, MemoryMB: 100}, LongRunning: true}
 	for _, noReset := range []bool{true, false} {
-		boundCase{name: fmt.Sprintf("no reset %t", noReset), noReset: noReset, after: []time.Duration{4 * time.Second, 6 * time.Second, 20 * time.Second}, step: lasting, span: 5 * time.Minute}.play(t)
+		boundCase{name: fmt.Sprintf("no reset %t", noReset), noReset: noReset, after: []time.Duration{4 * time.Second, 6 * time.Second, 20 * time.Second}, step: longRunning, span: 5 * time.Minute}.play(t)
 	}
 }
 
--- a/cell/incarnation.go
+++ b/cell/incarnation.go
@@ -215,11 +215,11 @@
 
 // extendInheritedLease assumes that an order to the former incarnation has extended leases on a worker that started recently. The order may have
 // been carried out before the first poll. Its lease time is on the former incarnation's clock, so only the maximum lease bounds it.
-func (cr *Core) extendInheritedLease(wk *worker, looked time.Time) {
+func (cr *Core) extendInheritedLease(wk *worker, polledAt time.Time) {
 	if !wk.info.ID.reusesName() {
 		return
 	}
 	startedAt := time.UnixMilli(wk.info.ID.StartMillis()).Add(-cr.clockOffset)
-	last := earliest(startedAt.Add(lateStartWindow), looked)
+	last := earliest(startedAt.Add(lateStartWindow), polledAt)
 	wk.leaseEnd = latest(wk.leaseEnd, last.Add(cr.byWorkerClock(maxLateRun)+deliveryMargin))
 }
--- a/cell/startwindow.go
+++ b/cell/startwindow.go
@@ -72,7 +72,7 @@
 	sw.size = min(maxStartWindow, max(minStartWindow, float64(sw.workers/workersPerStart), limit))
 }
 
-// target returns the start time above which answers count as late.
+// target returns the start time that the window aims for. The window grows up to it and shrinks at half as much again.
 func (sw *startWindow) target() time.Duration {
 	least := sw.minTime
 	if sw.prevMinTime != 0 {
--- a/cell/startwindow_test.go
+++ b/cell/startwindow_test.go
@@ -40,23 +40,23 @@
 // TestStartsDoNotQueueOnANarrowLink: a link that carries 90 starts a second is kept busy, with a queue short enough for polls. A faster link is
 // used as soon as it is available.
 func TestStartsDoNotQueueOnANarrowLink(t *testing.T) {
-	const looksWait = 400 * time.Millisecond
+	const pollTimeout = 400 * time.Millisecond
 	nl := &narrowLink{window: &startWindow{}, now: time.Unix(1_700_000_000, 0), each: 11 * time.Millisecond}
 	nl.run(3 * time.Second)
 	nl.run(10 * time.Second)
-	if nl.longest > looksWait {
+	if nl.longest > pollTimeout {
 		t.Errorf("a start took %v", nl.longest)
 	}
 	nl.each = time.Millisecond
 	nl.run(2 * time.Second)
 	nl.run(time.Second)
-	if full := int(time.Second / nl.each); nl.answered < full*9/10 || nl.longest > looksWait {
+	if full := int(time.Second / nl.each); nl.answered < full*9/10 || nl.longest > pollTimeout {
 		t.Errorf("%d of %d starts a second, the slowest after %v", nl.answered, full, nl.longest)
 	}
 	nl.each = 50 * time.Millisecond
 	nl.run(20 * time.Second)
 	nl.run(5 * time.Second)
-	if nl.longest > 2*looksWait {
+	if nl.longest > 2*pollTimeout {
 		t.Errorf("a start took %v after the link became narrow", nl.longest)
 	}
 }
@@ -65,13 +65,13 @@
 func TestStartsWithoutAnswersAreBounded(t *testing.T) {
 	bd := newTestBed(t, 4)
 	bd.addJob("a", testEpoch, job.Step{Count: 500, Size: job.Size{CPUMillis: 10, MemoryMB: 1}})
-	given := startsIn(bd.plan())
-	if len(given) != initialStartWindow {
-		t.Fatalf("%d starts, want %d", len(given), initialStartWindow)
+	sent := startsIn(bd.plan())
+	if len(sent) != initialStartWindow {
+		t.Fatalf("%d starts, want %d", len(sent), initialStartWindow)
 	}
 	bd.advance(time.Second)
 	bd.wantStarts(bd.plan(), 0)
-	for _, st := range given {
+	for _, st := range sent {
 		bd.answerOrder(st, Done)
 	}
 	if more := startsIn(bd.plan()); len(more) < minStartWindow {
--- a/cell/worker.go
+++ b/cell/worker.go
@@ -93,7 +93,8 @@
 	recording          bool
 	// tokenCounter is shared by all incarnations of the worker.
 	tokenCounter *Token
-	fenced       bool
+	// fenced means that the worker has answered a poll of this owner since it was added or its leases expired. Orders of earlier owners are void then.
+	fenced bool
 	// fencedAt is when the worker first answered a poll with a token of this owner.
 	fencedAt  time.Time
 	polling   bool
