--- a/cell/burst_test.go
+++ b/cell/burst_test.go
@@ -15,15 +15,15 @@
 type burst struct {
 	core   *Core
 	now    time.Time
-	agenda eventQueue
+	events eventQueue
 	order  int
 	rnd    *rand.Rand
 	// runs and ends are the state of the simulated workers.
-	runs  map[WorkerID]map[job.Task]burstRun
-	ends  map[WorkerID][]End
-	last  map[WorkerID]int64
-	holds map[WorkerID]*Poll
-	plans int
+	runs      map[WorkerID]map[job.Task]burstRun
+	ends      map[WorkerID][]End
+	lastEnd   map[WorkerID]int64
+	heldPolls map[WorkerID]*Poll
+	plans     int
 	// starts counts the attempts; inTime and late count the completed jobs that met or missed their objective.
 	starts, inTime, late int
 	arrived              map[job.ID]time.Time
@@ -37,9 +37,9 @@
 
 // burstRun is a running attempt on a worker.
 type burstRun struct {
-	attempt job.Attempt
-	since   time.Time
-	takes   time.Duration
+	attempt  job.Attempt
+	since    time.Time
+	duration time.Duration
 }
 
 // Parameters of the jobs, similar to the users' short jobs.
@@ -58,7 +58,7 @@
 func newBurst(workers int, seed int64) *burst {
 	bt := &burst{
 		now: time.Unix(1_700_000_000, 0), rnd: rand.New(rand.NewSource(seed)), runs: map[WorkerID]map[job.Task]burstRun{}, ends: map[WorkerID][]End{},
-		last: map[WorkerID]int64{}, holds: map[WorkerID]*Poll{}, arrived: map[job.ID]time.Time{}, objective: map[job.ID]time.Duration{}, version: 1,
+		lastEnd: map[WorkerID]int64{}, heldPolls: map[WorkerID]*Poll{}, arrived: map[job.ID]time.Time{}, objective: map[job.ID]time.Duration{}, version: 1,
 		organisations: map[job.ID]job.OrganisationID{}, metObjective: map[job.ID]bool{},
 	}
 	bt.core = New("pool", 1, Options{})
@@ -74,7 +74,7 @@
 
 func (bt *burst) at(after time.Duration, do func()) {
 	bt.order++
-	heap.Push(&bt.agenda, event{bt.now.Add(after), bt.order, do})
+	heap.Push(&bt.events, event{bt.now.Add(after), bt.order, do})
 }
 
 // arrive submits jobs at a constant rate for a period.
@@ -142,10 +142,10 @@
 // end ends an attempt and answers a pending poll.
 func (bt *burst) end(st Start) {
 	delete(bt.runs[st.Worker], st.Task)
-	bt.last[st.Worker]++
-	bt.ends[st.Worker] = append(bt.ends[st.Worker], End{Number: bt.last[st.Worker], Task: st.Task, Attempt: st.Attempt, Reason: EndDone})
-	if lk := bt.holds[st.Worker]; lk != nil {
-		bt.holds[st.Worker] = nil
+	bt.lastEnd[st.Worker]++
+	bt.ends[st.Worker] = append(bt.ends[st.Worker], End{Number: bt.lastEnd[st.Worker], Task: st.Task, Attempt: st.Attempt, Reason: EndDone})
+	if lk := bt.heldPolls[st.Worker]; lk != nil {
+		bt.heldPolls[st.Worker] = nil
 		bt.answer(*lk)
 	}
 }
@@ -160,10 +160,10 @@
 		bt.answer(lk)
 		return
 	}
-	bt.holds[lk.Worker] = &lk
+	bt.heldPolls[lk.Worker] = &lk
 	bt.at(lk.Wait, func() {
-		if bt.holds[lk.Worker] == &lk {
-			bt.holds[lk.Worker] = nil
+		if bt.heldPolls[lk.Worker] == &lk {
+			bt.heldPolls[lk.Worker] = nil
 			bt.answer(lk)
 		}
 	})
@@ -172,7 +172,7 @@
 func (bt *burst) answer(lk Poll) {
 	result := PollResult{Poll: lk, Outcome: Done, Sent: bt.now.Add(-burstTrip / 2), Clock: bt.clock(), Ended: append([]End(nil), bt.ends[lk.Worker]...)}
 	for tk, rn := range bt.runs[lk.Worker] {
-		result.Running = append(result.Running, Running{Task: tk, Attempt: rn.attempt, Progress: int(100 * bt.now.Sub(rn.since) / rn.takes)})
+		result.Running = append(result.Running, Running{Task: tk, Attempt: rn.attempt, Progress: int(100 * bt.now.Sub(rn.since) / rn.duration)})
 	}
 	bt.at(burstTrip/2, func() {
 		result.Received = bt.now
@@ -201,8 +201,8 @@
 func (bt *burst) run(span time.Duration) {
 	end := bt.now.Add(span)
 	for tick := bt.now; tick.Before(end); tick = tick.Add(burstTick) {
-		for len(bt.agenda) > 0 && !bt.agenda[0].at.After(tick) {
-			ev := heap.Pop(&bt.agenda).(event)
+		for len(bt.events) > 0 && !bt.events[0].at.After(tick) {
+			ev := heap.Pop(&bt.events).(event)
 			bt.now = ev.at
 			ev.run()
 		}
@@ -229,7 +229,7 @@
 // firstFit runs the same jobs on the same workers in order of arrival, each task on the first worker with room, and returns how many meet
 // their objective. It sees every end immediately and takes no time for placement.
 func (bt *burst) firstFit(specs []*job.Spec, due map[job.ID]time.Time, workers int, takes func() time.Duration) (inTime int) {
-	type open struct {
+	type openJob struct {
 		spec    *job.Spec
 		step    int
 		waiting int
@@ -239,18 +239,18 @@
 	for at := range free {
 		free[at] = job.Size{CPUMillis: 16000, MemoryMB: 32768}
 	}
-	var line []*open
-	ag, order, now := eventQueue{}, 0, bt.now
+	var queue []*openJob
+	events, order, now := eventQueue{}, 0, bt.now
 	at := func(when time.Time, do func()) {
 		order++
-		heap.Push(&ag, event{when, order, do})
+		heap.Push(&events, event{when, order, do})
 	}
 	place := func() {
 		most := 0
 		for _, sz := range free {
 			most = max(most, sz.CPUMillis)
 		}
-		for _, jb := range line {
+		for _, jb := range queue {
 			room := jb.spec.Steps[jb.step].ResourceRequest()
 			if jb.waiting == 0 || room.CPUMillis > most {
 				continue
@@ -269,7 +269,7 @@
 							jb.waiting = jb.spec.Steps[jb.step].Count
 							return
 						}
-						line = slices.DeleteFunc(line, func(other *open) bool { return other == jb })
+						queue = slices.DeleteFunc(queue, func(other *openJob) bool { return other == jb })
 						if !now.After(due[jb.spec.ID]) {
 							inTime++
 						}
@@ -279,13 +279,13 @@
 		}
 	}
 	for _, sp := range specs {
-		at(sp.AcceptedAt, func() { line = append(line, &open{spec: sp, waiting: sp.Steps[0].Count}) })
+		at(sp.AcceptedAt, func() { queue = append(queue, &openJob{spec: sp, waiting: sp.Steps[0].Count}) })
 	}
-	for len(ag) > 0 {
-		ev := heap.Pop(&ag).(event)
+	for len(events) > 0 {
+		ev := heap.Pop(&events).(event)
 		now = ev.at
 		ev.run()
-		if len(ag) == 0 || ag[0].at.After(now) {
+		if len(events) == 0 || events[0].at.After(now) {
 			place()
 		}
 	}
--- a/cell/machinelimit.go
+++ b/cell/machinelimit.go
@@ -34,7 +34,8 @@
 }
 
 // fullQueues returns the queues whose new jobs cannot be served at present: with the machine limit, the work that can still meet its objective
-// takes longer than the time after which a new job expires. Without a limit the pool grows instead.
+// takes longer than the time after which a new job expires. Without a limit the pool grows instead. Long-running
+// tasks are never refused: they do not count here.
 func (cr *Core) fullQueues(now time.Time, unit machineSize) map[job.QueueID]time.Duration {
 	if !now.Before(cr.machineLimitUntil) || cr.machineLimit == 0 {
 		return nil
--- a/cell/machinelimit_test.go
+++ b/cell/machinelimit_test.go
@@ -40,8 +40,8 @@
 		bd.answerOrder(st, Done)
 	}
 	bd.advance(2 * machineLimitTTL)
-	if rest := startsIn(bd.plan()); len(rest) != 16-len(late)-len(fresh) {
-		t.Errorf("%d starts after the limit expired", len(rest))
+	if remaining := startsIn(bd.plan()); len(remaining) != 16-len(late)-len(fresh) {
+		t.Errorf("%d starts after the limit expired", len(remaining))
 	}
 }
 
--- a/cell/preempt_test.go
+++ b/cell/preempt_test.go
@@ -7,7 +7,7 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// preemptBed returns a bed with one worker of four cores that is full of tasks of a low-priority job with the given progress.
+// preemptBed returns a test bed with one worker of four cores that is full of tasks of a low-priority job with the given progress.
 func preemptBed(t *testing.T, low job.Step, progress ...int) (*testBed, []Start) {
 	bd := newTestBed(t, 1)
 	bd.core.Configure([]job.Queue{
@@ -64,7 +64,7 @@
 	}
 }
 
-// TestLongRunningTasksAndGangsAreNotPreempted checks the same for jobs of equal priority.
+// TestLongRunningTasksAndGangsAreNotPreempted checks that long-running tasks, gang members and tasks of equal priority are not preempted.
 func TestLongRunningTasksAndGangsAreNotPreempted(t *testing.T) {
 	longRunning, gang := taskStep(4), taskStep(4)
 	longRunning.LongRunning, gang.Gang = true, true
--- a/cell/reserve_test.go
+++ b/cell/reserve_test.go
@@ -38,13 +38,13 @@
 		st := running[0]
 		running = running[1:]
 		lk := bd.waitForPoll(st.Worker)
-		var left []Running
+		var stillRunning []Running
 		for _, other := range running {
 			if other.Worker == st.Worker {
-				left = append(left, Running{Task: other.Task, Attempt: other.Attempt})
+				stillRunning = append(stillRunning, Running{Task: other.Task, Attempt: other.Attempt})
 			}
 		}
-		bd.answerPoll(lk, left, []End{bd.newEnd(st, EndDone)})
+		bd.answerPoll(lk, stillRunning, []End{bd.newEnd(st, EndDone)})
 		if fill() {
 			t.Logf("started after %d ends", round+1)
 			return
@@ -59,8 +59,8 @@
 	bd := newTestBed(t, 1)
 	// Run times of 1 s are known; the objective of a short job is then about 2.5 s.
 	bd.core.runTimes["q"] = runTimeStats{mean: time.Second, spread: defaultSpread}
-	for _, known := range bd.core.runTimes {
-		if known.mean != time.Second {
+	for _, stats := range bd.core.runTimes {
+		if stats.mean != time.Second {
 			t.Fatal("run time estimate is not set")
 		}
 	}
--- a/cell/speed_test.go
+++ b/cell/speed_test.go
@@ -10,7 +10,7 @@
 	"github.com/aspenseam/aspenseam/job"
 )
 
-// speedBed returns a bed with known run times of the queue.
+// speedBed returns a test bed whose queue has known run times.
 func speedBed(t *testing.T, workers int) *testBed {
 	bd := newTestBed(t, workers)
 	bd.core.runTimes["q"] = runTimeStats{mean: time.Second, spread: defaultSpread, samples: trustedSamples, firstSample: bd.now.Add(-time.Minute)}
--- a/machine/machine_test.go
+++ b/machine/machine_test.go
@@ -19,9 +19,9 @@
 	maxDown int
 }
 
-func newFleet(t *testing.T, machines, most int) (*fleet, Wave) {
-	ft := &fleet{t: t, now: time.Unix(1_700_000_000, 0), list: map[cell.MachineID]*Machine{}, back: map[cell.MachineID]time.Time{}, maxDown: most}
-	wv := Wave{Number: 1, Duration: 30 * time.Second, MaxDown: most}
+func newFleet(t *testing.T, machines, maxDown int) (*fleet, Wave) {
+	ft := &fleet{t: t, now: time.Unix(1_700_000_000, 0), list: map[cell.MachineID]*Machine{}, back: map[cell.MachineID]time.Time{}, maxDown: maxDown}
+	wv := Wave{Number: 1, Duration: 30 * time.Second, MaxDown: maxDown}
 	for at := range machines {
 		id := cell.MachineID(string(rune('a' + at)))
 		ft.list[id] = &Machine{ID: id, Pool: job.PoolID([]string{"p", "q"}[at%2]), State: Up, Worker: cell.WorkerName("w" + string(id))}
@@ -71,12 +71,12 @@
 // of machines down is kept.
 func TestWaveWithinItsBoundAndTime(t *testing.T) {
 	ft, wv := newFleet(t, 12, 3)
-	clear := map[cell.MachineID]time.Time{}
+	emptyAt := map[cell.MachineID]time.Time{}
 	for range 150 {
 		ft.now = ft.now.Add(200 * time.Millisecond)
 		ft.settle()
 		ft.runner.List(ft.now, ft.snapshot())
-		for id, at := range clear {
+		for id, at := range emptyAt {
 			if ft.now.After(at) {
 				ft.runner.Adopt(Drain{Machine: id, Worker: ft.list[id].Worker, Empty: true})
 			}
@@ -84,16 +84,16 @@
 		for _, od := range ft.runner.Plan(ft.now) {
 			switch order := od.(type) {
 			case RequestDrain:
-				clear[order.Machine] = ft.now.Add(time.Second)
+				emptyAt[order.Machine] = ft.now.Add(time.Second)
 			case Release:
-				delete(clear, order.Machine)
+				delete(emptyAt, order.Machine)
 			case StartMaintenance:
 				ft.serve(order)
 				ft.runner.MaintenanceResult(ft.now.Add(10*time.Millisecond), order, Done)
 			case ReportProgress:
 				if order.Completed {
 					if took := ft.now.Sub(time.Unix(1_700_000_000, 0)); took > wv.Duration {
-						t.Fatalf("wave took %v", took)
+						t.Fatalf("wave took %v, want at most %v", took, wv.Duration)
 					}
 					return
 				}
@@ -116,12 +116,12 @@
 		t.Fatalf("%d orders, want 2", len(ordered))
 	}
 	stale := ft.snapshot()
-	asked := ft.now.Add(5 * time.Millisecond)
+	requestedAt := ft.now.Add(5 * time.Millisecond)
 	for _, sv := range ordered {
 		ft.serve(sv)
 		ft.runner.MaintenanceResult(ft.now.Add(10*time.Millisecond), sv, Done)
 	}
-	ft.runner.List(asked, stale)
+	ft.runner.List(requestedAt, stale)
 	if more := services(ft.runner.Plan(ft.now.Add(200 * time.Millisecond))); len(more) != 0 {
 		t.Fatalf("%d more orders while two machines are down, want none", len(more))
 	}
@@ -265,8 +265,8 @@
 	if off := history["off"][59]; off < 5 {
 		t.Errorf("%d machines are off after the peak, want at least 5", off)
 	}
-	if left := history["q"][59]; left < 2 {
-		t.Errorf("idle pool has %d machines, want at least 2", left)
+	if count := history["q"][59]; count < 2 {
+		t.Errorf("idle pool has %d machines, want at least 2", count)
 	}
 }
 
@@ -275,8 +275,8 @@
 	history := sizes(t, func(int) map[job.PoolID]cell.Load {
 		return map[job.PoolID]cell.Load{"q": {Demand: 9, Placed: 4}}
 	})
-	if left := history["p"][59]; left != 4 {
-		t.Errorf("pool with unknown load has %d machines, want 4", left)
+	if count := history["p"][59]; count != 4 {
+		t.Errorf("pool with unknown load has %d machines, want 4", count)
 	}
 }
 
