--- a/cell/worker.go
+++ b/cell/worker.go
@@ -89,8 +89,9 @@
 	unregisteredAt   time.Time
 	// roomUncertainUntil is until when only a part of the room is counted on, because the registration was already old when it was first read.
 	roomUncertainUntil time.Time
-	recorded           bool
-	recording          bool
+	// recorded means that the cell's row names the worker. recording means that a write of the row is in flight.
+	recorded  bool
+	recording bool
 	// tokenCounter is shared by all incarnations of the worker.
 	tokenCounter *Token
 	// fenced means that the worker has answered a poll of this owner since it was added or its leases expired. Orders of earlier owners are void then.
