--- a/cell/cell.go
+++ b/cell/cell.go
@@ -363,7 +363,7 @@
 func (cr *Core) Archivable(most int) []job.ID {
 	var ids []job.ID
 	for id, js := range cr.jobs {
-		if js.savedState.Ended() && !js.archived && !js.hasPlacements() && len(ids) < most {
+		if js.storedState.Ended() && !js.archived && !js.hasPlacements() && len(ids) < most {
 			ids = append(ids, id)
 		}
 	}
--- a/cell/plan.go
+++ b/cell/plan.go
@@ -137,7 +137,7 @@
 	switch {
 	case js.cancelled:
 		return "cancelled"
-	case js.savedState.Ended():
+	case js.storedState.Ended():
 		// Tasks keep running until callers see the end of the job, since they still serve these callers.
 		return "its job has ended"
 	case pl.step.tasks[pl.task.Index].done:
@@ -292,7 +292,7 @@
 // Saved records that the last save is stored under the given version.
 func (cr *Core) Saved(now time.Time, version int64) {
 	for _, sm := range cr.pendingSaves {
-		sm.js.version, sm.js.savedGen, sm.js.savedState = version, sm.gen, sm.state
+		sm.js.version, sm.js.savedGen, sm.js.storedState = version, sm.gen, sm.state
 	}
 	cr.pendingSaves = nil
 }
--- a/cell/task.go
+++ b/cell/task.go
@@ -19,9 +19,9 @@
 	loadedAt  time.Time
 	cancelled bool
 	state     job.State
-	// savedState is the final state recorded in the store. Callers see a job as ended only once it is set.
-	savedState job.State
-	runs       map[int]*run
+	// storedState is the state last saved in the store. Callers see the end of a job only once it is saved.
+	storedState job.State
+	runs        map[int]*run
 	// runsDone holds the runs that have completed; nextRun is the first run that has not started.
 	runsDone job.Bitset
 	runsLeft int
@@ -133,8 +133,8 @@
 // visibleState returns the state shown to callers. An end is shown only once it is saved.
 func (js *jobState) visibleState() job.State {
 	switch {
-	case js.savedState.Ended():
-		return js.savedState
+	case js.storedState.Ended():
+		return js.storedState
 	case js.cancelled:
 		return job.Cancelled
 	case js.started:
@@ -152,7 +152,7 @@
 	js.inherited = sd.Spec.Epoch < cr.epoch
 	if pg := sd.Progress; pg != nil {
 		js.started = len(pg.DoneTasks) > 0 || len(pg.FailedAttempts) > 0 || len(pg.CompletedRuns) > 0
-		js.state, js.savedState, js.runsDone = pg.State, pg.State, pg.CompletedRuns
+		js.state, js.storedState, js.runsDone = pg.State, pg.State, pg.CompletedRuns
 		for at := range sd.Spec.RunCount() {
 			if js.runsDone.Has(at) {
 				js.runsLeft--
--- a/machine/machine_test.go
+++ b/machine/machine_test.go
@@ -93,7 +93,7 @@
 			case ReportProgress:
 				if order.Completed {
 					if took := ft.now.Sub(time.Unix(1_700_000_000, 0)); took > wv.Duration {
-						t.Fatalf("wave took %v, want at most %v", took, wv.Duration)
+						t.Fatalf("wave took %v", took)
 					}
 					return
 				}
--- a/machine/wave.go
+++ b/machine/wave.go
@@ -74,13 +74,13 @@
 // waveState is the state of a running wave.
 type waveState struct {
 	Wave
-	startedAt time.Time
-	done      map[cell.MachineID]bool
-	orders    map[cell.MachineID]maintenanceOrder
-	missing   map[cell.MachineID]time.Time
-	announced bool
-	finished  bool
-	reported  bool
+	startedAt   time.Time
+	done        map[cell.MachineID]bool
+	maintenance map[cell.MachineID]maintenanceOrder
+	missing     map[cell.MachineID]time.Time
+	announced   bool
+	finished    bool
+	reported    bool
 }
 
 // maintenanceOrder is an order for maintenance that may have been executed.
@@ -124,7 +124,7 @@
 		return true
 	}
 	for _, wv := range wr.waves {
-		if _, ordered := wv.orders[id]; ordered && !wv.finished {
+		if _, ordered := wv.maintenance[id]; ordered && !wv.finished {
 			return true
 		}
 	}
@@ -145,7 +145,7 @@
 func (wr *WaveRunner) Begin(now time.Time, wave Wave, done []cell.MachineID, finished bool) {
 	wv, known := wr.waves[wave.Number]
 	if !known {
-		wv = &waveState{startedAt: now, done: map[cell.MachineID]bool{}, orders: map[cell.MachineID]maintenanceOrder{}, missing: map[cell.MachineID]time.Time{}}
+		wv = &waveState{startedAt: now, done: map[cell.MachineID]bool{}, maintenance: map[cell.MachineID]maintenanceOrder{}, missing: map[cell.MachineID]time.Time{}}
 		wr.waves[wave.Number] = wv
 	}
 	wv.Wave = wave
@@ -179,23 +179,23 @@
 	if wv == nil {
 		return
 	}
-	mo := wv.orders[sv.Machine]
+	mo := wv.maintenance[sv.Machine]
 	switch oc {
 	case Done:
 		// Only a list requested after this answer shows the resulting state of the machine.
 		mo.confirmed, mo.sentAt = true, now
-		wv.orders[sv.Machine] = mo
+		wv.maintenance[sv.Machine] = mo
 	case Superseded:
 		wr.superseded = true
 	case Foreign, Invalid:
-		delete(wv.orders, sv.Machine)
+		delete(wv.maintenance, sv.Machine)
 		wv.done[sv.Machine] = true
 	case NoAnswer:
 		mo.unanswered = true
-		wv.orders[sv.Machine] = mo
+		wv.maintenance[sv.Machine] = mo
 	case Busy, Refused:
 		if !mo.confirmed && !mo.unanswered {
-			delete(wv.orders, sv.Machine)
+			delete(wv.maintenance, sv.Machine)
 		}
 	}
 }
@@ -245,7 +245,7 @@
 			continue
 		}
 		delete(wv.missing, id)
-		mo, ordered := wv.orders[id]
+		mo, ordered := wv.maintenance[id]
 		if !ordered || !wr.listedAt.After(mo.sentAt) {
 			continue
 		}
@@ -258,11 +258,11 @@
 			if mc.Worker != mo.worker {
 				// Another incarnation of the worker runs there and the order was not answered. The worker may have crashed instead, so the
 				// machine is drained and ordered again.
-				delete(wv.orders, id)
+				delete(wv.maintenance, id)
 			}
 			continue
 		}
-		delete(wv.orders, id)
+		delete(wv.maintenance, id)
 		wv.done[id], changed = true, true
 		if wr.drains[id] != nil {
 			delete(wr.drains, id)
@@ -277,11 +277,11 @@
 
 // startMaintenance orders the maintenance of empty machines, up to the maximum number of machines down.
 func (wr *WaveRunner) startMaintenance(now time.Time, wv *waveState) []Order {
-	down := len(wv.orders)
+	down := len(wv.maintenance)
 	for _, id := range wv.Machines {
-		if _, ordered := wv.orders[id]; !ordered && !wv.done[id] && wr.machines[id].State == Maintenance {
+		if _, ordered := wv.maintenance[id]; !ordered && !wv.done[id] && wr.machines[id].State == Maintenance {
 			// The order of an earlier holder is being executed.
-			wv.orders[id] = maintenanceOrder{sentAt: now, worker: wr.machines[id].Worker, confirmed: true}
+			wv.maintenance[id] = maintenanceOrder{sentAt: now, worker: wr.machines[id].Worker, confirmed: true}
 			down++
 		}
 	}
@@ -291,7 +291,7 @@
 		if wv.done[id] || !listed || mc.State != Up || mc.CoolingDown {
 			continue
 		}
-		mo, ordered := wv.orders[id]
+		mo, ordered := wv.maintenance[id]
 		if ordered && (mo.confirmed || now.Sub(mo.sentAt) < orderRetryInterval) {
 			continue
 		}
@@ -308,7 +308,7 @@
 			}
 			down++
 		}
-		wv.orders[id] = maintenanceOrder{sentAt: now, worker: mc.Worker, unanswered: mo.unanswered}
+		wv.maintenance[id] = maintenanceOrder{sentAt: now, worker: mc.Worker, unanswered: mo.unanswered}
 		orders = append(orders, StartMaintenance{Machine: id, Wave: wv.Number})
 	}
 	return orders
@@ -325,7 +325,7 @@
 			continue
 		}
 		if wr.drains[id] != nil {
-			if wr.drains[id].Worker != mc.Worker && mc.Worker != "" && wv.orders[id].sentAt.IsZero() {
+			if wr.drains[id].Worker != mc.Worker && mc.Worker != "" && wv.maintenance[id].sentAt.IsZero() {
 				// The worker has crashed since; its successor has to be drained.
 				delete(wr.drains, id)
 			} else {
