--- a/entry.go
+++ b/entry.go
@@ -50,7 +50,7 @@
 	peerServer  *peer.Server
 	operators   *operator.Server
 	executor    *operator.Executor
-	keeper      *operator.Keeper
+	keeper      *operator.ActiveSettings
 	placer      *worker.Placer
 	keys        *peer.Keys
 	signer      *caller.Signer
@@ -133,18 +133,18 @@
 	en.platform = table.NewClient(table.WithAddresses(st.Platform.Addresses...), table.WithTimeout(st.Platform.Timeout), table.WithDial(dialer(st, st.Platform.Timeout)))
 	en.watcher = table.NewWatcher(en.platform, table.WithPollInterval(st.Platform.PollInterval), table.WithLog(lg), table.WithOnChange(en.changed))
 	en.router = endpoint.NewRouter(routerOptions(st, lg, buffers)...)
-	en.keeper = operator.NewKeeper(lg, func(ft *settings.Fleet) { en.router.SetPolicy(ft.RetryShare, ft.EjectAfter, ft.EjectShareMax) })
+	en.keeper = operator.NewActiveSettings(lg, func(ft *settings.Fleet) { en.router.SetPolicy(ft.RetryShare, ft.EjectAfter, ft.EjectShareMax) })
 	peerOptions := append(en.peerOptions(), peer.WithTLS(peerTLS))
 	en.peers = peer.NewClient(en.watcher, peerOptions...)
 	en.callers = caller.NewServer(en.router, en.watcher, en.platform, en.peers, en.callerOptions(buffers)...)
 	en.peerServer = peer.NewServer(en.watcher, en.callers, en.router, en.keeper, peerOptions...)
 	planner := func() operator.Planner {
 		_, ft := en.keeper.InForce()
-		return operator.PlannerOf(ft)
+		return operator.NewPlanner(ft)
 	}
-	desk := operator.NewDesk(en.platform, en.platform, en.watcher, planner, time.Now)
+	desk := operator.NewManager(en.platform, en.platform, en.watcher, planner, time.Now)
 	en.executor = operator.NewExecutor(en.platform, en.platform, en.watcher, en.peers, prober{dialer(st, st.Endpoint.DialTimeout)}, operator.ExecutorOptions{
-		Entry: table.InstanceID(st.Entry.ID), Incarnation: en.incarnation, LongestRequest: st.Caller.LongestRequest, Log: lg,
+		Entry: table.InstanceID(st.Entry.ID), Incarnation: en.incarnation, MaxRequestDuration: st.Caller.LongestRequest, Log: lg,
 	})
 	en.placer = worker.NewPlacer(en.platform, worker.NewClient(en.platform), en.watcher,
 		worker.WithEntry(table.InstanceID(st.Entry.ID), en.incarnation), worker.WithLog(lg), worker.WithReserve(urgentReserve), worker.WithTaskLease(st.Jobs.TaskLease))
--- a/jobs.go
+++ b/jobs.go
@@ -39,7 +39,7 @@
 		if err != nil {
 			return err
 		}
-		if err := oc.client().Submit(ctx, call.Jobs...); err != nil {
+		if err := oc.client().SubmitJobs(ctx, call.Jobs...); err != nil {
 			return err
 		}
 		fmt.Printf("%d jobs submitted\n", len(call.Jobs))
@@ -47,8 +47,8 @@
 	}}
 }
 
-func readJobs(path string) (operator.SubmitCall, error) {
-	var call operator.SubmitCall
+func readJobs(path string) (operator.SubmitRequest, error) {
+	var call operator.SubmitRequest
 	src, err := os.ReadFile(path)
 	if err != nil {
 		return call, eris.Wrap(err, "read jobs")
@@ -70,7 +70,7 @@
 	sub.StringSlice(&jobs, "i", "job", "job; may be repeated")
 	sub.String(&why, "w", "why", "reason, for the audit trail")
 	return command{sub, func(ctx context.Context) error {
-		return oc.client().Cancel(ctx, operator.CancelCall{Team: worker.TeamID(team), Kind: worker.Kind(kind), Jobs: named[worker.JobID](jobs), Why: why})
+		return oc.client().CancelJobs(ctx, operator.CancelRequest{Team: worker.TeamID(team), Kind: worker.Kind(kind), Jobs: named[worker.JobID](jobs), Why: why})
 	}}
 }
 
--- a/operator/actions.go
+++ b/operator/actions.go
@@ -8,34 +8,34 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// stepID names a side effect on the platform; asked twice it is carried out once, and one id carries out one action.
-func stepID(pn *Plan, in *table.Instance, ac table.Action) string {
+// actionID names a side effect on the platform; asked twice it is carried out once, and one id carries out one action.
+func actionID(pn *Plan, in *table.Instance, ac table.Action) string {
 	return fmt.Sprintf("%s.%s.%d.%s", pn.ID, in.ID, in.Epoch, ac)
 }
 
-// carryOut does one move of a decision that was made from a snapshot.
-func (ex *Executor) carryOut(ctx context.Context, ip Input, sn *table.Snapshot, mv Move) error {
+// execute does one move of a decision that was made from a snapshot.
+func (ex *Executor) execute(ctx context.Context, ip Input, sn *table.Snapshot, mv Step) error {
 	switch mv {
-	case MoveClose:
-		return ex.hold(ctx, ip, sn, table.PhaseClosing)
-	case MoveLeave:
+	case StepClose:
+		return ex.setPhase(ctx, ip, sn, table.PhaseClosing)
+	case StepLeave:
 		return ex.leave(ctx, ip, sn)
-	case MoveDrain:
+	case StepDrain:
 		return ex.drain(ctx, ip, sn)
-	case MoveStop:
+	case StepStop:
 		return ex.stop(ctx, ip, sn)
-	case MoveJoin:
+	case StepJoin:
 		return ex.join(ctx, ip, sn)
-	case MoveRest:
-		return ex.rest(ctx, ip, sn)
+	case StepIdle:
+		return ex.leaveIdle(ctx, ip, sn)
 	}
 	return nil
 }
 
 // act asks the platform for a side effect.
-func (ex *Executor) act(ctx context.Context, in *table.Instance, ac table.Action, step string) error {
-	ex.before(fmt.Sprintf("act %s", ac))
-	if err := ex.platform.Act(ctx, in.ID, ac, step); err != nil {
+func (ex *Executor) act(ctx context.Context, in *table.Instance, ac table.Action, key string) error {
+	ex.hook(fmt.Sprintf("act %s", ac))
+	if err := ex.platform.Act(ctx, in.ID, ac, key); err != nil {
 		return fmt.Errorf("act: %w", err)
 	}
 	return nil
@@ -72,13 +72,13 @@
 	return table.Write{Table: table.TableService, Key: string(sv.ID), IfVersion: rw.Version, Value: raw}
 }
 
-func without(id table.InstanceID) func([]table.InstanceID) []table.InstanceID {
+func withoutInstance(id table.InstanceID) func([]table.InstanceID) []table.InstanceID {
 	return func(ids []table.InstanceID) []table.InstanceID {
 		return slices.DeleteFunc(ids, func(other table.InstanceID) bool { return other == id })
 	}
 }
 
-func including(id table.InstanceID) func([]table.InstanceID) []table.InstanceID {
+func withInstance(id table.InstanceID) func([]table.InstanceID) []table.InstanceID {
 	return func(ids []table.InstanceID) []table.InstanceID {
 		if slices.Contains(ids, id) {
 			return ids
@@ -87,19 +87,19 @@
 	}
 }
 
-// hold moves an instance to a phase without changing whether it serves.
-func (ex *Executor) hold(ctx context.Context, ip Input, sn *table.Snapshot, phase table.Phase) error {
-	next := *ip.In
+// setPhase moves an instance to a phase without changing whether it serves.
+func (ex *Executor) setPhase(ctx context.Context, ip Input, sn *table.Snapshot, phase table.Phase) error {
+	next := *ip.Instance
 	next.Hold = &table.Hold{Plan: ip.Plan.ID, Phase: phase, Since: ip.Now.UTC()}
-	if ip.In.Hold != nil {
-		next.Hold.Entries = ip.In.Hold.Entries
+	if ip.Instance.Hold != nil {
+		next.Hold.Entries = ip.Instance.Hold.Entries
 	}
 	return ex.commit(ctx, ip.Plan, string(phase), string(next.ID), ex.planWrite(ip.Plan, nil), instanceWrite(sn, next))
 }
 
 // leave takes an instance out of service: the budgets of its services, its state and its sessions' successors change in one transaction.
 func (ex *Executor) leave(ctx context.Context, ip Input, sn *table.Snapshot) error {
-	next := *ip.In
+	next := *ip.Instance
 	pin := table.Pin{Instance: next.ID, Epoch: next.Epoch}
 	next.State = table.InstanceLeaving
 	next.Epoch++
@@ -107,7 +107,7 @@
 	for _, mb := range sn.Entries() {
 		next.Hold.Entries = append(next.Hold.Entries, mb.ID)
 	}
-	move, err := table.Encode(table.Move{Pin: pin, Successors: ex.successorsOrAny(ip, sn)})
+	move, err := table.Encode(table.Move{Pin: pin, Successors: ex.successorsWithFallback(ip, sn)})
 	if err != nil {
 		return err
 	}
@@ -116,15 +116,15 @@
 		instanceWrite(sn, next),
 		{Table: table.TableMove, Key: table.MoveKey(pin), Value: move},
 	}
-	writes = append(writes, serviceWrites(sn, next.Services, including(next.ID))...)
+	writes = append(writes, serviceWrites(sn, next.Services, withInstance(next.ID))...)
 	return ex.commit(ctx, ip.Plan, string(table.PhaseLeaving), string(next.ID), writes...)
 }
 
-// successorsOrAny falls back to any serving instance for a session that usage did not show, rather than lose it.
-func (ex *Executor) successorsOrAny(ip Input, sn *table.Snapshot) map[table.ServiceID][]table.Pin {
-	successors := ex.successors(ip.Plan, sn, ip.In)
-	anywhere := sn.Successors(*ip.In, func(other *table.Instance) bool { return !sn.Gone(other.ID) })
-	for service, pins := range anywhere {
+// successorsWithFallback falls back to any serving instance for a session that usage did not show, rather than lose it.
+func (ex *Executor) successorsWithFallback(ip Input, sn *table.Snapshot) map[table.ServiceID][]table.Pin {
+	successors := ex.successors(ip.Plan, sn, ip.Instance)
+	fallback := sn.Successors(*ip.Instance, func(other *table.Instance) bool { return !sn.Gone(other.ID) })
+	for service, pins := range fallback {
 		if len(successors[service]) == 0 {
 			successors[service] = pins
 		}
@@ -134,19 +134,19 @@
 
 // drain makes the worker refuse new work by itself, for entry instances that cannot hear of the leaving.
 func (ex *Executor) drain(ctx context.Context, ip Input, sn *table.Snapshot) error {
-	if err := ex.act(ctx, ip.In, table.ActionDrain, stepID(ip.Plan, ip.In, table.ActionDrain)); err != nil {
+	if err := ex.act(ctx, ip.Instance, table.ActionDrain, actionID(ip.Plan, ip.Instance, table.ActionDrain)); err != nil {
 		return err
 	}
-	return ex.hold(ctx, ip, sn, table.PhaseDrained)
+	return ex.setPhase(ctx, ip, sn, table.PhaseDrained)
 }
 
 // stop reboots or stops the instance.
 func (ex *Executor) stop(ctx context.Context, ip Input, sn *table.Snapshot) error {
 	ac := stopAction(ip.Plan)
-	if err := ex.act(ctx, ip.In, ac, stepID(ip.Plan, ip.In, ac)); err != nil {
+	if err := ex.act(ctx, ip.Instance, ac, actionID(ip.Plan, ip.Instance, ac)); err != nil {
 		return err
 	}
-	return ex.hold(ctx, ip, sn, table.PhaseStopped)
+	return ex.setPhase(ctx, ip, sn, table.PhaseStopped)
 }
 
 func stopAction(pn *Plan) table.Action {
@@ -158,40 +158,40 @@
 
 // join puts an instance into service.
 func (ex *Executor) join(ctx context.Context, ip Input, sn *table.Snapshot) error {
-	if err := ex.accept(ctx, ip); err != nil {
+	if err := ex.endDrain(ctx, ip); err != nil {
 		return err
 	}
-	next := *ip.In
+	next := *ip.Instance
 	next.State, next.Hold, next.Done = table.InstanceServing, nil, ip.Plan.ID
-	leaves := next.Services
+	leftServices := next.Services
 	if ip.Plan.Intent.Kind == KindMove && ip.Plan.Status == PlanRunning {
 		next.Pool = ip.Plan.Intent.ToPool
 		next.Services = sn.Pools[next.Pool].Services
 	}
 	writes := []table.Write{ex.planWrite(ip.Plan, nil), instanceWrite(sn, next)}
-	writes = append(writes, serviceWrites(sn, leaves, without(next.ID))...)
+	writes = append(writes, serviceWrites(sn, leftServices, withoutInstance(next.ID))...)
 	return ex.commit(ctx, ip.Plan, "serving", string(next.ID), writes...)
 }
 
-// accept ends a drain, and first uses up the step ids of side effects that a frozen executor might still ask for.
-func (ex *Executor) accept(ctx context.Context, ip Input) error {
-	if ip.In.Hold == nil {
-		return ex.act(ctx, ip.In, table.ActionAccept, stepID(ip.Plan, ip.In, table.ActionAccept))
+// endDrain ends a drain, and first uses up the step ids of side effects that a frozen executor might still ask for.
+func (ex *Executor) endDrain(ctx context.Context, ip Input) error {
+	if ip.Instance.Hold == nil {
+		return ex.act(ctx, ip.Instance, table.ActionAccept, actionID(ip.Plan, ip.Instance, table.ActionAccept))
 	}
-	if ip.In.Hold.Phase == table.PhaseClosing {
+	if ip.Instance.Hold.Phase == table.PhaseClosing {
 		return nil
 	}
 	for _, ac := range []table.Action{table.ActionDrain, stopAction(ip.Plan), table.ActionAccept} {
-		if err := ex.act(ctx, ip.In, table.ActionAccept, stepID(ip.Plan, ip.In, ac)); err != nil {
+		if err := ex.act(ctx, ip.Instance, table.ActionAccept, actionID(ip.Plan, ip.Instance, ac)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// rest leaves a stopped instance idle; it stays counted as out of its services until an operator returns or moves it.
-func (ex *Executor) rest(ctx context.Context, ip Input, sn *table.Snapshot) error {
-	next := *ip.In
+// leaveIdle leaves a stopped instance idle; it stays counted as out of its services until an operator returns or moves it.
+func (ex *Executor) leaveIdle(ctx context.Context, ip Input, sn *table.Snapshot) error {
+	next := *ip.Instance
 	next.State, next.Hold, next.Done = table.InstanceIdle, nil, ip.Plan.ID
 	return ex.commit(ctx, ip.Plan, "idle", string(next.ID), ex.planWrite(ip.Plan, nil), instanceWrite(sn, next))
 }
--- a/operator/budget.go
+++ b/operator/budget.go
@@ -10,13 +10,13 @@
 type Refusal struct {
 	Service table.ServiceID
 	// Usable is how many instances serve now and Least how many must go on.
-	Usable int
-	Least  int
+	Usable   int
+	Required int
 }
 
 // String returns the refusal as a sentence.
 func (rf Refusal) String() string {
-	return fmt.Sprintf("service %s has %d usable instances and needs %d", rf.Service, rf.Usable, rf.Least)
+	return fmt.Sprintf("service %s has %d usable instances and needs %d", rf.Service, rf.Usable, rf.Required)
 }
 
 // Admit returns what forbids taking an instance out of service: every service of it must keep as many as asked for less its budget.
@@ -27,13 +27,13 @@
 		if sv == nil {
 			continue
 		}
-		usable := ft.usableOf(sv)
+		usable := ft.usableCount(sv)
 		after := usable
-		if ft.usable(in) && !taken(sv, in.ID) {
+		if ft.usable(in) && !unavailable(sv, in.ID) {
 			after--
 		}
-		if least := sv.Asked - sv.Budget; after < least && after < usable {
-			refusals = append(refusals, Refusal{Service: id, Usable: usable, Least: least})
+		if required := sv.Asked - sv.Budget; after < required && after < usable {
+			refusals = append(refusals, Refusal{Service: id, Usable: usable, Required: required})
 		}
 	}
 	return refusals
--- a/operator/client.go
+++ b/operator/client.go
@@ -105,20 +105,20 @@
 	if err := cl.do(ctx, http.MethodGet, "/v1/metrics", nil, &all); err != nil {
 		return nil, err
 	}
-	figures := make(map[string]int64, len(all))
-	for name, figure := range all {
-		figures[name] = figure.Value
+	values := make(map[string]int64, len(all))
+	for name, metric := range all {
+		values[name] = metric.Value
 	}
-	return figures, nil
+	return values, nil
 }
 
-// Submit queues jobs.
-func (cl *Client) Submit(ctx context.Context, jobs ...JobRequest) error {
-	return cl.do(ctx, http.MethodPost, "/v1/jobs", SubmitCall{Jobs: jobs}, nil)
+// SubmitJobs queues jobs.
+func (cl *Client) SubmitJobs(ctx context.Context, jobs ...JobRequest) error {
+	return cl.do(ctx, http.MethodPost, "/v1/jobs", SubmitRequest{Jobs: jobs}, nil)
 }
 
-// Cancel cancels a wave of jobs.
-func (cl *Client) Cancel(ctx context.Context, call CancelCall) error {
+// CancelJobs cancels a wave of jobs.
+func (cl *Client) CancelJobs(ctx context.Context, call CancelRequest) error {
 	return cl.do(ctx, http.MethodPost, "/v1/jobs/cancel", call, nil)
 }
 
@@ -139,8 +139,8 @@
 	return vw, cl.do(ctx, http.MethodGet, "/v1/settings", nil, &vw)
 }
 
-// Accept offers a configuration over the version that was seen.
-func (cl *Client) Accept(ctx context.Context, document string, over table.Version) (ConfigurationView, error) {
+// AcceptConfiguration offers a configuration over the version that was seen.
+func (cl *Client) AcceptConfiguration(ctx context.Context, document string, expected table.Version) (ConfigurationView, error) {
 	var vw ConfigurationView
-	return vw, cl.do(ctx, http.MethodPut, "/v1/settings", AcceptCall{Document: document, Over: over}, &vw)
+	return vw, cl.do(ctx, http.MethodPut, "/v1/settings", AcceptRequest{Document: document, ExpectedVersion: expected}, &vw)
 }
--- a/operator/example_test.go
+++ b/operator/example_test.go
@@ -32,10 +32,10 @@
 }
 
 func ExamplePlanner_Propose() {
-	pl := operator.Planner{Weights: operator.Weights{Moves: 1}, Pace: operator.Pace{SessionLength: time.Hour, RebootTime: 10 * time.Minute}}
+	pl := operator.Planner{Weights: operator.Weights{Moves: 1}, Timing: operator.Timing{MeanSessionDuration: time.Hour, RebootDuration: 10 * time.Minute}}
 	pn, _ := pl.Propose(smallFleet(), operator.Intent{Kind: operator.KindReboot, Racks: []table.RackID{"r1"}, Why: "kernel"})
 	for _, wv := range pn.Waves {
-		fmt.Println(wv.Instances, wv.NaturalOnly)
+		fmt.Println(wv.Instances, wv.AwaitSessionEnd)
 	}
 	fmt.Println(pn.Estimate.Moves, "sessions move")
 	// Output:
@@ -50,16 +50,16 @@
 	in := ft.Instances[0]
 	in.Hold = &table.Hold{Plan: "p1", Phase: table.PhaseDrained}
 	dc := operator.Decide(operator.Input{
-		Plan: &operator.Plan{ID: "p1", Status: operator.PlanRunning}, Fleet: ft, In: in,
-		Acks: []operator.Ack{{Entry: "e1", Asked: true, Seen: true}, {Entry: "e2"}},
+		Plan: &operator.Plan{ID: "p1", Status: operator.PlanRunning}, Fleet: ft, Instance: in,
+		Acks: []operator.Ack{{Entry: "e1", Reachable: true, Seen: true}, {Entry: "e2"}},
 	})
-	fmt.Println(dc.Move, dc.Reason)
+	fmt.Println(dc.Step, dc.Reason)
 	// Output: wait instance w1: entry instance e2 cannot be asked
 }
 
 func ExampleDifferences() {
-	base := []operator.Fact{{Subject: "instance w1", Value: "serving in pool a"}}
-	now := []operator.Fact{{Subject: "instance w1", Value: "serving in pool b"}}
+	base := []operator.Precondition{{Subject: "instance w1", Value: "serving in pool a"}}
+	now := []operator.Precondition{{Subject: "instance w1", Value: "serving in pool b"}}
 	fmt.Println(operator.Differences(base, now))
 	// Output: [instance w1 was serving in pool a, is serving in pool b]
 }
--- a/operator/executor.go
+++ b/operator/executor.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	defaultTick      = time.Second
-	defaultLeaseFor  = 4 * time.Second
-	defaultFreshness = 10 * time.Second
-	commitTimeout    = 5 * time.Second
+	defaultTick             = time.Second
+	defaultLeaseDuration    = 4 * time.Second
+	defaultMaxMembershipAge = 10 * time.Second
+	commitTimeout           = 5 * time.Second
 )
 
 // Platform acts on instances and knows their use.
 type Platform interface {
 	Usage(ctx context.Context, ids ...table.InstanceID) ([]table.Usage, error)
-	Act(ctx context.Context, id table.InstanceID, ac table.Action, step string) error
+	Act(ctx context.Context, id table.InstanceID, ac table.Action, key string) error
 }
 
-// Rows holds the snapshot and takes rows that were just committed.
-type Rows interface {
-	Snapshots
+// RowCache holds the snapshot and takes rows that were just committed.
+type RowCache interface {
+	SnapshotSource
 	Merge(rows []table.Row, complete table.Version)
 	// Committed takes rows that were just committed here, and lets peers know.
 	Committed(rows []table.Row)
 	Poll()
 }
 
-// Acks asks every entry instance listed what it has for an instance that leaves.
-type Acks interface {
+// AckCollector asks every entry instance listed what it has for an instance that leaves.
+type AckCollector interface {
 	Leaving(ctx context.Context, entries []table.Member, pn table.Pin) []Ack
 }
 
@@ -46,14 +46,14 @@
 
 // ExecutorOptions holds what an executor can be built with.
 type ExecutorOptions struct {
-	Entry          table.InstanceID
-	Incarnation    table.Incarnation
-	Tick           time.Duration
-	LeaseFor       time.Duration
-	Freshness      time.Duration
-	LongestRequest time.Duration
-	Log            *event.Logger
-	Now            func() time.Time
+	Entry              table.InstanceID
+	Incarnation        table.Incarnation
+	Tick               time.Duration
+	LeaseDuration      time.Duration
+	MaxMembershipAge   time.Duration
+	MaxRequestDuration time.Duration
+	Log                *event.Logger
+	Now                func() time.Time
 }
 
 // Executor carries confirmed plans out; any number may run, and each step's conditional write decides.
@@ -61,23 +61,23 @@
 	opts     ExecutorOptions
 	table    table.Table
 	platform Platform
-	rows     Rows
-	acks     Acks
+	cache    RowCache
+	acks     AckCollector
 	prober   Prober
-	// before is called before each side effect and commit; tests freeze or end the executor there.
-	before func(point string)
+	// hook is called hook each side effect and commit; tests freeze or end the executor there.
+	hook func(point string)
 }
 
 // NewExecutor returns an executor.
-func NewExecutor(table table.Table, pf Platform, rows Rows, acks Acks, prober Prober, opts ExecutorOptions) *Executor {
+func NewExecutor(table table.Table, pf Platform, rows RowCache, acks AckCollector, prober Prober, opts ExecutorOptions) *Executor {
 	if opts.Tick == 0 {
 		opts.Tick = defaultTick
 	}
-	if opts.LeaseFor == 0 {
-		opts.LeaseFor = defaultLeaseFor
+	if opts.LeaseDuration == 0 {
+		opts.LeaseDuration = defaultLeaseDuration
 	}
-	if opts.Freshness == 0 {
-		opts.Freshness = defaultFreshness
+	if opts.MaxMembershipAge == 0 {
+		opts.MaxMembershipAge = defaultMaxMembershipAge
 	}
 	if opts.Log == nil {
 		opts.Log = event.Nop()
@@ -85,12 +85,12 @@
 	if opts.Now == nil {
 		opts.Now = time.Now
 	}
-	return &Executor{opts: opts, table: table, platform: pf, rows: rows, acks: acks, prober: prober, before: func(string) {}}
+	return &Executor{opts: opts, table: table, platform: pf, cache: rows, acks: acks, prober: prober, hook: func(string) {}}
 }
 
-// SetBefore sets a function that is called before each side effect and commit, for tests.
-func (ex *Executor) SetBefore(before func(point string)) {
-	ex.before = before
+// SetHook sets a function that is called before each side effect and commit, for tests.
+func (ex *Executor) SetHook(before func(point string)) {
+	ex.hook = before
 }
 
 // Run works on plans until the context ends.
@@ -100,83 +100,83 @@
 
 // Tick takes every active plan one step further as far as it can.
 func (ex *Executor) Tick(ctx context.Context) {
-	for _, pn := range activePlans(ex.rows.Snapshot()) {
+	for _, pn := range activePlans(ex.cache.Snapshot()) {
 		if pn.Status == PlanRunning || pn.Status == PlanAborting {
-			ex.work(ctx, pn)
+			ex.advance(ctx, pn)
 		}
 	}
 }
 
-// work does what can be done for one plan now.
-func (ex *Executor) work(ctx context.Context, pn *Plan) {
-	lease, free := ex.leaseOf(pn.ID)
+// advance does what can be done for one plan now.
+func (ex *Executor) advance(ctx context.Context, pn *Plan) {
+	lease, free := ex.planLease(pn.ID)
 	if !free {
 		return
 	}
-	ids, _ := ex.inReach(pn, FleetOf(ex.rows.Snapshot(), nil))
+	ids, _ := ex.currentInstances(pn, NewFleet(ex.cache.Snapshot(), nil))
 	usage, err := ex.platform.Usage(ctx, append(ids, pn.instances()[0])...)
 	if err != nil {
-		ex.keepLease(ctx, lease, []string{"the platform does not say how the workers are used"})
+		ex.renewLease(ctx, lease, []string{"the platform does not say how the workers are used"})
 		return
 	}
-	if age := ex.opts.Now().Sub(ex.rows.Snapshot().MembersAt); age > ex.opts.Freshness {
-		ex.keepLease(ctx, lease, []string{fmt.Sprintf("the membership is %v old", age.Round(time.Second))})
+	if age := ex.opts.Now().Sub(ex.cache.Snapshot().MembersAt); age > ex.opts.MaxMembershipAge {
+		ex.renewLease(ctx, lease, []string{fmt.Sprintf("the membership is %v old", age.Round(time.Second))})
 		return
 	}
-	if !ex.keepLease(ctx, lease, lease.Waiting) {
+	if !ex.renewLease(ctx, lease, lease.Waiting) {
 		return
 	}
-	waiting := ex.steps(ctx, pn, &sight{usage: usage})
+	waiting := ex.advanceInstances(ctx, pn, &tickView{usage: usage})
 	if !slices.Equal(waiting, lease.Waiting) {
-		ex.note(pn, waiting)
-		if lease, free := ex.leaseOf(pn.ID); free {
+		ex.logWaiting(pn, waiting)
+		if lease, free := ex.planLease(pn.ID); free {
 			ex.writeLease(ctx, lease, waiting)
 		}
 	}
 }
 
-func (ex *Executor) note(pn *Plan, waiting []string) {
+func (ex *Executor) logWaiting(pn *Plan, waiting []string) {
 	for _, reason := range waiting {
 		ex.opts.Log.Emit(event.PlanWaiting, zap.String("plan", string(pn.ID)), zap.String("reason", reason))
 	}
 }
 
-// sight is what one tick sees: the usage that was asked for, and the fleet of the newest snapshot, made once for each.
-type sight struct {
+// tickView is what one tick sees: the usage that was asked for, and the fleet of the newest snapshot, made once for each.
+type tickView struct {
 	usage []table.Usage
 	sn    *table.Snapshot
 	ft    *Fleet
 }
 
-func (sg *sight) fleet(sn *table.Snapshot) *Fleet {
+func (sg *tickView) fleet(sn *table.Snapshot) *Fleet {
 	if sg.sn != sn {
-		sg.sn, sg.ft = sn, FleetOf(sn, sg.usage)
+		sg.sn, sg.ft = sn, NewFleet(sn, sg.usage)
 	}
 	return sg.ft
 }
 
-// steps decides on every instance in reach and returns what is waited for.
-func (ex *Executor) steps(ctx context.Context, pn *Plan, sg *sight) []string {
+// advanceInstances decides on every instance in reach and returns what is waited for.
+func (ex *Executor) advanceInstances(ctx context.Context, pn *Plan, sg *tickView) []string {
 	var waiting []string
 	if err := ex.recordDown(ctx, pn, sg); err != nil {
 		return []string{fmt.Sprintf("what is down cannot be recorded: %v", errors.Unwrap(err))}
 	}
-	ids, wave := ex.inReach(pn, sg.fleet(ex.rows.Snapshot()))
+	ids, wave := ex.currentInstances(pn, sg.fleet(ex.cache.Snapshot()))
 	if len(ids) == 0 {
 		ex.finish(ctx, pn)
 		return nil
 	}
 	for _, id := range ids {
 		// Each decision sees what the ones before have committed.
-		sn := ex.rows.Snapshot()
-		ip := ex.input(ctx, pn, wave, sn, sg.fleet(sn), id)
+		sn := ex.cache.Snapshot()
+		ip := ex.decisionInput(ctx, pn, wave, sn, sg.fleet(sn), id)
 		dc := Decide(ip)
-		if dc.Move == MoveWait {
+		if dc.Step == StepWait {
 			waiting = append(waiting, dc.Reason)
 			continue
 		}
-		if err := ex.carryOut(ctx, ip, sn, dc.Move); err != nil {
-			waiting = append(waiting, fmt.Sprintf("instance %s: %s: %v", id, dc.Move, errors.Unwrap(err)))
+		if err := ex.execute(ctx, ip, sn, dc.Step); err != nil {
+			waiting = append(waiting, fmt.Sprintf("instance %s: %s: %v", id, dc.Step, errors.Unwrap(err)))
 		}
 	}
 	return waiting
@@ -184,15 +184,15 @@
 
 // recordDown writes which instances are down into the rows of the plan's services.
 // A decision that was made before, by an executor frozen since, then conflicts instead of breaking a budget.
-func (ex *Executor) recordDown(ctx context.Context, pn *Plan, sg *sight) error {
-	sn := ex.rows.Snapshot()
+func (ex *Executor) recordDown(ctx context.Context, pn *Plan, sg *tickView) error {
+	sn := ex.cache.Snapshot()
 	ft := sg.fleet(sn)
-	for _, touch := range pn.Touches {
+	for _, touch := range pn.BudgetImpacts {
 		sv := sn.Services[touch.Service]
 		if sv == nil {
 			continue
 		}
-		down := ft.downOf(sv.ID)
+		down := ft.downInstances(sv.ID)
 		if slices.Equal(down, sv.Down) {
 			continue
 		}
@@ -205,8 +205,8 @@
 	return nil
 }
 
-// inReach returns the instances of the current wave, or all that an aborting plan still holds.
-func (ex *Executor) inReach(pn *Plan, ft *Fleet) ([]table.InstanceID, Wave) {
+// currentInstances returns the instances of the current wave, or all that an aborting plan still holds.
+func (ex *Executor) currentInstances(pn *Plan, ft *Fleet) ([]table.InstanceID, Wave) {
 	if pn.Status == PlanAborting {
 		var held []table.InstanceID
 		for _, id := range pn.instances() {
@@ -223,10 +223,10 @@
 	return pn.Waves[number].Instances, pn.Waves[number]
 }
 
-// input gathers what the decision on one instance is made from.
-func (ex *Executor) input(ctx context.Context, pn *Plan, wave Wave, sn *table.Snapshot, ft *Fleet, id table.InstanceID) Input {
+// decisionInput gathers what the decision on one instance is made from.
+func (ex *Executor) decisionInput(ctx context.Context, pn *Plan, wave Wave, sn *table.Snapshot, ft *Fleet, id table.InstanceID) Input {
 	in := ft.Instance(id)
-	ip := Input{Plan: pn, Wave: wave, Fleet: ft, In: in, Now: ex.opts.Now(), Quiet: ex.opts.LongestRequest, Successors: ex.covered(pn, sn, ft, in)}
+	ip := Input{Plan: pn, Wave: wave, Fleet: ft, Instance: in, Now: ex.opts.Now(), MaxRequestDuration: ex.opts.MaxRequestDuration, HasSuccessors: ex.hasSuccessors(pn, sn, ft, in)}
 	if in.Hold == nil || in.Hold.Plan != pn.ID {
 		return ip
 	}
@@ -243,12 +243,12 @@
 func (ex *Executor) successors(pn *Plan, sn *table.Snapshot, in *table.Instance) map[table.ServiceID][]table.Pin {
 	plans := activePlans(sn)
 	return sn.Successors(*in, func(other *table.Instance) bool {
-		return !sn.Gone(other.ID) && mayTake(pn, plans, other)
+		return !sn.Gone(other.ID) && canTakeSessions(pn, plans, other)
 	})
 }
 
-// covered reports whether every service with open sessions has a successor.
-func (ex *Executor) covered(pn *Plan, sn *table.Snapshot, ft *Fleet, in *table.Instance) bool {
+// hasSuccessors reports whether every service with open sessions has a successor.
+func (ex *Executor) hasSuccessors(pn *Plan, sn *table.Snapshot, ft *Fleet, in *table.Instance) bool {
 	successors := ex.successors(pn, sn, in)
 	for service, sessions := range ft.Sessions[in.ID] {
 		if sessions > 0 && len(successors[service]) == 0 {
@@ -270,24 +270,24 @@
 	_ = ex.commit(ctx, pn, action, string(pn.ID), ex.planWrite(pn, &next))
 }
 
-// leaseOf returns the lease of a plan and whether this executor may work on it.
-func (ex *Executor) leaseOf(id table.PlanID) (PlanLease, bool) {
+// planLease returns the lease of a plan and whether this executor may work on it.
+func (ex *Executor) planLease(id table.PlanID) (PlanLease, bool) {
 	lease := PlanLease{Plan: id}
-	rw, known := ex.rows.Snapshot().Rows[table.RowKey{Table: table.TableLease, Key: string(id)}]
+	rw, known := ex.cache.Snapshot().Rows[table.RowKey{Table: table.TableLease, Key: string(id)}]
 	if known && !rw.Deleted {
 		// A lease that cannot be read is treated as free; no promise rests on it.
 		lease, _ = table.Decode[PlanLease](rw)
 		lease.version = rw.Version
 	}
-	mine := lease.Holder == ex.opts.Entry && lease.Incarnation == ex.opts.Incarnation
-	return lease, mine || !ex.opts.Now().Before(lease.Until)
+	held := lease.Holder == ex.opts.Entry && lease.Incarnation == ex.opts.Incarnation
+	return lease, held || !ex.opts.Now().Before(lease.Until)
 }
 
-// keepLease takes or renews the lease when less than half of it is left, and reports whether this executor holds it.
-func (ex *Executor) keepLease(ctx context.Context, lease PlanLease, waiting []string) bool {
-	mine := lease.Holder == ex.opts.Entry && lease.Incarnation == ex.opts.Incarnation
-	fresh := lease.Until.Sub(ex.opts.Now()) > ex.opts.LeaseFor/2
-	if mine && fresh && slices.Equal(waiting, lease.Waiting) {
+// renewLease takes or renews the lease when less than half of it is left, and reports whether this executor holds it.
+func (ex *Executor) renewLease(ctx context.Context, lease PlanLease, waiting []string) bool {
+	held := lease.Holder == ex.opts.Entry && lease.Incarnation == ex.opts.Incarnation
+	fresh := lease.Until.Sub(ex.opts.Now()) > ex.opts.LeaseDuration/2
+	if held && fresh && slices.Equal(waiting, lease.Waiting) {
 		return true
 	}
 	return ex.writeLease(ctx, lease, waiting)
@@ -295,7 +295,7 @@
 
 func (ex *Executor) writeLease(ctx context.Context, lease PlanLease, waiting []string) bool {
 	lease.Holder, lease.Incarnation, lease.Waiting = ex.opts.Entry, ex.opts.Incarnation, waiting
-	lease.Until = ex.opts.Now().Add(ex.opts.LeaseFor)
+	lease.Until = ex.opts.Now().Add(ex.opts.LeaseDuration)
 	raw, err := table.Encode(lease)
 	if err != nil {
 		return false
@@ -305,7 +305,7 @@
 	defer cancel()
 	committed, err := ex.table.Commit(ctx, table.Tx{Writes: []table.Write{wt}})
 	if err != nil {
-		ex.rows.Poll()
+		ex.cache.Poll()
 		return false
 	}
 	ex.merge([]table.Write{wt}, committed)
@@ -316,11 +316,11 @@
 func (ex *Executor) commit(ctx context.Context, pn *Plan, action, subject string, writes ...table.Write) error {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	ex.before("commit " + action)
+	ex.hook("commit " + action)
 	au := table.Audit{Actor: string(ex.opts.Entry), Action: action, Subject: subject, Why: pn.Intent.Why, Plan: string(pn.ID)}
 	version, err := table.CommitOnce(ctx, ex.table, au, writes...)
 	if err != nil {
-		ex.rows.Poll()
+		ex.cache.Poll()
 		return fmt.Errorf("commit: %w", err)
 	}
 	ex.merge(writes, version)
@@ -336,7 +336,7 @@
 			rows = append(rows, table.Row{Table: wt.Table, Key: wt.Key, Version: version, Value: wt.Value, Deleted: wt.Delete})
 		}
 	}
-	ex.rows.Committed(rows)
+	ex.cache.Committed(rows)
 }
 
 // planWrite changes the plan's row; without a change it only checks that the row is still the one that was decided from.
@@ -351,28 +351,28 @@
 
 // activePlans returns the plans that may hold instances, by the head row; plans that ended are not decoded.
 func activePlans(sn *table.Snapshot) []*Plan {
-	rw, known := sn.Rows[table.RowKey{Table: table.TablePlan, Key: headKey}]
+	rw, known := sn.Rows[table.RowKey{Table: table.TablePlan, Key: activeListKey}]
 	if !known {
 		return nil
 	}
-	head, err := table.Decode[Head](rw)
+	head, err := table.Decode[ActiveList](rw)
 	if err != nil {
 		return nil
 	}
 	var plans []*Plan
 	for _, id := range head.Active {
-		if pn, _, err := planOf(sn, id); err == nil && pn.Status.active() {
+		if pn, _, err := findPlan(sn, id); err == nil && pn.Status.active() {
 			plans = append(plans, pn)
 		}
 	}
 	return plans
 }
 
-// PlansOf returns the plans of a snapshot by age, the oldest first.
-func PlansOf(sn *table.Snapshot) []*Plan {
+// SortedPlans returns the plans of a snapshot by age, the oldest first.
+func SortedPlans(sn *table.Snapshot) []*Plan {
 	var plans []*Plan
 	for key, rw := range sn.Rows {
-		if key.Table != table.TablePlan || key.Key == headKey || rw.Deleted {
+		if key.Table != table.TablePlan || key.Key == activeListKey || rw.Deleted {
 			continue
 		}
 		if pn, err := table.Decode[Plan](rw); err == nil {
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -19,8 +19,8 @@
 	Sessions map[table.InstanceID]map[table.ServiceID]int
 }
 
-// FleetOf returns the fleet of a snapshot and the usage last heard of.
-func FleetOf(sn *table.Snapshot, usage []table.Usage) *Fleet {
+// NewFleet returns the fleet of a snapshot and the usage last heard of.
+func NewFleet(sn *table.Snapshot, usage []table.Usage) *Fleet {
 	ft := &Fleet{Instances: sn.SortedInstances(), Services: map[table.ServiceID]*table.Service{}, Pools: sn.Pools, Down: map[table.InstanceID]bool{}, Sessions: map[table.InstanceID]map[table.ServiceID]int{}}
 	for id, sv := range sn.Services {
 		ft.Services[id] = &sv.Service
@@ -52,8 +52,8 @@
 	return in.State == table.InstanceServing && !ft.Down[in.ID]
 }
 
-// open counts the sessions of an instance.
-func (ft *Fleet) open(id table.InstanceID) int {
+// sessionCount counts the sessions of an instance.
+func (ft *Fleet) sessionCount(id table.InstanceID) int {
 	count := 0
 	for _, sessions := range ft.Sessions[id] {
 		count += sessions
@@ -61,24 +61,24 @@
 	return count
 }
 
-// usableOf counts the usable instances of a service other than those that plans have taken out.
-func (ft *Fleet) usableOf(sv *table.Service) int {
+// usableCount counts the usable instances of a service other than those that plans have taken out.
+func (ft *Fleet) usableCount(sv *table.Service) int {
 	count := 0
 	for _, in := range ft.Instances {
-		if slices.Contains(in.Services, sv.ID) && ft.usable(in) && !taken(sv, in.ID) {
+		if slices.Contains(in.Services, sv.ID) && ft.usable(in) && !unavailable(sv, in.ID) {
 			count++
 		}
 	}
 	return count
 }
 
-// taken reports whether a service's row counts an instance as out: by a plan's hand, or seen down.
-func taken(sv *table.Service, id table.InstanceID) bool {
+// unavailable reports whether a service's row counts an instance as out: by a plan's hand, or seen down.
+func unavailable(sv *table.Service, id table.InstanceID) bool {
 	return slices.Contains(sv.Disrupted, id) || slices.Contains(sv.Down, id)
 }
 
-// downOf returns the instances of a service that the membership does not list, sorted.
-func (ft *Fleet) downOf(id table.ServiceID) []table.InstanceID {
+// downInstances returns the instances of a service that the membership does not list, sorted.
+func (ft *Fleet) downInstances(id table.ServiceID) []table.InstanceID {
 	var down []table.InstanceID
 	for _, in := range ft.Instances {
 		if ft.Down[in.ID] && slices.Contains(in.Services, id) {
--- a/operator/http.go
+++ b/operator/http.go
@@ -9,8 +9,8 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// maxCallBytes bounds what an operator may send in one call.
-const maxCallBytes = 1 << 20
+// maxRequestBytes bounds what an operator may send in one call.
+const maxRequestBytes = 1 << 20
 
 // PlanView is a plan with how far it has come.
 type PlanView struct {
@@ -24,8 +24,8 @@
 	Total    int `json:"total"`
 }
 
-// viewOf returns how far a plan has come in a snapshot.
-func viewOf(sn *table.Snapshot, pn *Plan) PlanView {
+// newPlanView returns how far a plan has come in a snapshot.
+func newPlanView(sn *table.Snapshot, pn *Plan) PlanView {
 	vw := PlanView{Plan: *pn, Total: len(pn.instances())}
 	for _, id := range pn.instances() {
 		if in := sn.Instances[id]; in != nil && in.Done == pn.ID && in.Hold == nil {
@@ -44,43 +44,43 @@
 
 func (sv *Server) propose(wr http.ResponseWriter, rq *http.Request) {
 	var it Intent
-	if !readCall(wr, rq, &it) {
+	if !decodeRequest(wr, rq, &it) {
 		return
 	}
-	pn, err := sv.desk.Propose(rq.Context(), operatorOf(rq.Context()), it)
-	sv.answerPlan(wr, http.StatusCreated, pn, err)
+	pn, err := sv.manager.Propose(rq.Context(), operatorFromContext(rq.Context()), it)
+	sv.writePlan(wr, http.StatusCreated, pn, err)
 }
 
 func (sv *Server) confirm(wr http.ResponseWriter, rq *http.Request) {
-	pn, err := sv.desk.Confirm(rq.Context(), operatorOf(rq.Context()), table.PlanID(rq.PathValue("id")))
-	sv.answerPlan(wr, http.StatusOK, pn, err)
+	pn, err := sv.manager.Confirm(rq.Context(), operatorFromContext(rq.Context()), table.PlanID(rq.PathValue("id")))
+	sv.writePlan(wr, http.StatusOK, pn, err)
 }
 
 func (sv *Server) change(wr http.ResponseWriter, rq *http.Request) {
-	pn, err := sv.desk.Change(rq.Context(), operatorOf(rq.Context()), table.PlanID(rq.PathValue("id")), rq.PathValue("call"))
-	sv.answerPlan(wr, http.StatusOK, pn, err)
+	pn, err := sv.manager.Change(rq.Context(), operatorFromContext(rq.Context()), table.PlanID(rq.PathValue("id")), rq.PathValue("call"))
+	sv.writePlan(wr, http.StatusOK, pn, err)
 }
 
 func (sv *Server) plan(wr http.ResponseWriter, rq *http.Request) {
-	pn, _, err := planOf(sv.snapshots.Snapshot(), table.PlanID(rq.PathValue("id")))
-	sv.answerPlan(wr, http.StatusOK, pn, err)
+	pn, _, err := findPlan(sv.snapshots.Snapshot(), table.PlanID(rq.PathValue("id")))
+	sv.writePlan(wr, http.StatusOK, pn, err)
 }
 
 func (sv *Server) plans(wr http.ResponseWriter, _ *http.Request) {
 	sn := sv.snapshots.Snapshot()
 	views := []PlanView{}
-	for _, pn := range PlansOf(sn) {
-		views = append(views, viewOf(sn, pn))
+	for _, pn := range SortedPlans(sn) {
+		views = append(views, newPlanView(sn, pn))
 	}
 	writeJSON(wr, http.StatusOK, views)
 }
 
-func (sv *Server) answerPlan(wr http.ResponseWriter, status int, pn *Plan, err error) {
+func (sv *Server) writePlan(wr http.ResponseWriter, status int, pn *Plan, err error) {
 	if err != nil {
 		writeError(wr, err)
 		return
 	}
-	writeJSON(wr, status, viewOf(sv.snapshots.Snapshot(), pn))
+	writeJSON(wr, status, newPlanView(sv.snapshots.Snapshot(), pn))
 }
 
 // auditTrail returns the lines of audit after a version.
@@ -104,9 +104,9 @@
 	writeJSON(wr, http.StatusOK, lines)
 }
 
-// readCall decodes the body of a call, or answers with the one clear error.
-func readCall(wr http.ResponseWriter, rq *http.Request, value any) bool {
-	dec := json.NewDecoder(http.MaxBytesReader(wr, rq.Body, maxCallBytes))
+// decodeRequest decodes the body of a call, or answers with the one clear error.
+func decodeRequest(wr http.ResponseWriter, rq *http.Request, value any) bool {
+	dec := json.NewDecoder(http.MaxBytesReader(wr, rq.Body, maxRequestBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(value); err != nil {
 		writeJSON(wr, http.StatusBadRequest, Problem{Message: "the body cannot be read: " + err.Error()})
--- a/operator/jobs.go
+++ b/operator/jobs.go
@@ -14,8 +14,8 @@
 // maxJobs is how many jobs one call may submit.
 const maxJobs = 500
 
-// SubmitCall is the body of a call that submits jobs; a job keeps its id, so that submitting twice is the same as once.
-type SubmitCall struct {
+// SubmitRequest is the body of a call that submits jobs; a job keeps its id, so that submitting twice is the same as once.
+type SubmitRequest struct {
 	Jobs []JobRequest `json:"jobs"`
 }
 
@@ -28,16 +28,16 @@
 	Declared worker.Size   `json:"declared"`
 }
 
-// CancelCall is the body of a call that cancels a wave of jobs with one write.
-type CancelCall struct {
+// CancelRequest is the body of a call that cancels a wave of jobs with one write.
+type CancelRequest struct {
 	Team worker.TeamID  `json:"team"`
 	Kind worker.Kind    `json:"kind,omitempty"`
 	Jobs []worker.JobID `json:"jobs,omitempty"`
 	Why  string         `json:"why"`
 }
 
-// faults returns all that is wrong with a submission.
-func (sc SubmitCall) faults() []string {
+// validate returns all that is wrong with a submission.
+func (sc SubmitRequest) validate() []string {
 	var findings []string
 	seen := map[worker.JobID]bool{}
 	if len(sc.Jobs) == 0 || len(sc.Jobs) > maxJobs {
@@ -58,32 +58,32 @@
 	return findings
 }
 
-// Submit queues jobs in one transaction; jobs that are already there stay as they are.
-func (dk *Desk) Submit(ctx context.Context, author Name, call SubmitCall) (int, error) {
-	if findings := call.faults(); len(findings) > 0 {
+// SubmitJobs queues jobs in one transaction; jobs that are already there stay as they are.
+func (mg *Manager) SubmitJobs(ctx context.Context, author Name, call SubmitRequest) (int, error) {
+	if findings := call.validate(); len(findings) > 0 {
 		return 0, &RefusedError{Message: "the jobs have faults", Findings: findings}
 	}
-	left := call.Jobs
-	for len(left) > 0 {
-		conflict, err := dk.submit(ctx, author, left)
+	remaining := call.Jobs
+	for len(remaining) > 0 {
+		conflict, err := mg.trySubmit(ctx, author, remaining)
 		if err != nil || conflict == nil {
-			return len(left), err
+			return len(remaining), err
 		}
-		left = withoutKnown(left, conflict)
+		remaining = withoutExisting(remaining, conflict)
 	}
 	return 0, nil
 }
 
-func (dk *Desk) submit(ctx context.Context, author Name, requests []JobRequest) (*table.ConflictError, error) {
+func (mg *Manager) trySubmit(ctx context.Context, author Name, requests []JobRequest) (*table.ConflictError, error) {
 	var writes []table.Write
 	for _, jr := range requests {
-		raw, err := table.Encode(worker.Job{ID: jr.ID, Team: jr.Team, Kind: jr.Kind, Urgent: jr.Urgent, Declared: jr.Declared, SubmittedAt: dk.now().UTC(), State: worker.JobQueued})
+		raw, err := table.Encode(worker.Job{ID: jr.ID, Team: jr.Team, Kind: jr.Kind, Urgent: jr.Urgent, Declared: jr.Declared, SubmittedAt: mg.now().UTC(), State: worker.JobQueued})
 		if err != nil {
 			return nil, err
 		}
 		writes = append(writes, table.Write{Table: worker.TableJob, Key: string(jr.ID), Value: raw})
 	}
-	_, err := table.CommitOnce(ctx, dk.table, table.Audit{Actor: string(author), Action: "submitJobs", Subject: strconv.Itoa(len(writes)) + " jobs", At: dk.now().UTC()}, writes...)
+	_, err := table.CommitOnce(ctx, mg.table, table.Audit{Actor: string(author), Action: "submitJobs", Subject: strconv.Itoa(len(writes)) + " jobs", At: mg.now().UTC()}, writes...)
 	var conflict *table.ConflictError
 	if errors.As(err, &conflict) {
 		return conflict, nil
@@ -91,36 +91,36 @@
 	return nil, err
 }
 
-func withoutKnown(requests []JobRequest, conflict *table.ConflictError) []JobRequest {
-	known := map[worker.JobID]bool{}
+func withoutExisting(requests []JobRequest, conflict *table.ConflictError) []JobRequest {
+	existing := map[worker.JobID]bool{}
 	for _, rw := range conflict.Rows {
-		known[worker.JobID(rw.Key)] = true
+		existing[worker.JobID(rw.Key)] = true
 	}
-	var left []JobRequest
+	var remaining []JobRequest
 	for _, jr := range requests {
-		if !known[jr.ID] {
-			left = append(left, jr)
+		if !existing[jr.ID] {
+			remaining = append(remaining, jr)
 		}
 	}
-	return left
+	return remaining
 }
 
-// Cancel cancels a wave of jobs by one row.
-func (dk *Desk) Cancel(ctx context.Context, author Name, call CancelCall) error {
+// CancelJobs cancels a wave of jobs by one row.
+func (mg *Manager) CancelJobs(ctx context.Context, author Name, call CancelRequest) error {
 	if call.Team == "" || call.Why == "" {
 		return &RefusedError{Message: "the cancellation has faults", Findings: []string{"team and why are required"}}
 	}
-	raw, err := table.Encode(worker.Cancellation{Team: call.Team, Kind: call.Kind, Jobs: call.Jobs, At: dk.now().UTC()})
+	raw, err := table.Encode(worker.Cancellation{Team: call.Team, Kind: call.Kind, Jobs: call.Jobs, At: mg.now().UTC()})
 	if err != nil {
 		return err
 	}
 	wt := table.Write{Table: worker.TableCancel, Key: table.NewID(), Value: raw}
-	_, err = table.CommitOnce(ctx, dk.table, table.Audit{Actor: string(author), Action: "cancelJobs", Subject: string(call.Team), Why: call.Why, At: dk.now().UTC()}, wt)
+	_, err = table.CommitOnce(ctx, mg.table, table.Audit{Actor: string(author), Action: "cancelJobs", Subject: string(call.Team), Why: call.Why, At: mg.now().UTC()}, wt)
 	return err
 }
 
 // SetQuota sets the slots of a team.
-func (dk *Desk) SetQuota(ctx context.Context, author Name, quota worker.Quota) error {
+func (mg *Manager) SetQuota(ctx context.Context, author Name, quota worker.Quota) error {
 	if quota.Team == "" || quota.Slots < 0 {
 		return &RefusedError{Message: "the quota has faults", Findings: []string{"team is required, slots must not be negative"}}
 	}
@@ -128,21 +128,21 @@
 	if err != nil {
 		return err
 	}
-	rw, err := dk.table.Get(ctx, worker.TableQuota, string(quota.Team))
+	rw, err := mg.table.Get(ctx, worker.TableQuota, string(quota.Team))
 	if err != nil && !errors.Is(err, table.ErrAbsent) {
 		return err
 	}
 	wt := table.Write{Table: worker.TableQuota, Key: string(quota.Team), IfVersion: rw.Version, Value: raw}
-	_, err = table.CommitOnce(ctx, dk.table, table.Audit{Actor: string(author), Action: "setQuota", Subject: string(quota.Team), Why: fmt.Sprintf("%d slots", quota.Slots), At: dk.now().UTC()}, wt)
+	_, err = table.CommitOnce(ctx, mg.table, table.Audit{Actor: string(author), Action: "setQuota", Subject: string(quota.Team), Why: fmt.Sprintf("%d slots", quota.Slots), At: mg.now().UTC()}, wt)
 	return err
 }
 
 func (sv *Server) submitJobs(wr http.ResponseWriter, rq *http.Request) {
-	var call SubmitCall
-	if !readCall(wr, rq, &call) {
+	var call SubmitRequest
+	if !decodeRequest(wr, rq, &call) {
 		return
 	}
-	queued, err := sv.desk.Submit(rq.Context(), operatorOf(rq.Context()), call)
+	queued, err := sv.manager.SubmitJobs(rq.Context(), operatorFromContext(rq.Context()), call)
 	if err != nil {
 		writeError(wr, err)
 		return
@@ -151,11 +151,11 @@
 }
 
 func (sv *Server) cancelJobs(wr http.ResponseWriter, rq *http.Request) {
-	var call CancelCall
-	if !readCall(wr, rq, &call) {
+	var call CancelRequest
+	if !decodeRequest(wr, rq, &call) {
 		return
 	}
-	if err := sv.desk.Cancel(rq.Context(), operatorOf(rq.Context()), call); err != nil {
+	if err := sv.manager.CancelJobs(rq.Context(), operatorFromContext(rq.Context()), call); err != nil {
 		writeError(wr, err)
 		return
 	}
@@ -164,10 +164,10 @@
 
 func (sv *Server) setQuota(wr http.ResponseWriter, rq *http.Request) {
 	var quota worker.Quota
-	if !readCall(wr, rq, &quota) {
+	if !decodeRequest(wr, rq, &quota) {
 		return
 	}
-	if err := sv.desk.SetQuota(rq.Context(), operatorOf(rq.Context()), quota); err != nil {
+	if err := sv.manager.SetQuota(rq.Context(), operatorFromContext(rq.Context()), quota); err != nil {
 		writeError(wr, err)
 		return
 	}
--- a/operator/manager.go
+++ b/operator/manager.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// headKey is the row that every confirmation writes, so that two of them never overlook each other.
-	headKey = "head"
-	// confirmTries is how often a confirmation is tried again when another plan was confirmed in between.
-	confirmTries = 5
+	// activeListKey is the row that every confirmation writes, so that two of them never overlook each other.
+	activeListKey = "head"
+	// maxCommitAttempts is how often a confirmation is tried again when another plan was confirmed in between.
+	maxCommitAttempts = 5
 )
 
 // Errors of operators' calls.
@@ -38,67 +38,67 @@
 	return strings.Join(append([]string{re.Message}, re.Findings...), "; ")
 }
 
-// Head is the row that lists the plans that may hold instances.
-type Head struct {
+// ActiveList is the row that lists the plans that may hold instances.
+type ActiveList struct {
 	Active []table.PlanID `json:"active"`
 }
 
-// Desk takes intents and turns them into plans that operators confirm.
-type Desk struct {
+// Manager takes intents and turns them into plans that operators confirm.
+type Manager struct {
 	table    table.Table
 	platform Platform
-	rows     Rows
+	cache    RowCache
 	planner  func() Planner
 	now      func() time.Time
 }
 
-// NewDesk returns a desk; the planner is asked for at each proposal, so that its weights can change.
-func NewDesk(table table.Table, pf Platform, rows Rows, planner func() Planner, now func() time.Time) *Desk {
-	return &Desk{table: table, platform: pf, rows: rows, planner: planner, now: now}
+// NewManager returns a desk; the planner is asked for at each proposal, so that its weights can change.
+func NewManager(table table.Table, pf Platform, rows RowCache, planner func() Planner, now func() time.Time) *Manager {
+	return &Manager{table: table, platform: pf, cache: rows, planner: planner, now: now}
 }
 
-// fleet returns the fleet as the table is now; it reads on from the snapshot, so that the operator's own last call is in it.
-func (dk *Desk) fleet(ctx context.Context) (*table.Snapshot, *Fleet, error) {
-	cs, err := dk.table.Changes(ctx, dk.rows.Snapshot().Version, table.FeedTables)
+// loadFleet returns the loadFleet as the table is now; it reads on from the snapshot, so that the operator's own last call is in it.
+func (mg *Manager) loadFleet(ctx context.Context) (*table.Snapshot, *Fleet, error) {
+	cs, err := mg.table.Changes(ctx, mg.cache.Snapshot().Version, table.FeedTables)
 	if err != nil {
 		return nil, nil, err
 	}
-	dk.rows.Merge(cs.Rows, cs.Version)
-	usage, err := dk.platform.Usage(ctx)
+	mg.cache.Merge(cs.Rows, cs.Version)
+	usage, err := mg.platform.Usage(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
-	sn := dk.rows.Snapshot()
-	return sn, FleetOf(sn, usage), nil
+	sn := mg.cache.Snapshot()
+	return sn, NewFleet(sn, usage), nil
 }
 
 // Propose makes a plan for an intent and keeps it until it is confirmed.
-func (dk *Desk) Propose(ctx context.Context, author Name, it Intent) (*Plan, error) {
-	_, ft, err := dk.fleet(ctx)
+func (mg *Manager) Propose(ctx context.Context, author Name, it Intent) (*Plan, error) {
+	_, ft, err := mg.loadFleet(ctx)
 	if err != nil {
 		return nil, err
 	}
-	planner := dk.planner()
+	planner := mg.planner()
 	pn, findings := planner.Propose(ft, it)
 	if len(findings) > 0 {
 		return nil, &RefusedError{Message: "no plan can be made", Findings: findings}
 	}
-	pn.ID, pn.Author, pn.CreatedAt = table.PlanID(table.NewID()), author, dk.now().UTC()
-	if err := dk.write(ctx, author, "propose", pn, 0); err != nil {
+	pn.ID, pn.Author, pn.CreatedAt = table.PlanID(table.NewID()), author, mg.now().UTC()
+	if err := mg.write(ctx, author, "propose", pn, 0); err != nil {
 		return nil, err
 	}
 	return pn, nil
 }
 
 // write puts a plan's row over a version, with its line of audit.
-func (dk *Desk) write(ctx context.Context, author Name, action string, pn *Plan, over table.Version, more ...table.Write) error {
+func (mg *Manager) write(ctx context.Context, author Name, action string, pn *Plan, expected table.Version, more ...table.Write) error {
 	raw, err := table.Encode(pn)
 	if err != nil {
 		return err
 	}
-	writes := append([]table.Write{{Table: table.TablePlan, Key: string(pn.ID), IfVersion: over, Value: raw}}, more...)
-	au := table.Audit{Actor: string(author), Action: action, Subject: "plan " + string(pn.ID), Why: pn.Intent.Why, Plan: string(pn.ID), At: dk.now().UTC()}
-	version, err := table.CommitOnce(ctx, dk.table, au, writes...)
+	writes := append([]table.Write{{Table: table.TablePlan, Key: string(pn.ID), IfVersion: expected, Value: raw}}, more...)
+	au := table.Audit{Actor: string(author), Action: action, Subject: "plan " + string(pn.ID), Why: pn.Intent.Why, Plan: string(pn.ID), At: mg.now().UTC()}
+	version, err := table.CommitOnce(ctx, mg.table, au, writes...)
 	if err != nil {
 		return err
 	}
@@ -106,15 +106,15 @@
 	for ix, wt := range writes {
 		rows[ix] = table.Row{Table: wt.Table, Key: wt.Key, Version: version, Value: wt.Value}
 	}
-	dk.rows.Committed(rows)
+	mg.cache.Committed(rows)
 	return nil
 }
 
 // Confirm starts a plan if the fleet is still as the plan was made from; confirming twice is the same as once.
-func (dk *Desk) Confirm(ctx context.Context, author Name, id table.PlanID) (*Plan, error) {
+func (mg *Manager) Confirm(ctx context.Context, author Name, id table.PlanID) (*Plan, error) {
 	var conflict *table.ConflictError
-	for range confirmTries {
-		pn, err := dk.confirm(ctx, author, id)
+	for range maxCommitAttempts {
+		pn, err := mg.confirm(ctx, author, id)
 		if !errors.As(err, &conflict) {
 			return pn, err
 		}
@@ -122,56 +122,56 @@
 	return nil, eris.Wrap(ErrState, "other plans are being confirmed; try again")
 }
 
-func (dk *Desk) confirm(ctx context.Context, author Name, id table.PlanID) (*Plan, error) {
-	sn, ft, err := dk.fleet(ctx)
+func (mg *Manager) confirm(ctx context.Context, author Name, id table.PlanID) (*Plan, error) {
+	sn, ft, err := mg.loadFleet(ctx)
 	if err != nil {
 		return nil, err
 	}
-	pn, version, err := planOf(sn, id)
+	pn, version, err := findPlan(sn, id)
 	if err != nil {
 		return nil, err
 	}
 	if pn.Status != PlanProposed {
-		return pn, confirmedBefore(pn)
+		return pn, checkConfirmed(pn)
 	}
-	if differences := Differences(pn.Base, Facts(ft, pn)); len(differences) > 0 {
+	if differences := Differences(pn.Preconditions, Preconditions(ft, pn)); len(differences) > 0 {
 		return nil, &RefusedError{Message: "the fleet has changed since the plan was made; propose it again", Findings: differences}
 	}
 	if conflicts := Conflicts(activePlans(sn), pn); len(conflicts) > 0 {
 		return nil, &RefusedError{Message: "another plan has instances of this one", Findings: conflicts}
 	}
 	pn.Status = PlanRunning
-	head, err := headWrite(sn, pn.ID)
+	head, err := activeListWrite(sn, pn.ID)
 	if err != nil {
 		return nil, err
 	}
-	return pn, dk.write(ctx, author, "confirm", pn, version, head)
+	return pn, mg.write(ctx, author, "confirm", pn, version, head)
 }
 
-// confirmedBefore returns no error for a plan that is under way or done.
-func confirmedBefore(pn *Plan) error {
+// checkConfirmed returns no error for a plan that is under way or done.
+func checkConfirmed(pn *Plan) error {
 	if pn.Status == PlanAborted || pn.Status == PlanAborting {
 		return eris.Wrapf(ErrState, "plan is %s", pn.Status)
 	}
 	return nil
 }
 
-// headWrite adds a plan to the active ones.
-func headWrite(sn *table.Snapshot, id table.PlanID) (table.Write, error) {
-	rw := sn.Rows[table.RowKey{Table: table.TablePlan, Key: headKey}]
-	var head Head
+// activeListWrite adds a plan to the active ones.
+func activeListWrite(sn *table.Snapshot, id table.PlanID) (table.Write, error) {
+	rw := sn.Rows[table.RowKey{Table: table.TablePlan, Key: activeListKey}]
+	var head ActiveList
 	for _, pn := range activePlans(sn) {
 		head.Active = append(head.Active, pn.ID)
 	}
 	head.Active = append(head.Active, id)
 	raw, err := table.Encode(head)
-	return table.Write{Table: table.TablePlan, Key: headKey, IfVersion: rw.Version, Value: raw}, err
+	return table.Write{Table: table.TablePlan, Key: activeListKey, IfVersion: rw.Version, Value: raw}, err
 }
 
-// planOf returns a plan and the version of its row.
-func planOf(sn *table.Snapshot, id table.PlanID) (*Plan, table.Version, error) {
+// findPlan returns a plan and the version of its row.
+func findPlan(sn *table.Snapshot, id table.PlanID) (*Plan, table.Version, error) {
 	rw, known := sn.Rows[table.RowKey{Table: table.TablePlan, Key: string(id)}]
-	if !known || rw.Deleted || string(id) == headKey {
+	if !known || rw.Deleted || string(id) == activeListKey {
 		return nil, 0, eris.Wrapf(ErrNotFound, "plan %s", id)
 	}
 	pn, err := table.Decode[Plan](rw)
@@ -206,14 +206,14 @@
 }
 
 // Change pauses, resumes or aborts a plan; doing so twice is the same as once.
-func (dk *Desk) Change(ctx context.Context, author Name, id table.PlanID, call string) (*Plan, error) {
+func (mg *Manager) Change(ctx context.Context, author Name, id table.PlanID, call string) (*Plan, error) {
 	tr, known := transitions[call]
 	if !known {
 		return nil, eris.Wrapf(ErrNotFound, "call %s", call)
 	}
 	var conflict *table.ConflictError
-	for range confirmTries {
-		pn, err := dk.change(ctx, author, id, call, tr.from, tr.to)
+	for range maxCommitAttempts {
+		pn, err := mg.change(ctx, author, id, call, tr.from, tr.to)
 		if !errors.As(err, &conflict) {
 			return pn, err
 		}
@@ -221,12 +221,12 @@
 	return nil, eris.Wrap(ErrState, "the plan is being changed; try again")
 }
 
-func (dk *Desk) change(ctx context.Context, author Name, id table.PlanID, call string, from []PlanStatus, to PlanStatus) (*Plan, error) {
-	sn, _, err := dk.fleet(ctx)
+func (mg *Manager) change(ctx context.Context, author Name, id table.PlanID, call string, from []PlanStatus, to PlanStatus) (*Plan, error) {
+	sn, _, err := mg.loadFleet(ctx)
 	if err != nil {
 		return nil, err
 	}
-	pn, version, err := planOf(sn, id)
+	pn, version, err := findPlan(sn, id)
 	if err != nil {
 		return nil, err
 	}
@@ -241,5 +241,5 @@
 		to = PlanAborted
 	}
 	pn.Status = to
-	return pn, dk.write(ctx, author, call, pn, version)
+	return pn, mg.write(ctx, author, call, pn, version)
 }
--- a/operator/manager_test.go
+++ b/operator/manager_test.go
@@ -13,11 +13,11 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// TestTwoConfirmationsNeverOverlookEachOther lets two operators read the same state before either writes.
-func TestTwoConfirmationsNeverOverlookEachOther(t *testing.T) {
+// TestConcurrentConfirmationsOfOneInstanceConflict lets two operators read the same state before either writes.
+func TestConcurrentConfirmationsOfOneInstanceConflict(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		wd := newWorld(t, rand.New(rand.NewPCG(1, 1)))
+		wd := newFakePlatform(t, rand.New(rand.NewPCG(1, 1)))
 		wd.put(table.TableService, "s", table.Service{ID: "s", Asked: 4, Budget: 2, Connections: 64})
 		for _, id := range []table.InstanceID{"w1", "w2", "w3", "w4"} {
 			wd.put(table.TableInstance, string(id), table.Instance{ID: id, State: table.InstanceServing, Epoch: 1, Services: []table.ServiceID{"s"}})
@@ -25,7 +25,7 @@
 		var wg sync.WaitGroup
 		errs := make([]error, 2)
 		for ix, why := range []string{"kernel", "firmware"} {
-			desk := operator.NewDesk(wd, wd, wd.view(ctx, time.Second), func() operator.Planner { return operator.Planner{} }, time.Now)
+			desk := operator.NewManager(wd, wd, wd.startWatcher(ctx, time.Second), func() operator.Planner { return operator.Planner{} }, time.Now)
 			time.Sleep(2 * time.Second)
 			pn, err := desk.Propose(ctx, operator.Name(why), operator.Intent{Kind: operator.KindReboot, Instances: []table.InstanceID{"w1", "w2"}, Why: why})
 			if err != nil {
@@ -49,18 +49,18 @@
 // maxCommits bounds the transactions for each instance of a reboot: closing, leaving, drained, stopped, serving.
 const maxCommits = 5
 
-func TestWritesOfAStep(t *testing.T) {
+func TestCommitsPerInstanceOfAReboot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		wd := newWorld(t, rand.New(rand.NewPCG(1, 1)))
+		wd := newFakePlatform(t, rand.New(rand.NewPCG(1, 1)))
 		wd.put(table.TableService, "s", table.Service{ID: "s", Asked: 6, Budget: 2, Connections: 64})
 		for _, id := range []table.InstanceID{"w1", "w2", "w3", "w4", "w5", "w6"} {
 			wd.put(table.TableInstance, string(id), table.Instance{ID: id, Address: string(id), State: table.InstanceServing, Epoch: 1, Services: []table.ServiceID{"s"}})
 			wd.usage[id] = map[table.ServiceID]int{"s": 2}
 		}
-		view := wd.view(ctx, time.Second)
-		desk := operator.NewDesk(wd, wd, view, func() operator.Planner { return operator.Planner{} }, time.Now)
-		ex := operator.NewExecutor(wd, wd, view, wd, wd, operator.ExecutorOptions{Entry: "e1", Incarnation: "i", LeaseFor: time.Hour})
+		view := wd.startWatcher(ctx, time.Second)
+		desk := operator.NewManager(wd, wd, view, func() operator.Planner { return operator.Planner{} }, time.Now)
+		ex := operator.NewExecutor(wd, wd, view, wd, wd, operator.ExecutorOptions{Entry: "e1", Incarnation: "i", LeaseDuration: time.Hour})
 		time.Sleep(2 * time.Second)
 		pn, err := desk.Propose(ctx, "alice", operator.Intent{Kind: operator.KindReboot, Instances: []table.InstanceID{"w1", "w2", "w3"}, Why: "kernel"})
 		if err != nil {
@@ -75,8 +75,8 @@
 		const ends = 2 // the plan's own end, and the lease with and without a reason to wait
 		steps := wd.commits - before - ends
 		t.Logf("%d transactions for 3 instances, %d sessions moved of 6", steps, wd.moved)
-		if steps > 3*maxCommits+6 || wd.moved != 6 || len(wd.broken) > 0 {
-			t.Errorf("%d transactions, %d sessions moved, %v", steps, wd.moved, wd.broken)
+		if steps > 3*maxCommits+6 || wd.moved != 6 || len(wd.violations) > 0 {
+			t.Errorf("%d transactions, %d sessions moved, %v", steps, wd.moved, wd.violations)
 		}
 		cancel()
 		time.Sleep(time.Minute)
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -22,8 +22,8 @@
 // Name is an operator's name, as it stands in the audit trail.
 type Name string
 
-// Snapshots returns the newest snapshot.
-type Snapshots interface {
+// SnapshotSource returns the newest snapshot.
+type SnapshotSource interface {
 	Snapshot() *table.Snapshot
 	Reached() bool
 }
@@ -49,13 +49,13 @@
 	Pool  table.PoolID        `json:"pool"`
 	State table.InstanceState `json:"state"`
 	// Listed tells whether the membership names it.
-	Listed bool `json:"listed"`
-	Open   int  `json:"open"`
-	Queued int  `json:"queued"`
+	Listed   bool `json:"listed"`
+	InFlight int  `json:"open"`
+	Queued   int  `json:"queued"`
 }
 
-// Endpoints tells what goes to an instance.
-type Endpoints interface {
+// InFlightCounter tells what goes to an instance.
+type InFlightCounter interface {
 	InFlight(id table.InstanceID) (open, queued int)
 }
 
@@ -95,21 +95,21 @@
 // Server answers operators.
 type Server struct {
 	opts      Options
-	snapshots Snapshots
-	endpoints Endpoints
+	snapshots SnapshotSource
+	endpoints InFlightCounter
 	table     table.Table
-	desk      *Desk
-	versions  Versions
+	manager   *Manager
+	versions  VersionCollector
 	operators atomic.Pointer[[]settings.Operator]
 }
 
 // NewServer returns a server.
-func NewServer(snapshots Snapshots, endpoints Endpoints, table table.Table, desk *Desk, versions Versions, options ...Option) *Server {
+func NewServer(snapshots SnapshotSource, endpoints InFlightCounter, table table.Table, desk *Manager, versions VersionCollector, options ...Option) *Server {
 	opts := Options{Registry: metrics.NewRegistry(), Log: event.Nop()}
 	for _, option := range options {
 		option(&opts)
 	}
-	sv := &Server{opts: opts, snapshots: snapshots, endpoints: endpoints, table: table, desk: desk, versions: versions}
+	sv := &Server{opts: opts, snapshots: snapshots, endpoints: endpoints, table: table, manager: desk, versions: versions}
 	sv.SetOperators(opts.Operators)
 	return sv
 }
@@ -122,8 +122,8 @@
 // operatorKey is the context key of the operator's name.
 type operatorKey struct{}
 
-// operatorOf returns the name of the operator that a call came from.
-func operatorOf(ctx context.Context) Name {
+// operatorFromContext returns the name of the operator that a call came from.
+func operatorFromContext(ctx context.Context) Name {
 	name, _ := ctx.Value(operatorKey{}).(Name)
 	return name
 }
@@ -135,7 +135,7 @@
 	mux.HandleFunc("GET /v1/metrics", sv.metrics)
 	mux.HandleFunc("GET /v1/audit", sv.auditTrail)
 	mux.HandleFunc("GET /v1/settings", sv.configuration)
-	mux.HandleFunc("PUT /v1/settings", sv.accept)
+	mux.HandleFunc("PUT /v1/settings", sv.acceptConfiguration)
 	mux.HandleFunc("GET /v1/jobs", sv.jobs)
 	mux.HandleFunc("POST /v1/jobs", sv.submitJobs)
 	mux.HandleFunc("POST /v1/jobs/cancel", sv.cancelJobs)
@@ -145,13 +145,13 @@
 	mux.HandleFunc("GET /v1/plans/{id}", sv.plan)
 	mux.HandleFunc("POST /v1/plans/{id}/confirm", sv.confirm)
 	mux.HandleFunc("POST /v1/plans/{id}/{call}", sv.change)
-	return sv.authorize(mux)
+	return sv.authenticate(mux)
 }
 
-// authorize lets calls with a known token through and notes whose it is.
-func (sv *Server) authorize(next http.Handler) http.Handler {
+// authenticate lets calls with a known token through and notes whose it is.
+func (sv *Server) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(wr http.ResponseWriter, rq *http.Request) {
-		name, ok := sv.nameOf(rq.Header.Get("Authorization"))
+		name, ok := sv.operatorByToken(rq.Header.Get("Authorization"))
 		if !ok {
 			sv.opts.Log.Emit(event.OperatorRejected, zap.String("from", rq.RemoteAddr))
 			writeJSON(wr, http.StatusUnauthorized, Problem{Message: "unknown operator token"})
@@ -161,8 +161,8 @@
 	})
 }
 
-// nameOf compares with every token in a time that does not depend on them.
-func (sv *Server) nameOf(header string) (Name, bool) {
+// operatorByToken compares with every token in a time that does not depend on them.
+func (sv *Server) operatorByToken(header string) (Name, bool) {
 	token, found := strings.CutPrefix(header, bearer)
 	var name Name
 	matched := false
@@ -186,7 +186,7 @@
 	st := Status{Entry: sv.opts.Entry, Incarnation: sv.opts.Incarnation, Hall: sv.opts.Hall, Version: sn.Version, Platform: sv.snapshots.Reached(), Rejected: sn.Rejected, Instances: []InstanceStatus{}}
 	for _, in := range sn.SortedInstances() {
 		open, queued := sv.endpoints.InFlight(in.ID)
-		st.Instances = append(st.Instances, InstanceStatus{ID: in.ID, Hall: in.Hall, Rack: in.Rack, Pool: in.Pool, State: in.State, Listed: !sn.Gone(in.ID), Open: open, Queued: queued})
+		st.Instances = append(st.Instances, InstanceStatus{ID: in.ID, Hall: in.Hall, Rack: in.Rack, Pool: in.Pool, State: in.State, Listed: !sn.Gone(in.ID), InFlight: open, Queued: queued})
 	}
 	writeJSON(wr, http.StatusOK, st)
 }
--- a/operator/plan.go
+++ b/operator/plan.go
@@ -62,17 +62,17 @@
 
 // Plan is the row of a plan; what is done with each instance stands in the instance's own row.
 type Plan struct {
-	ID        table.PlanID `json:"id"`
-	Intent    Intent       `json:"intent"`
-	Author    Name         `json:"author"`
-	CreatedAt time.Time    `json:"createdAt"`
-	Status    PlanStatus   `json:"status"`
-	Strategy  Strategy     `json:"strategy"`
-	Waves     []Wave       `json:"waves"`
-	Estimate  Estimate     `json:"estimate"`
-	Touches   []Touch      `json:"touches"`
-	// Base is what the plan was made from.
-	Base []Fact `json:"base"`
+	ID            table.PlanID   `json:"id"`
+	Intent        Intent         `json:"intent"`
+	Author        Name           `json:"author"`
+	CreatedAt     time.Time      `json:"createdAt"`
+	Status        PlanStatus     `json:"status"`
+	Strategy      Strategy       `json:"strategy"`
+	Waves         []Wave         `json:"waves"`
+	Estimate      Estimate       `json:"estimate"`
+	BudgetImpacts []BudgetImpact `json:"touches"`
+	// Preconditions is what the plan was made from.
+	Preconditions []Precondition `json:"base"`
 	// version is that of the row which the plan was decoded from; whatever is decided from the plan holds only while the row is at it.
 	version table.Version
 }
@@ -80,8 +80,8 @@
 // Wave is the instances that are out of service together.
 type Wave struct {
 	Instances []table.InstanceID `json:"instances"`
-	// NaturalOnly says that sessions cannot be moved without moving them again, so that the wave waits until they have ended.
-	NaturalOnly bool `json:"naturalOnly,omitempty"`
+	// AwaitSessionEnd says that sessions cannot be moved without moving them again, so that the wave waits until they have ended.
+	AwaitSessionEnd bool `json:"naturalOnly,omitempty"`
 }
 
 // Strategy is how a plan trades moves, buffer and time.
@@ -92,8 +92,8 @@
 	CloseMs int64 `json:"closeMs"`
 }
 
-// closeFor returns the time for natural ends.
-func (sg Strategy) closeFor() time.Duration {
+// closeDuration returns the time for natural ends.
+func (sg Strategy) closeDuration() time.Duration {
 	return time.Duration(sg.CloseMs) * time.Millisecond
 }
 
@@ -104,21 +104,21 @@
 	// BufferPeak is the most instances out of use at once; BufferHours sums the unused hours of instances.
 	BufferPeak  int     `json:"bufferPeak"`
 	BufferHours float64 `json:"bufferHours"`
-	// LengthMs is the expected length in milliseconds.
-	LengthMs int64 `json:"lengthMs"`
+	// DurationMs is the expected length in milliseconds.
+	DurationMs int64 `json:"lengthMs"`
 }
 
-// Touch is how close a plan comes to a service's budget.
-type Touch struct {
+// BudgetImpact is how close a plan comes to a service's budget.
+type BudgetImpact struct {
 	Service table.ServiceID `json:"service"`
 	Asked   int             `json:"asked"`
 	Budget  int             `json:"budget"`
-	// MostOut is the most instances of the service that are out at once, those already out among them.
-	MostOut int `json:"mostOut"`
+	// MaxOut is the most instances of the service that are out at once, those already out among them.
+	MaxOut int `json:"mostOut"`
 }
 
-// Fact is something that a plan relies on.
-type Fact struct {
+// Precondition is something that a plan relies on.
+type Precondition struct {
 	Subject string `json:"subject"`
 	Value   string `json:"value"`
 }
--- a/operator/planner.go
+++ b/operator/planner.go
@@ -9,11 +9,11 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// parallelSteps makes the numbers that are weighed grow by a quarter, so that large fleets need few.
-const parallelSteps = 4
+// parallelGrowthDivisor makes the numbers that are weighed grow by a quarter, so that large fleets need few.
+const parallelGrowthDivisor = 4
 
-// tooLong is the cost of each hour of a plan that takes longer than allowed, above any weight.
-const tooLong = 1e9
+// overtimeCostPerHour is the cost of each hour of a plan that takes longer than allowed, above any weight.
+const overtimeCostPerHour = 1e9
 
 // Weights say how much an operator minds each cost.
 type Weights struct {
@@ -25,22 +25,22 @@
 	Time float64
 }
 
-// Pace is how long things take.
-type Pace struct {
-	// SessionLength is the mean length of a session.
-	SessionLength time.Duration
-	// RebootTime is how long an instance takes to stop and start.
-	RebootTime time.Duration
-	// CloseTimes are the times for natural ends that may be chosen.
-	CloseTimes []time.Duration
-	// Longest is how long a roll-out may take; 0 sets no bound.
-	Longest time.Duration
+// Timing is how long things take.
+type Timing struct {
+	// MeanSessionDuration is the mean length of a session.
+	MeanSessionDuration time.Duration
+	// RebootDuration is how long an instance takes to stop and start.
+	RebootDuration time.Duration
+	// CloseDurations are the times for natural ends that may be chosen.
+	CloseDurations []time.Duration
+	// MaxPlanDuration is how long a roll-out may take; 0 sets no bound.
+	MaxPlanDuration time.Duration
 }
 
 // Planner makes plans; it does no input or output.
 type Planner struct {
 	Weights Weights
-	Pace    Pace
+	Timing  Timing
 }
 
 // Propose returns the cheapest plan for an intent, or the findings that forbid any.
@@ -49,7 +49,7 @@
 	if len(findings) > 0 {
 		return nil, findings
 	}
-	if findings := pl.impossible(ft, it, targets); len(findings) > 0 {
+	if findings := pl.permanentViolations(ft, it, targets); len(findings) > 0 {
 		return nil, findings
 	}
 	var best *Plan
@@ -61,8 +61,8 @@
 		}
 	}
 	best.Intent, best.Status = it, PlanProposed
-	best.Touches = touches(ft, best)
-	best.Base = Facts(ft, best)
+	best.BudgetImpacts = budgetImpacts(ft, best)
+	best.Preconditions = Preconditions(ft, best)
 	return best, nil
 }
 
@@ -84,7 +84,7 @@
 	}
 	var targets []*table.Instance
 	for _, in := range ft.Instances {
-		if named(it, in) && wanted(it, in) {
+		if selects(it, in) && needsChange(it, in) {
 			targets = append(targets, in)
 		}
 	}
@@ -99,12 +99,12 @@
 	return targets, findings
 }
 
-func named(it Intent, in *table.Instance) bool {
+func selects(it Intent, in *table.Instance) bool {
 	return slices.Contains(it.Instances, in.ID) || slices.Contains(it.Racks, in.Rack) || slices.Contains(it.Pools, in.Pool) || slices.Contains(it.Halls, in.Hall)
 }
 
-// wanted leaves out instances that are already as the intent wants them.
-func wanted(it Intent, in *table.Instance) bool {
+// needsChange leaves out instances that are already as the intent wants them.
+func needsChange(it Intent, in *table.Instance) bool {
 	switch it.Kind {
 	case KindReturn:
 		return in.State == table.InstanceIdle
@@ -118,22 +118,22 @@
 
 // strategies returns the ways that are weighed.
 func (pl *Planner) strategies(ft *Fleet, it Intent, targets []*table.Instance) []Strategy {
-	closeTimes := pl.Pace.CloseTimes
-	if len(closeTimes) == 0 || it.Kind == KindReturn {
-		closeTimes = []time.Duration{0}
+	closeDurations := pl.Timing.CloseDurations
+	if len(closeDurations) == 0 || it.Kind == KindReturn {
+		closeDurations = []time.Duration{0}
 	}
-	most := min(len(targets), max(1, largestBudget(ft, targets)))
+	maxParallel := min(len(targets), max(1, totalBudget(ft, targets)))
 	var strategies []Strategy
-	for parallel := 1; parallel <= most; parallel += max(1, parallel/parallelSteps) {
-		for _, wait := range closeTimes {
-			strategies = append(strategies, Strategy{Parallel: parallel, CloseMs: wait.Milliseconds()})
+	for parallel := 1; parallel <= maxParallel; parallel += max(1, parallel/parallelGrowthDivisor) {
+		for _, closeDuration := range closeDurations {
+			strategies = append(strategies, Strategy{Parallel: parallel, CloseMs: closeDuration.Milliseconds()})
 		}
 	}
 	return strategies
 }
 
-// largestBudget sums the budgets of the targets' services, the most that can be out together.
-func largestBudget(ft *Fleet, targets []*table.Instance) int {
+// totalBudget sums the budgets of the targets' services, the most that can be out together.
+func totalBudget(ft *Fleet, targets []*table.Instance) int {
 	seen := map[table.ServiceID]bool{}
 	sum := 0
 	for _, in := range targets {
@@ -149,17 +149,17 @@
 
 // cost weighs an estimate; a plan that takes longer than allowed is chosen only if none is shorter.
 func (pl *Planner) cost(es Estimate) float64 {
-	length := time.Duration(es.LengthMs) * time.Millisecond
-	cost := pl.Weights.Moves*float64(es.Moves) + pl.Weights.Buffer*float64(es.BufferPeak) + pl.Weights.Time*length.Hours()
-	if pl.Pace.Longest > 0 && length > pl.Pace.Longest {
-		cost += tooLong * length.Hours()
+	duration := time.Duration(es.DurationMs) * time.Millisecond
+	cost := pl.Weights.Moves*float64(es.Moves) + pl.Weights.Buffer*float64(es.BufferPeak) + pl.Weights.Time*duration.Hours()
+	if pl.Timing.MaxPlanDuration > 0 && duration > pl.Timing.MaxPlanDuration {
+		cost += overtimeCostPerHour * duration.Hours()
 	}
 	return cost
 }
 
-// impossible returns the budgets that an intent would break for good.
-func (pl *Planner) impossible(ft *Fleet, it Intent, targets []*table.Instance) []string {
-	if !it.Kind.forGood() {
+// permanentViolations returns the budgets that an intent would break for good.
+func (pl *Planner) permanentViolations(ft *Fleet, it Intent, targets []*table.Instance) []string {
+	if !it.Kind.permanent() {
 		return nil
 	}
 	out := map[table.ServiceID]int{}
@@ -176,67 +176,67 @@
 		if sv == nil {
 			continue
 		}
-		if left, least := ft.usableOf(sv)-count, sv.Asked-sv.Budget; left < least {
-			findings = append(findings, fmt.Sprintf("service %s would keep %d usable instances and needs %d", id, left, least))
+		if remaining, required := ft.usableCount(sv)-count, sv.Asked-sv.Budget; remaining < required {
+			findings = append(findings, fmt.Sprintf("service %s would keep %d usable instances and needs %d", id, remaining, required))
 		}
 	}
 	slices.Sort(findings)
 	return findings
 }
 
-// forGood reports whether instances do not come back to their services.
-func (kd Kind) forGood() bool {
+// permanent reports whether instances do not come back to their services.
+func (kd Kind) permanent() bool {
 	return kd == KindDrain || kd == KindMove
 }
 
-// remaining returns how many of so many sessions are still open after the time for natural ends.
-func (pl *Planner) remaining(sessions int, sg Strategy) int {
-	if pl.Pace.SessionLength <= 0 {
+// remainingSessions returns how many of so many sessions are still open after the time for natural ends.
+func (pl *Planner) remainingSessions(sessions int, sg Strategy) int {
+	if pl.Timing.MeanSessionDuration <= 0 {
 		return sessions
 	}
-	return int(math.Ceil(float64(sessions) * math.Exp(-sg.closeFor().Seconds()/pl.Pace.SessionLength.Seconds())))
+	return int(math.Ceil(float64(sessions) * math.Exp(-sg.closeDuration().Seconds()/pl.Timing.MeanSessionDuration.Seconds())))
 }
 
 // estimate returns what a plan is expected to cost.
 func (pl *Planner) estimate(ft *Fleet, it Intent, pn *Plan) Estimate {
 	var es Estimate
-	var length time.Duration
+	var duration time.Duration
 	for _, wv := range pn.Waves {
-		wait, sessions := pn.Strategy.closeFor(), 0
+		wait, sessions := pn.Strategy.closeDuration(), 0
 		for _, id := range wv.Instances {
-			open := ft.open(id)
-			if wv.NaturalOnly {
-				wait = max(wait, pl.untilNone(open))
+			count := ft.sessionCount(id)
+			if wv.AwaitSessionEnd {
+				wait = max(wait, pl.timeUntilEmpty(count))
 				continue
 			}
-			sessions += pl.remaining(open, pn.Strategy)
+			sessions += pl.remainingSessions(count, pn.Strategy)
 		}
 		if it.Kind != KindReturn {
 			es.Moves += sessions
 		}
-		length += wait + pl.Pace.RebootTime
+		duration += wait + pl.Timing.RebootDuration
 		es.BufferPeak = max(es.BufferPeak, len(wv.Instances))
-		es.BufferHours += float64(len(wv.Instances)) * (pl.idle(wait) + pl.Pace.RebootTime).Hours()
+		es.BufferHours += float64(len(wv.Instances)) * (pl.idleTime(wait) + pl.Timing.RebootDuration).Hours()
 	}
-	es.LengthMs = length.Milliseconds()
+	es.DurationMs = duration.Milliseconds()
 	return es
 }
 
-// idle returns how much of an instance's time is unused while it takes no new sessions for so long: its sessions thin out exponentially.
-func (pl *Planner) idle(wait time.Duration) time.Duration {
-	length := pl.Pace.SessionLength
-	if length <= 0 || wait <= 0 {
+// idleTime returns how much of an instance's time is unused while it takes no new sessions for so long: its sessions thin out exponentially.
+func (pl *Planner) idleTime(wait time.Duration) time.Duration {
+	mean := pl.Timing.MeanSessionDuration
+	if mean <= 0 || wait <= 0 {
 		return 0
 	}
-	used := length.Seconds() * (1 - math.Exp(-wait.Seconds()/length.Seconds()))
+	used := mean.Seconds() * (1 - math.Exp(-wait.Seconds()/mean.Seconds()))
 	return wait - time.Duration(used*float64(time.Second))
 }
 
-// untilNone returns when the last of so many sessions is expected to end by itself.
-func (pl *Planner) untilNone(sessions int) time.Duration {
+// timeUntilEmpty returns when the last of so many sessions is expected to end by itself.
+func (pl *Planner) timeUntilEmpty(sessions int) time.Duration {
 	harmonic := 0.0
 	for number := 1; number <= sessions; number++ {
 		harmonic += 1 / float64(number)
 	}
-	return time.Duration(harmonic * float64(pl.Pace.SessionLength))
+	return time.Duration(harmonic * float64(pl.Timing.MeanSessionDuration))
 }
--- a/operator/step.go
+++ b/operator/step.go
@@ -9,53 +9,53 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// Move is the next thing to do with one instance of a plan.
-type Move string
+// Step is the next thing to do with one instance of a plan.
+type Step string
 
 // The moves.
 const (
-	// MoveNone means that the instance is finished or not touched.
-	MoveNone Move = "none"
-	// MoveWait means that something must come true first.
-	MoveWait Move = "wait"
-	// MoveClose stops new sessions.
-	MoveClose Move = "close"
-	// MoveLeave stops all new work, under the budgets.
-	MoveLeave Move = "leave"
-	// MoveDrain lets the platform make the worker refuse new work.
-	MoveDrain Move = "drain"
-	// MoveStop lets the platform stop or reboot the instance, once nothing is open.
-	MoveStop Move = "stop"
-	// MoveJoin puts the instance into service, in another pool if the plan says so.
-	MoveJoin Move = "join"
-	// MoveRest leaves the instance idle.
-	MoveRest Move = "rest"
+	// StepNone means that the instance is finished or not touched.
+	StepNone Step = "none"
+	// StepWait means that something must come true first.
+	StepWait Step = "wait"
+	// StepClose stops new sessions.
+	StepClose Step = "close"
+	// StepLeave stops all new work, under the budgets.
+	StepLeave Step = "leave"
+	// StepDrain lets the platform make the worker refuse new work.
+	StepDrain Step = "drain"
+	// StepStop lets the platform stop or reboot the instance, once nothing is open.
+	StepStop Step = "stop"
+	// StepJoin puts the instance into service, in another pool if the plan says so.
+	StepJoin Step = "join"
+	// StepIdle leaves the instance idle.
+	StepIdle Step = "rest"
 )
 
 // Decision is a move with what it waits for.
 type Decision struct {
-	Move   Move
+	Step   Step
 	Reason string
 }
 
 // Ack is what one entry instance says of an instance that leaves.
 type Ack struct {
 	Entry table.InstanceID
-	// Asked is false if the entry instance could not be asked.
-	Asked    bool
-	Seen     bool
-	InFlight int
-	Queued   int
+	// Reachable is false if the entry instance could not be asked.
+	Reachable bool
+	Seen      bool
+	InFlight  int
+	Queued    int
 }
 
-// clear reports whether nothing goes to the instance through the entry instance any more.
-func (ac Ack) clear() bool {
-	return ac.Asked && ac.Seen && ac.InFlight == 0 && ac.Queued == 0
+// idle reports whether nothing goes to the instance through the entry instance any more.
+func (ac Ack) idle() bool {
+	return ac.Reachable && ac.Seen && ac.InFlight == 0 && ac.Queued == 0
 }
 
 // String says what the entry instance still has.
 func (ac Ack) String() string {
-	if !ac.Asked {
+	if !ac.Reachable {
 		return fmt.Sprintf("entry instance %s cannot be asked", ac.Entry)
 	}
 	return fmt.Sprintf("entry instance %s: seen %t, %d in flight, %d queued", ac.Entry, ac.Seen, ac.InFlight, ac.Queued)
@@ -63,61 +63,61 @@
 
 // Input is all that a decision on one instance is made from.
 type Input struct {
-	Plan  *Plan
-	Wave  Wave
-	Fleet *Fleet
-	In    *table.Instance
-	Now   time.Time
+	Plan     *Plan
+	Wave     Wave
+	Fleet    *Fleet
+	Instance *table.Instance
+	Now      time.Time
 	// Acks holds what every listed entry instance says; nil if they were not asked.
 	Acks []Ack
-	// Quiet is the longest request time; an entry instance that left the membership unasked has ended its requests so long after the drain.
-	Quiet time.Duration
+	// MaxRequestDuration is the longest request time; an entry instance that left the membership unasked has ended its requests so long after the drain.
+	MaxRequestDuration time.Duration
 	// Up reports that the instance answers again after its reboot.
 	Up bool
-	// Successors tells whether the instance's sessions have somewhere to go.
-	Successors bool
+	// HasSuccessors tells whether the instance's sessions have somewhere to go.
+	HasSuccessors bool
 }
 
 // Decide returns the next move for one instance.
 func Decide(ip Input) Decision {
-	if ip.In.Hold == nil {
-		return decideFree(ip)
+	if ip.Instance.Hold == nil {
+		return decideUnheld(ip)
 	}
-	if ip.In.Hold.Plan != ip.Plan.ID {
-		return Decision{MoveWait, fmt.Sprintf("instance %s is held by plan %s", ip.In.ID, ip.In.Hold.Plan)}
+	if ip.Instance.Hold.Plan != ip.Plan.ID {
+		return Decision{StepWait, fmt.Sprintf("instance %s is held by plan %s", ip.Instance.ID, ip.Instance.Hold.Plan)}
 	}
 	if ip.Plan.Status == PlanAborting {
 		return decideAbort(ip)
 	}
-	switch ip.In.Hold.Phase {
+	switch ip.Instance.Hold.Phase {
 	case table.PhaseClosing:
 		return decideClosing(ip)
 	case table.PhaseLeaving:
-		return Decision{Move: MoveDrain}
+		return Decision{Step: StepDrain}
 	case table.PhaseDrained:
 		return decideDrained(ip)
 	case table.PhaseStopped:
 		return decideStopped(ip)
 	}
-	return Decision{MoveWait, fmt.Sprintf("instance %s is in unknown phase %s", ip.In.ID, ip.In.Hold.Phase)}
+	return Decision{StepWait, fmt.Sprintf("instance %s is in unknown phase %s", ip.Instance.ID, ip.Instance.Hold.Phase)}
 }
 
-// decideFree begins with an instance that no plan holds.
-func decideFree(ip Input) Decision {
+// decideUnheld begins with an instance that no plan holds.
+func decideUnheld(ip Input) Decision {
 	switch {
-	case ip.In.Done == ip.Plan.ID || ip.Plan.Status != PlanRunning:
-		return Decision{Move: MoveNone}
+	case ip.Instance.Done == ip.Plan.ID || ip.Plan.Status != PlanRunning:
+		return Decision{Step: StepNone}
 	case ip.Plan.Intent.Kind == KindReturn:
-		return Decision{Move: MoveJoin}
+		return Decision{Step: StepJoin}
 	}
 	// Closing takes nothing out of service yet, but what will not be admitted should not be begun.
-	if refusals := Admit(ip.Fleet, ip.In); len(refusals) > 0 {
-		return Decision{MoveWait, refusalText(ip.In.ID, refusals)}
+	if refusals := Admit(ip.Fleet, ip.Instance); len(refusals) > 0 {
+		return Decision{StepWait, refusalText(ip.Instance.ID, refusals)}
 	}
-	if ip.Plan.Strategy.CloseMs > 0 || ip.Wave.NaturalOnly || ip.Fleet.open(ip.In.ID) > 0 {
-		return Decision{Move: MoveClose}
+	if ip.Plan.Strategy.CloseMs > 0 || ip.Wave.AwaitSessionEnd || ip.Fleet.sessionCount(ip.Instance.ID) > 0 {
+		return Decision{Step: StepClose}
 	}
-	return Decision{Move: MoveLeave}
+	return Decision{Step: StepLeave}
 }
 
 func refusalText(id table.InstanceID, refusals []Refusal) string {
@@ -130,25 +130,25 @@
 
 // decideClosing waits for natural ends, for the plan's time or, where sessions cannot move, for all of them.
 func decideClosing(ip Input) Decision {
-	open := ip.Fleet.open(ip.In.ID)
-	waited := ip.Now.Sub(ip.In.Hold.Since)
+	open := ip.Fleet.sessionCount(ip.Instance.ID)
+	waited := ip.Now.Sub(ip.Instance.Hold.Since)
 	switch {
-	case open > 0 && ip.Wave.NaturalOnly && !ip.Successors:
-		return Decision{MoveWait, fmt.Sprintf("instance %s: %d sessions must end by themselves, since moving them would move them twice", ip.In.ID, open)}
-	case open > 0 && waited < ip.Plan.Strategy.closeFor():
-		return Decision{MoveWait, fmt.Sprintf("instance %s: %d sessions may end by themselves for %v more", ip.In.ID, open, (ip.Plan.Strategy.closeFor() - waited).Round(time.Second))}
-	case open > 0 && !ip.Successors:
-		return Decision{MoveWait, fmt.Sprintf("instance %s: no successor for %d sessions", ip.In.ID, open)}
+	case open > 0 && ip.Wave.AwaitSessionEnd && !ip.HasSuccessors:
+		return Decision{StepWait, fmt.Sprintf("instance %s: %d sessions must end by themselves, since moving them would move them twice", ip.Instance.ID, open)}
+	case open > 0 && waited < ip.Plan.Strategy.closeDuration():
+		return Decision{StepWait, fmt.Sprintf("instance %s: %d sessions may end by themselves for %v more", ip.Instance.ID, open, (ip.Plan.Strategy.closeDuration() - waited).Round(time.Second))}
+	case open > 0 && !ip.HasSuccessors:
+		return Decision{StepWait, fmt.Sprintf("instance %s: no successor for %d sessions", ip.Instance.ID, open)}
 	}
-	if refusals := Admit(ip.Fleet, ip.In); len(refusals) > 0 {
-		return Decision{MoveWait, refusalText(ip.In.ID, refusals)}
+	if refusals := Admit(ip.Fleet, ip.Instance); len(refusals) > 0 {
+		return Decision{StepWait, refusalText(ip.Instance.ID, refusals)}
 	}
-	return Decision{Move: MoveLeave}
+	return Decision{Step: StepLeave}
 }
 
-// vanished returns the first entry instance that was listed when the instance began to leave and cannot be asked any more.
-func vanished(ip Input) table.InstanceID {
-	for _, id := range ip.In.Hold.Entries {
+// departedEntry returns the first entry instance that was listed when the instance began to leave and cannot be asked any more.
+func departedEntry(ip Input) table.InstanceID {
+	for _, id := range ip.Instance.Hold.Entries {
 		listed := slices.ContainsFunc(ip.Acks, func(ac Ack) bool { return ac.Entry == id })
 		if !listed {
 			return id
@@ -159,42 +159,42 @@
 
 // decideDrained waits until no entry instance has anything for the instance.
 func decideDrained(ip Input) Decision {
-	var missing []string
+	var pending []string
 	for _, ac := range ip.Acks {
-		if !ac.clear() {
-			missing = append(missing, ac.String())
+		if !ac.idle() {
+			pending = append(pending, ac.String())
 		}
 	}
 	switch {
-	case len(missing) > 0:
-		return Decision{MoveWait, fmt.Sprintf("instance %s: %s", ip.In.ID, strings.Join(missing, "; "))}
-	case vanished(ip) != "" && ip.Now.Sub(ip.In.Hold.Since) < ip.Quiet:
-		return Decision{MoveWait, fmt.Sprintf("instance %s: entry instance %s left the membership unasked and may have requests open for %v more", ip.In.ID, vanished(ip), (ip.Quiet - ip.Now.Sub(ip.In.Hold.Since)).Round(time.Second))}
+	case len(pending) > 0:
+		return Decision{StepWait, fmt.Sprintf("instance %s: %s", ip.Instance.ID, strings.Join(pending, "; "))}
+	case departedEntry(ip) != "" && ip.Now.Sub(ip.Instance.Hold.Since) < ip.MaxRequestDuration:
+		return Decision{StepWait, fmt.Sprintf("instance %s: entry instance %s left the membership unasked and may have requests open for %v more", ip.Instance.ID, departedEntry(ip), (ip.MaxRequestDuration - ip.Now.Sub(ip.Instance.Hold.Since)).Round(time.Second))}
 	case ip.Plan.Intent.Kind == KindMove:
-		return Decision{Move: MoveJoin}
+		return Decision{Step: StepJoin}
 	}
-	return Decision{Move: MoveStop}
+	return Decision{Step: StepStop}
 }
 
 func decideStopped(ip Input) Decision {
 	switch {
 	case ip.Plan.Intent.Kind == KindDrain:
-		return Decision{Move: MoveRest}
+		return Decision{Step: StepIdle}
 	case !ip.Up:
-		return Decision{MoveWait, fmt.Sprintf("instance %s does not answer yet", ip.In.ID)}
+		return Decision{StepWait, fmt.Sprintf("instance %s does not answer yet", ip.Instance.ID)}
 	}
-	return Decision{Move: MoveJoin}
+	return Decision{Step: StepJoin}
 }
 
 // decideAbort brings an instance back to service, by the shortest way from where it is.
 func decideAbort(ip Input) Decision {
-	if ip.In.Hold.Phase == table.PhaseStopped && !ip.Up && ip.Plan.Intent.Kind != KindDrain {
-		return Decision{MoveWait, fmt.Sprintf("instance %s does not answer yet", ip.In.ID)}
+	if ip.Instance.Hold.Phase == table.PhaseStopped && !ip.Up && ip.Plan.Intent.Kind != KindDrain {
+		return Decision{StepWait, fmt.Sprintf("instance %s does not answer yet", ip.Instance.ID)}
 	}
-	if ip.In.Hold.Phase == table.PhaseStopped && ip.Plan.Intent.Kind == KindDrain {
-		return Decision{Move: MoveRest}
+	if ip.Instance.Hold.Phase == table.PhaseStopped && ip.Plan.Intent.Kind == KindDrain {
+		return Decision{Step: StepIdle}
 	}
-	return Decision{Move: MoveJoin}
+	return Decision{Step: StepJoin}
 }
 
 // currentWave returns the first wave that is not finished, negative if all are.
@@ -210,8 +210,8 @@
 	return -1
 }
 
-// mayTake reports whether sessions of a plan's instances may be given to another instance: the plan is finished with it or does not touch it, and no other plan is about to.
-func mayTake(pn *Plan, others []*Plan, in *table.Instance) bool {
+// canTakeSessions reports whether sessions of a plan's instances may be given to another instance: the plan is finished with it or does not touch it, and no other plan is about to.
+func canTakeSessions(pn *Plan, others []*Plan, in *table.Instance) bool {
 	if in.Hold != nil {
 		return false
 	}
--- a/operator/waves_test.go
+++ b/operator/waves_test.go
@@ -15,92 +15,92 @@
 // rollout is what a maintenance of a whole fleet cost.
 type rollout struct {
 	moves       int
-	twice       int
+	movedAgain  int
 	bufferPeak  int
 	bufferHours float64
-	length      time.Duration
+	duration    time.Duration
 	breaches    int
 	waves       int
 }
 
 // String returns the figures in one line.
 func (ro rollout) String() string {
-	return fmt.Sprintf("moves %d (%d of them again), buffer peak %d, buffer %.1f instance hours, roll-out %v in %d waves, budget breaches %d", ro.moves, ro.twice, ro.bufferPeak, ro.bufferHours, ro.length.Round(time.Minute), ro.waves, ro.breaches)
+	return fmt.Sprintf("moves %d (%d of them again), buffer peak %d, buffer %.1f instance hours, roll-out %v in %d waves, budget breaches %d", ro.moves, ro.movedAgain, ro.bufferPeak, ro.bufferHours, ro.duration.Round(time.Minute), ro.waves, ro.breaches)
 }
 
-// crowd is the sessions of a fleet, each with the number of moves it has had.
-type crowd struct {
-	ft   *Fleet
-	rnd  *rand.Rand
-	pace Pace
-	at   map[table.InstanceID][]int
+// sessionSimulation is the sessions of a fleet, each with the number of moves it has had.
+type sessionSimulation struct {
+	ft     *Fleet
+	rnd    *rand.Rand
+	timing Timing
+	at     map[table.InstanceID][]int
 }
 
-func newCrowd(ft *Fleet, pace Pace) *crowd {
-	cw := &crowd{ft: ft, rnd: rand.New(rand.NewPCG(3, 4)), pace: pace, at: map[table.InstanceID][]int{}}
+func newSessionSimulation(ft *Fleet, pace Timing) *sessionSimulation {
+	sim := &sessionSimulation{ft: ft, rnd: rand.New(rand.NewPCG(3, 4)), timing: pace, at: map[table.InstanceID][]int{}}
 	for _, in := range ft.Instances {
-		cw.at[in.ID] = make([]int, ft.open(in.ID))
+		sim.at[in.ID] = make([]int, ft.sessionCount(in.ID))
 	}
-	return cw
+	return sim
 }
 
-// pass lets sessions end by themselves for a time; as many open anew on instances that are not in the wave.
-func (cw *crowd) pass(wave []table.InstanceID, took time.Duration) {
-	ends := 1 - math.Exp(-took.Seconds()/cw.pace.SessionLength.Seconds())
-	for _, in := range cw.ft.Instances {
-		var stay []int
-		for _, moves := range cw.at[in.ID] {
-			if cw.rnd.Float64() >= ends {
-				stay = append(stay, moves)
+// advance lets sessions end by themselves for a time; as many open anew on instances that are not in the wave.
+func (sim *sessionSimulation) advance(wave []table.InstanceID, elapsed time.Duration) {
+	endProbability := 1 - math.Exp(-elapsed.Seconds()/sim.timing.MeanSessionDuration.Seconds())
+	for _, in := range sim.ft.Instances {
+		var remaining []int
+		for _, moves := range sim.at[in.ID] {
+			if sim.rnd.Float64() >= endProbability {
+				remaining = append(remaining, moves)
 			}
 		}
-		ended := len(cw.at[in.ID]) - len(stay)
-		cw.at[in.ID] = stay
+		ended := len(sim.at[in.ID]) - len(remaining)
+		sim.at[in.ID] = remaining
 		for range ended {
-			cw.give(in, 0, func(other *table.Instance) bool { return !slices.Contains(wave, other.ID) })
+			sim.assign(in, 0, func(other *table.Instance) bool { return !slices.Contains(wave, other.ID) })
 		}
 	}
 }
 
-// give puts a session of an instance's service on a random other one that fits.
-func (cw *crowd) give(from *table.Instance, moves int, fits func(*table.Instance) bool) bool {
-	var fit []table.InstanceID
-	for _, other := range cw.ft.Instances {
+// assign puts a session of an instance's service on a random other one that fits.
+func (sim *sessionSimulation) assign(from *table.Instance, moves int, fits func(*table.Instance) bool) bool {
+	var candidates []table.InstanceID
+	for _, other := range sim.ft.Instances {
 		if other.Services[0] == from.Services[0] && fits(other) {
-			fit = append(fit, other.ID)
+			candidates = append(candidates, other.ID)
 		}
 	}
-	if len(fit) == 0 {
+	if len(candidates) == 0 {
 		return false
 	}
-	to := fit[cw.rnd.IntN(len(fit))]
-	cw.at[to] = append(cw.at[to], moves)
+	to := candidates[sim.rnd.IntN(len(candidates))]
+	sim.at[to] = append(sim.at[to], moves)
 	return true
 }
 
-// maintain carries waves out one after the other through the real decisions on budgets and successors.
+// runMaintenance carries waves out one after the other through the real decisions on budgets and successors.
 // Instances fail in the middle of the waves that are named; each is back after two waves.
-func maintain(ft *Fleet, pn *Plan, pace Pace, anywhere bool, failAt map[int]table.InstanceID) rollout {
-	cw := newCrowd(ft, pace)
+func runMaintenance(ft *Fleet, pn *Plan, pace Timing, unconstrained bool, failAt map[int]table.InstanceID) rollout {
+	sim := newSessionSimulation(ft, pace)
 	ro := rollout{}
-	back := map[int]table.InstanceID{}
-	queue := slices.Clone(pn.Waves)
-	for number := 0; len(queue) > 0; number++ {
-		if id := back[number]; id != "" {
+	recoverAt := map[int]table.InstanceID{}
+	pending := slices.Clone(pn.Waves)
+	for number := 0; len(pending) > 0; number++ {
+		if id := recoverAt[number]; id != "" {
 			delete(ft.Down, id)
 		}
 		if id := failAt[number]; id != "" {
 			ft.Down[id] = true
-			cw.lose(ft.Instance(id))
-			back[number+2] = id
+			sim.failInstance(ft.Instance(id))
+			recoverAt[number+2] = id
 		}
-		wv := queue[0]
-		queue = queue[1:]
-		admitted, refused := admitWave(ft, pn, wv, anywhere)
+		wv := pending[0]
+		pending = pending[1:]
+		admitted, refused := admitWave(ft, pn, wv, unconstrained)
 		if len(refused) > 0 {
-			queue = append(queue, Wave{Instances: refused, NaturalOnly: wv.NaturalOnly})
+			pending = append(pending, Wave{Instances: refused, AwaitSessionEnd: wv.AwaitSessionEnd})
 		}
-		cw.carryOut(&ro, pn, Wave{Instances: admitted, NaturalOnly: wv.NaturalOnly}, anywhere)
+		sim.runWave(&ro, pn, Wave{Instances: admitted, AwaitSessionEnd: wv.AwaitSessionEnd}, unconstrained)
 		if number > 10000 {
 			break
 		}
@@ -108,19 +108,19 @@
 	return ro
 }
 
-// lose moves the sessions of a failed instance, which is not the plan's doing.
-func (cw *crowd) lose(in *table.Instance) {
-	for _, moves := range cw.at[in.ID] {
-		cw.give(in, moves, func(other *table.Instance) bool { return other.ID != in.ID })
+// failInstance moves the sessions of a failed instance, which is not the plan's doing.
+func (sim *sessionSimulation) failInstance(in *table.Instance) {
+	for _, moves := range sim.at[in.ID] {
+		sim.assign(in, moves, func(other *table.Instance) bool { return other.ID != in.ID })
 	}
-	cw.at[in.ID] = nil
+	sim.at[in.ID] = nil
 }
 
 // admitWave takes the instances that the budgets allow; the baselines that do not ask take all.
-func admitWave(ft *Fleet, pn *Plan, wv Wave, anywhere bool) (admitted, refused []table.InstanceID) {
+func admitWave(ft *Fleet, pn *Plan, wv Wave, unconstrained bool) (admitted, refused []table.InstanceID) {
 	for _, id := range wv.Instances {
 		in := ft.Instance(id)
-		if !anywhere && len(Admit(ft, in)) > 0 {
+		if !unconstrained && len(Admit(ft, in)) > 0 {
 			refused = append(refused, id)
 			continue
 		}
@@ -131,61 +131,61 @@
 	return admitted, refused
 }
 
-// carryOut closes, moves, reboots and returns the instances of one wave.
-func (cw *crowd) carryOut(ro *rollout, pn *Plan, wv Wave, anywhere bool) {
+// runWave closes, moves, reboots and returns the instances of one wave.
+func (sim *sessionSimulation) runWave(ro *rollout, pn *Plan, wv Wave, unconstrained bool) {
 	if len(wv.Instances) == 0 {
-		ro.length += cw.pace.RebootTime
+		ro.duration += sim.timing.RebootDuration
 		return
 	}
-	wait := pn.Strategy.closeFor()
-	if wv.NaturalOnly {
-		wait = cw.untilEmpty(wv)
+	wait := pn.Strategy.closeDuration()
+	if wv.AwaitSessionEnd {
+		wait = sim.drainNaturally(wv)
 	}
-	cw.pass(wv.Instances, wait)
+	sim.advance(wv.Instances, wait)
 	for _, id := range wv.Instances {
-		cw.leave(ro, pn, wv, id, anywhere)
+		sim.moveSessions(ro, pn, wv, id, unconstrained)
 	}
 	ro.waves++
-	ro.breaches += breaches(cw.ft)
-	cw.pass(wv.Instances, cw.pace.RebootTime)
-	out := len(wv.Instances) + len(cw.ft.Down)
+	ro.breaches += breaches(sim.ft)
+	sim.advance(wv.Instances, sim.timing.RebootDuration)
+	out := len(wv.Instances) + len(sim.ft.Down)
 	ro.bufferPeak = max(ro.bufferPeak, out)
-	ro.bufferHours += float64(len(wv.Instances)) * ((&Planner{Pace: cw.pace}).idle(wait) + cw.pace.RebootTime).Hours()
-	ro.length += wait + cw.pace.RebootTime
+	ro.bufferHours += float64(len(wv.Instances)) * ((&Planner{Timing: sim.timing}).idleTime(wait) + sim.timing.RebootDuration).Hours()
+	ro.duration += wait + sim.timing.RebootDuration
 	for _, id := range wv.Instances {
-		in := cw.ft.Instance(id)
+		in := sim.ft.Instance(id)
 		in.Done = pn.ID
-		sv := cw.ft.Services[in.Services[0]]
-		sv.Disrupted = without(id)(sv.Disrupted)
+		sv := sim.ft.Services[in.Services[0]]
+		sv.Disrupted = withoutInstance(id)(sv.Disrupted)
 	}
 }
 
-// untilEmpty lets a wave's sessions end by themselves and returns how long that takes.
-func (cw *crowd) untilEmpty(wv Wave) time.Duration {
-	most := 0
+// drainNaturally lets a wave's sessions end by themselves and returns how long that takes.
+func (sim *sessionSimulation) drainNaturally(wv Wave) time.Duration {
+	maxSessions := 0
 	for _, id := range wv.Instances {
-		most = max(most, len(cw.at[id]))
+		maxSessions = max(maxSessions, len(sim.at[id]))
 	}
-	pl := Planner{Pace: cw.pace}
-	wait := pl.untilNone(most)
+	pl := Planner{Timing: sim.timing}
+	wait := pl.timeUntilEmpty(maxSessions)
 	for _, id := range wv.Instances {
-		cw.at[id] = nil
+		sim.at[id] = nil
 	}
 	return wait
 }
 
-// leave moves the sessions of one instance by the real rule on successors, or anywhere for the baselines.
-func (cw *crowd) leave(ro *rollout, pn *Plan, wv Wave, id table.InstanceID, anywhere bool) {
-	in := cw.ft.Instance(id)
-	sessions := cw.at[id]
-	cw.at[id] = nil
+// moveSessions moves the sessions of one instance by the real rule on successors, or anywhere for the baselines.
+func (sim *sessionSimulation) moveSessions(ro *rollout, pn *Plan, wv Wave, id table.InstanceID, unconstrained bool) {
+	in := sim.ft.Instance(id)
+	sessions := sim.at[id]
+	sim.at[id] = nil
 	for _, moves := range sessions {
 		ro.moves++
 		if moves > 0 {
-			ro.twice++
+			ro.movedAgain++
 		}
-		cw.give(in, moves+1, func(other *table.Instance) bool {
-			return !slices.Contains(wv.Instances, other.ID) && cw.ft.usable(other) && (anywhere || mayTake(pn, nil, other))
+		sim.assign(in, moves+1, func(other *table.Instance) bool {
+			return !slices.Contains(wv.Instances, other.ID) && sim.ft.usable(other) && (unconstrained || canTakeSessions(pn, nil, other))
 		})
 	}
 }
@@ -194,7 +194,7 @@
 func breaches(ft *Fleet) int {
 	count := 0
 	for _, sv := range ft.Services {
-		if ft.usableOf(sv) < sv.Asked-sv.Budget {
+		if ft.usableCount(sv) < sv.Asked-sv.Budget {
 			count++
 		}
 	}
@@ -222,13 +222,13 @@
 // baseline returns a plan in name order with waves of so many, 0 for the largest that fits the budgets.
 func baseline(ft *Fleet, size int) *Plan {
 	pn := &Plan{ID: "b"}
-	left := slices.Clone(ft.Instances)
-	slices.SortFunc(left, func(ai, bi *table.Instance) int { return strings.Compare(string(ai.ID), string(bi.ID)) })
-	for len(left) > 0 {
+	pending := slices.Clone(ft.Instances)
+	slices.SortFunc(pending, func(ai, bi *table.Instance) int { return strings.Compare(string(ai.ID), string(bi.ID)) })
+	for len(pending) > 0 {
 		var wv Wave
 		out := map[table.ServiceID]int{}
 		var rest []*table.Instance
-		for _, in := range left {
+		for _, in := range pending {
 			service := in.Services[0]
 			if size > 0 && len(wv.Instances) >= size || out[service] >= ft.Services[service].Budget {
 				rest = append(rest, in)
@@ -238,7 +238,7 @@
 			wv.Instances = append(wv.Instances, in.ID)
 		}
 		pn.Waves = append(pn.Waves, wv)
-		left = rest
+		pending = rest
 	}
 	return pn
 }
@@ -256,17 +256,17 @@
 }
 
 var (
-	wavePace   = Pace{SessionLength: 4 * time.Hour, RebootTime: 10 * time.Minute, CloseTimes: []time.Duration{0, 30 * time.Minute, 2 * time.Hour, 8 * time.Hour}, Longest: 28 * 24 * time.Hour}
-	movesFirst = Weights{Moves: 5, Buffer: 2, Time: 1}
-	bufferMost = Weights{Moves: 0.05, Buffer: 40, Time: 1}
+	waveTiming     = Timing{MeanSessionDuration: 4 * time.Hour, RebootDuration: 10 * time.Minute, CloseDurations: []time.Duration{0, 30 * time.Minute, 2 * time.Hour, 8 * time.Hour}, MaxPlanDuration: 28 * 24 * time.Hour}
+	weightedMoves  = Weights{Moves: 5, Buffer: 2, Time: 1}
+	weightedBuffer = Weights{Moves: 0.05, Buffer: 40, Time: 1}
 )
 
 func TestWavesOfWholeFleets(t *testing.T) {
-	letter := make([]int, 199)
-	for ix := range letter {
-		letter[ix] = 2
+	manyPools := make([]int, 199)
+	for ix := range manyPools {
+		manyPools[ix] = 2
 		if ix < 52 {
-			letter[ix] = 3
+			manyPools[ix] = 3
 		}
 	}
 	for _, td := range []struct {
@@ -276,10 +276,10 @@
 		sessions int
 		weights  Weights
 	}{
-		{"sawmill fleet, weights moves", []int{12, 11, 10, 9, 8}, 2, 12, movesFirst},
-		{"heat network fleet, weights buffer", []int{12, 11, 10, 9, 8}, 2, 12, bufferMost},
-		{"450 workers in 199 pools, weights moves", letter, 1, 12, movesFirst},
-		{"450 workers in 199 pools, weights buffer", letter, 1, 12, bufferMost},
+		{"sawmill fleet, weights moves", []int{12, 11, 10, 9, 8}, 2, 12, weightedMoves},
+		{"heat network fleet, weights buffer", []int{12, 11, 10, 9, 8}, 2, 12, weightedBuffer},
+		{"450 workers in 199 pools, weights moves", manyPools, 1, 12, weightedMoves},
+		{"450 workers in 199 pools, weights buffer", manyPools, 1, 12, weightedBuffer},
 	} {
 		for _, fails := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, failures %t", td.name, fails), func(t *testing.T) {
@@ -296,45 +296,45 @@
 		failAt = map[int]table.InstanceID{1: "w005", 3: "w020", 4: "w033"}
 	}
 	ft := fleet()
-	pn := planAll(t, ft, &Planner{Weights: weights, Pace: wavePace})
-	ours := maintain(ft, pn, wavePace, false, failAt)
+	pn := planAll(t, ft, &Planner{Weights: weights, Timing: waveTiming})
+	planned := runMaintenance(ft, pn, waveTiming, false, failAt)
 	ft = fleet()
-	one := maintain(ft, baseline(ft, 1), wavePace, true, failAt)
+	oneByOne := runMaintenance(ft, baseline(ft, 1), waveTiming, true, failAt)
 	ft = fleet()
-	largest := maintain(ft, baseline(ft, 0), wavePace, true, failAt)
-	bound := movesBound(fleet(), pn, wavePace)
-	least := float64(len(ft.Instances)) * wavePace.RebootTime.Hours()
-	t.Logf("planner (parallel %d, close %v): %v", pn.Strategy.Parallel, pn.Strategy.closeFor(), ours)
-	t.Logf("one at a time by name: %v", one)
+	largest := runMaintenance(ft, baseline(ft, 0), waveTiming, true, failAt)
+	bound := movesBound(fleet(), pn, waveTiming)
+	minHours := float64(len(ft.Instances)) * waveTiming.RebootDuration.Hours()
+	t.Logf("planner (parallel %d, close %v): %v", pn.Strategy.Parallel, pn.Strategy.closeDuration(), planned)
+	t.Logf("one at a time by name: %v", oneByOne)
 	t.Logf("largest wave that fits: %v", largest)
-	t.Logf("lower bounds: %.0f moves with these natural ends, %.1f instance hours", bound, least)
-	if ours.twice > 0 || ours.breaches > 0 {
-		t.Errorf("the planner moved %d sessions again and broke %d budgets", ours.twice, ours.breaches)
+	t.Logf("lower bounds: %.0f moves with these natural ends, %.1f instance hours", bound, minHours)
+	if planned.movedAgain > 0 || planned.breaches > 0 {
+		t.Errorf("the planner moved %d sessions again and broke %d budgets", planned.movedAgain, planned.breaches)
 	}
-	if ours.moves >= one.moves || ours.moves >= largest.moves {
-		t.Errorf("the planner's %d moves are not fewer than the baselines' %d and %d", ours.moves, one.moves, largest.moves)
+	if planned.moves >= oneByOne.moves || planned.moves >= largest.moves {
+		t.Errorf("the planner's %d moves are not fewer than the baselines' %d and %d", planned.moves, oneByOne.moves, largest.moves)
 	}
 }
 
 // movesBound returns how many sessions must move at least with the plan's natural ends: all that are left on instances that do not wait for the last one.
-func movesBound(ft *Fleet, pn *Plan, pace Pace) float64 {
+func movesBound(ft *Fleet, pn *Plan, pace Timing) float64 {
 	bound := 0.0
 	for _, wv := range pn.Waves {
-		if wv.NaturalOnly {
+		if wv.AwaitSessionEnd {
 			continue
 		}
 		for _, id := range wv.Instances {
-			bound += float64(ft.open(id)) * math.Exp(-pn.Strategy.closeFor().Seconds()/pace.SessionLength.Seconds())
+			bound += float64(ft.sessionCount(id)) * math.Exp(-pn.Strategy.closeDuration().Seconds()/pace.MeanSessionDuration.Seconds())
 		}
 	}
 	return bound
 }
 
-func TestWeightsMakeAVisibleDifference(t *testing.T) {
+func TestWeightsChangeThePlan(t *testing.T) {
 	sizes := []int{12, 11, 10, 9, 8}
 	ft := makeFleet(sizes, 2, 12)
-	moves := planAll(t, ft, &Planner{Weights: movesFirst, Pace: wavePace})
-	buffer := planAll(t, ft, &Planner{Weights: bufferMost, Pace: wavePace})
+	moves := planAll(t, ft, &Planner{Weights: weightedMoves, Timing: waveTiming})
+	buffer := planAll(t, ft, &Planner{Weights: weightedBuffer, Timing: waveTiming})
 	t.Logf("moves first: %+v %+v", moves.Strategy, moves.Estimate)
 	t.Logf("buffer first: %+v %+v", buffer.Strategy, buffer.Estimate)
 	if moves.Estimate.Moves*2 > buffer.Estimate.Moves {
@@ -354,7 +354,7 @@
 		sizes[ix] = 2
 	}
 	ft := makeFleet(sizes, 1, 12)
-	pl := &Planner{Weights: movesFirst, Pace: wavePace}
+	pl := &Planner{Weights: weightedMoves, Timing: waveTiming}
 	got := testing.AllocsPerRun(1, func() { planAll(t, ft, pl) })
 	t.Logf("%.0f allocations for %d instances", got, len(ft.Instances))
 	if got > maxPlanAllocations {
--- a/operators.go
+++ b/operators.go
@@ -121,13 +121,13 @@
 	line(wr, "status", vw.Status, fmt.Sprintf("%d of %d instances finished", vw.Finished, vw.Total))
 	line(wr, "sessions to move", es.Moves)
 	line(wr, "buffer", fmt.Sprintf("%d instances at most, %.1f instance hours", es.BufferPeak, es.BufferHours))
-	line(wr, "length", (time.Duration(es.LengthMs) * time.Millisecond).Round(time.Second))
-	for _, tc := range vw.Touches {
-		line(wr, "budget", tc.Service, fmt.Sprintf("%d of %d may be out, %d will be at most", tc.Budget, tc.Asked, tc.MostOut))
+	line(wr, "length", (time.Duration(es.DurationMs) * time.Millisecond).Round(time.Second))
+	for _, tc := range vw.BudgetImpacts {
+		line(wr, "budget", tc.Service, fmt.Sprintf("%d of %d may be out, %d will be at most", tc.Budget, tc.Asked, tc.MaxOut))
 	}
 	for number, wv := range vw.Waves {
 		note := ""
-		if wv.NaturalOnly {
+		if wv.AwaitSessionEnd {
 			note = "waits until its sessions have ended"
 		}
 		line(wr, fmt.Sprintf("wave %d", number+1), wv.Instances, note)
@@ -196,7 +196,7 @@
 	line(wr, "entry", st.Entry, "hall", st.Hall, "version", st.Version, "platform answers", st.Platform)
 	line(wr, "INSTANCE", "HALL", "RACK", "POOL", "STATE", "LISTED", "OPEN", "QUEUED")
 	for _, in := range st.Instances {
-		line(wr, in.ID, in.Hall, in.Rack, in.Pool, in.State, in.Listed, in.Open, in.Queued)
+		line(wr, in.ID, in.Hall, in.Rack, in.Pool, in.State, in.Listed, in.InFlight, in.Queued)
 	}
 }
 
@@ -232,7 +232,7 @@
 			if err != nil {
 				return eris.Wrap(err, "read fleet settings")
 			}
-			vw, err = oc.client().Accept(ctx, string(src), vw.Version)
+			vw, err = oc.client().AcceptConfiguration(ctx, string(src), vw.Version)
 			if err != nil {
 				return err
 			}
@@ -243,10 +243,10 @@
 
 func printConfiguration(wr io.Writer, vw operator.ConfigurationView) {
 	line(wr, "version", vw.Version, "by", vw.Author)
-	for _, fc := range vw.InForce {
+	for _, fc := range vw.ActiveVersions {
 		state := "in force"
 		switch {
-		case !fc.Asked:
+		case !fc.Reachable:
 			state = "cannot be asked"
 		case fc.Version < vw.Version:
 			state = "not yet in force"
--- a/peer/client.go
+++ b/peer/client.go
@@ -218,12 +218,12 @@
 	if err != nil {
 		return operator.Ack{Entry: mb.ID}
 	}
-	return operator.Ack{Entry: mb.ID, Asked: true, Seen: rp.Seen, InFlight: int(rp.InFlight), Queued: int(rp.Queued)}
+	return operator.Ack{Entry: mb.ID, Reachable: true, Seen: rp.Seen, InFlight: int(rp.InFlight), Queued: int(rp.Queued)}
 }
 
 // InForce asks every entry instance listed which configuration it runs, this one among them.
-func (cl *Client) InForce(ctx context.Context, entries []table.Member) []operator.InForce {
-	versions := make([]operator.InForce, len(entries))
+func (cl *Client) InForce(ctx context.Context, entries []table.Member) []operator.ActiveVersion {
+	versions := make([]operator.ActiveVersion, len(entries))
 	var wg sync.WaitGroup
 	for ix, mb := range entries {
 		wg.Go(func() { versions[ix] = cl.inForce(ctx, mb) })
@@ -232,12 +232,12 @@
 	return versions
 }
 
-func (cl *Client) inForce(ctx context.Context, mb table.Member) operator.InForce {
+func (cl *Client) inForce(ctx context.Context, mb table.Member) operator.ActiveVersion {
 	ctx, cancel := cl.opts.withTimeout(ctx)
 	defer cancel()
 	rp, err := cl.at(mb.Address).InForce(ctx, &InForceRequest{})
 	if err != nil {
-		return operator.InForce{Entry: mb.ID}
+		return operator.ActiveVersion{Entry: mb.ID}
 	}
-	return operator.InForce{Entry: mb.ID, Version: table.Version(rp.Version), Asked: true}
+	return operator.ActiveVersion{Entry: mb.ID, Version: table.Version(rp.Version), Reachable: true}
 }
--- a/proof/capacity_test.go
+++ b/proof/capacity_test.go
@@ -68,7 +68,7 @@
 	changes := fl.during(func() {
 		var version table.Version
 		for turn := range capacityChanges {
-			vw, err := fl.entries[0].desk().Accept(context.Background(), fmt.Sprintf(`{"weightMoves": %d}`, turn), version)
+			vw, err := fl.entries[0].desk().AcceptConfiguration(context.Background(), fmt.Sprintf(`{"weightMoves": %d}`, turn), version)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/proof/cli_test.go
+++ b/proof/cli_test.go
@@ -42,7 +42,7 @@
 	if err := json.Unmarshal([]byte(out), &vw); err != nil {
 		t.Fatal(err)
 	}
-	if vw.Total != 4 || vw.Author != "alice" || vw.Status != operator.PlanProposed || len(vw.Touches) != 1 {
+	if vw.Total != 4 || vw.Author != "alice" || vw.Status != operator.PlanProposed || len(vw.BudgetImpacts) != 1 {
 		t.Fatalf("plan: %s", out)
 	}
 	if out, _, code := en.run(t, token, "plans", string(vw.ID)); code != 0 || !strings.Contains(out, "aspenseam confirm "+string(vw.ID)) || !strings.Contains(out, "2 of 6 may be out") {
--- a/proof/configuration_test.go
+++ b/proof/configuration_test.go
@@ -22,8 +22,8 @@
 		if err != nil {
 			fl.t.Fatal(err)
 		}
-		for _, fc := range vw.InForce {
-			if string(fc.Entry) == en.id && fc.Asked {
+		for _, fc := range vw.ActiveVersions {
+			if string(fc.Entry) == en.id && fc.Reachable {
 				version = fc.Version
 				return true
 			}
@@ -40,7 +40,7 @@
 	var version table.Version
 	var old table.Version
 	for turn := range 5 {
-		vw, err := dk.Accept(ctx, fmt.Sprintf(`{"weightMoves": %d}`, turn), version)
+		vw, err := dk.AcceptConfiguration(ctx, fmt.Sprintf(`{"weightMoves": %d}`, turn), version)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -74,7 +74,7 @@
 func TestConfigurationReachesAnEntryThatIsCutOffFromThePlatform(t *testing.T) {
 	fl := newFleet(t, shape{halls: 2, entries: 2, endpoints: 1})
 	fl.entries[3].store.set("", true)
-	vw, err := fl.entries[0].desk().Accept(context.Background(), `{"ejectAfter": 7}`, 0)
+	vw, err := fl.entries[0].desk().AcceptConfiguration(context.Background(), `{"ejectAfter": 7}`, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 
 func TestFaultyConfigurationIsRefusedWholeWithAllFindings(t *testing.T) {
 	fl := newFleet(t, shape{halls: 1, entries: 1, endpoints: 1})
-	_, err := fl.entries[0].desk().Accept(context.Background(), "{\n \"weightMoves\": -1,\n \"colour\": \"red\"\n}", 0)
+	_, err := fl.entries[0].desk().AcceptConfiguration(context.Background(), "{\n \"weightMoves\": -1,\n \"colour\": \"red\"\n}", 0)
 	if err == nil || !strings.Contains(err.Error(), "2:17: fleet.weightMoves") || !strings.Contains(err.Error(), "3:2: fleet.colour: unknown setting") {
 		t.Fatalf("findings: %v", err)
 	}
@@ -96,7 +96,9 @@
 	var wg sync.WaitGroup
 	errs := make([]error, 2)
 	for ix, dk := range []*operator.Client{fl.entries[0].desk(), fl.entries[1].brunosDesk()} {
-		wg.Go(func() { _, errs[ix] = dk.Accept(context.Background(), fmt.Sprintf(`{"weightMoves": %d}`, ix+1), 0) })
+		wg.Go(func() {
+			_, errs[ix] = dk.AcceptConfiguration(context.Background(), fmt.Sprintf(`{"weightMoves": %d}`, ix+1), 0)
+		})
 	}
 	wg.Wait()
 	if (errs[0] == nil) == (errs[1] == nil) {
@@ -114,7 +116,7 @@
 		t.Fatal(err)
 	}
 	fl.fail(standin.PlatformFaults{Table: table.TableSetting, LoseAnswers: 1})
-	if _, err := fl.entries[0].desk().Accept(context.Background(), `{"weightMoves": 9}`, vw.Version); err != nil {
+	if _, err := fl.entries[0].desk().AcceptConfiguration(context.Background(), `{"weightMoves": 9}`, vw.Version); err != nil {
 		t.Fatal(err)
 	}
 	fl.wantRows(table.TableAudit, 2)
@@ -166,7 +168,7 @@
 				en.inbound.set("", !pushed)
 			}
 			began := time.Now()
-			vw, err := fl.entries[0].desk().Accept(context.Background(), fmt.Sprintf(`{"weightMoves": %d}`, turn), version)
+			vw, err := fl.entries[0].desk().AcceptConfiguration(context.Background(), fmt.Sprintf(`{"weightMoves": %d}`, turn), version)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/proof/jobs_test.go
+++ b/proof/jobs_test.go
@@ -80,7 +80,7 @@
 	// Submitted twice, through two entry instances, with a lost answer: each is there once.
 	fl.fail(standin.PlatformFaults{Table: worker.TableJob, LoseAnswers: 1})
 	for _, en := range fl.entries[:2] {
-		if err := en.desk().Submit(ctx, all...); err != nil {
+		if err := en.desk().SubmitJobs(ctx, all...); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -121,7 +121,7 @@
 	for number := range good {
 		all = append(all, jobRequest(fmt.Sprintf("j%03d", number), false))
 	}
-	if err := dk.Submit(ctx, all...); err != nil {
+	if err := dk.SubmitJobs(ctx, all...); err != nil {
 		t.Fatal(err)
 	}
 	for crash := range 3 {
@@ -155,7 +155,7 @@
 	}
 	giant := jobRequest("giant", false)
 	giant.Declared.MemoryMB = 1 << 20
-	if err := dk.Submit(ctx, append(all, giant)...); err != nil {
+	if err := dk.SubmitJobs(ctx, append(all, giant)...); err != nil {
 		t.Fatal(err)
 	}
 	for _, jb := range fl.awaitJobs(fl.entries[1], worker.JobFitsNowhere, 1) {
@@ -167,18 +167,18 @@
 		return strings.Contains(fl.entries[0].readLog()+fl.entries[1].readLog(), "worker quarantined")
 	})
 	submitted := time.Now()
-	if err := fl.entries[1].desk().Submit(ctx, jobRequest("urgent", true)); err != nil {
+	if err := fl.entries[1].desk().SubmitJobs(ctx, jobRequest("urgent", true)); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "urgent job started", func() bool { return fl.taskCounts().FirstMs["urgent"] > 0 })
 	t.Logf("urgent job started %v after it was sent, behind a full fleet", time.UnixMilli(fl.taskCounts().FirstMs["urgent"]).Sub(submitted).Round(time.Millisecond))
 	before := fl.requestWrites()
-	if err := dk.Cancel(ctx, operator.CancelCall{Team: "heat", Kind: "dispatch", Why: "boiler stopped"}); err != nil {
+	if err := dk.CancelJobs(ctx, operator.CancelRequest{Team: "heat", Kind: "dispatch", Why: "boiler stopped"}); err != nil {
 		t.Fatal(err)
 	}
 	fl.awaitJobs(fl.entries[1], worker.JobCancelled, 101)
 	t.Logf("101 jobs cancelled in %d transactions; the stops of running tasks are not counted", fl.requestWrites()-before)
-	if err := dk.Submit(ctx, operator.JobRequest{ID: "x"}, operator.JobRequest{ID: "x"}); err == nil || !strings.Contains(err.Error(), "jobs[1]: id x stands twice") {
+	if err := dk.SubmitJobs(ctx, operator.JobRequest{ID: "x"}, operator.JobRequest{ID: "x"}); err == nil || !strings.Contains(err.Error(), "jobs[1]: id x stands twice") {
 		t.Errorf("findings: %v", err)
 	}
 }
--- a/proof/keys_test.go
+++ b/proof/keys_test.go
@@ -163,13 +163,13 @@
 	// A configuration goes from one to the other over TLS, the other being cut off from the platform.
 	two.store.set("", true)
 	desk := operator.NewTLSClient(one.operator, token, first)
-	vw, err := desk.Accept(context.Background(), `{"ejectAfter": 9}`, 0)
+	vw, err := desk.AcceptConfiguration(context.Background(), `{"ejectAfter": 9}`, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "in force at both", func() bool {
 		now, err := desk.Configuration(context.Background())
-		return err == nil && len(now.InForce) == 2 && now.InForce[0].Version == vw.Version && now.InForce[1].Version == vw.Version
+		return err == nil && len(now.ActiveVersions) == 2 && now.ActiveVersions[0].Version == vw.Version && now.ActiveVersions[1].Version == vw.Version
 	})
 	fl.rewrite(one, func(st map[string]any) {
 		st["tls"] = map[string]any{"certificateFile": second, "keyFile": secondKey, "authorityFile": first}
--- a/proof/plan_test.go
+++ b/proof/plan_test.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		fl.t.Fatal(err)
 	}
-	accepted, err := dk.Accept(context.Background(), document, vw.Version)
+	accepted, err := dk.AcceptConfiguration(context.Background(), document, vw.Version)
 	if err != nil {
 		fl.t.Fatal(err)
 	}
@@ -92,12 +92,12 @@
 		if err != nil {
 			return false
 		}
-		for _, fc := range vw.InForce {
-			if !fc.Asked || fc.Version < version {
+		for _, fc := range vw.ActiveVersions {
+			if !fc.Reachable || fc.Version < version {
 				return false
 			}
 		}
-		return len(vw.InForce) == len(fl.entries)
+		return len(vw.ActiveVersions) == len(fl.entries)
 	})
 }
 
