--- a/clock/clock.go
+++ b/clock/clock.go
@@ -15,7 +15,7 @@
 // Clock is a steady clock. Readings are comparable with each other alone: they hold no monotonic part, and a step of the time of day does
 // not move them.
 type Clock struct {
-	read Reading
+	read ReadFunc
 	boot func() (time.Duration, error)
 	// origin is the time of day at the start, steady and booted are what the two other clocks told then.
 	origin         time.Time
@@ -24,8 +24,8 @@
 	skew, slept atomic.Int64
 }
 
-// Reading gives the time of day, and the steady time since some moment, as of one instant.
-type Reading func() (day time.Time, steady time.Duration)
+// ReadFunc gives the time of day, and the steady time since some moment, as of one instant.
+type ReadFunc func() (day time.Time, steady time.Duration)
 
 var (
 	// started is when the process began.
@@ -52,7 +52,7 @@
 }
 
 // New returns a clock over a time of day with a steady time, and the time since boot.
-func New(read Reading, boot func() (time.Duration, error)) *Clock {
+func New(read ReadFunc, boot func() (time.Duration, error)) *Clock {
 	ck := &Clock{read: read, boot: boot}
 	ck.origin, ck.steady = read()
 	// Without a reading nothing is known of suspensions, and the clock is the steady one; reading fails on no system that has the clock.
--- a/fleet/peers.go
+++ b/fleet/peers.go
@@ -42,9 +42,9 @@
 }
 
 func newPeers(fl *Fleet) *peers {
-	options := []tcp.Option{tcp.DialTimeout(peerDialTimeout), tcp.IdleConnections(peerIdleConnections), tcp.IdleTime(peerIdleTimeout)}
+	options := []tcp.Option{tcp.DialTimeout(peerDialTimeout), tcp.MaxIdleConnections(peerIdleConnections), tcp.IdleTimeout(peerIdleTimeout)}
 	if fl.opts.Traffic != nil {
-		options = append(options, tcp.Metered(fl.opts.Traffic, PeerCall))
+		options = append(options, tcp.WithMeter(fl.opts.Traffic, PeerCall))
 	}
 	return &peers{
 		fl:      fl,
--- a/fleet/tablewatch.go
+++ b/fleet/tablewatch.go
@@ -191,7 +191,7 @@
 
 // fetchChanges reads and merges the next changes.
 func (wt *tableWatch) fetchChanges(ctx context.Context) error {
-	ctx, cancel := tcp.UntilQuiet(ctx, wt.wait+feedTimeoutMargin)
+	ctx, cancel := tcp.WithIdleTimeout(ctx, wt.wait+feedTimeoutMargin)
 	defer cancel()
 	sentAt := wt.fl.opts.Now()
 	pg, err := wt.fl.store.Feed(ctx, wt.table, wt.version, wt.wait)
@@ -288,7 +288,7 @@
 	var version int64
 	qu := Query{Table: table, Part: part, Limit: readPageSize}
 	for {
-		callCtx, cancel := tcp.UntilQuiet(ctx, readTimeout)
+		callCtx, cancel := tcp.WithIdleTimeout(ctx, readTimeout)
 		pg, err := fl.store.Read(callCtx, qu)
 		cancel()
 		if err != nil {
--- a/fleet/traffic.go
+++ b/fleet/traffic.go
@@ -35,8 +35,8 @@
 // NewTraffic returns counters that are exposed as gauges in a registry.
 func NewTraffic(registry metrics.Registry) *Traffic { return &Traffic{registry: registry} }
 
-// Moved adds transferred bytes to the counters of a kind.
-func (tr *Traffic) Moved(kind string, out, in int) {
+// Transferred adds transferred bytes to the counters of a kind.
+func (tr *Traffic) Transferred(kind string, out, in int) {
 	found, known := tr.kinds.Load(kind)
 	if !known {
 		created := &trafficCount{}
--- a/serve.go
+++ b/serve.go
@@ -98,7 +98,7 @@
 	defer cancel()
 	stopping := func() bool { return ctx.Err() != nil }
 	elsewhere := func() bool { return stopping() || fl.CutOff() }
-	clients := &http.Server{Handler: &openRequests{Handler: platform.NewClients(fl, elsewhere)}, ReadHeaderTimeout: headerTime, ReadTimeout: headerTime, IdleTimeout: idleTime}
+	clients := &http.Server{Handler: &openRequests{Handler: platform.NewClientHandler(fl, elsewhere)}, ReadHeaderTimeout: headerTime, ReadTimeout: headerTime, IdleTimeout: idleTime}
 	failed := make(chan error, 4)
 	servers := []struct {
 		kind        string
@@ -107,7 +107,7 @@
 		connections int
 	}{
 		{"callers", clients, st.CallerAddress, frontConnections},
-		{"readiness", &http.Server{Handler: platform.Ready(fl.Ready), ReadHeaderTimeout: headerTime}, st.ReadyAddress, 0},
+		{"readiness", &http.Server{Handler: platform.NewReadinessHandler(fl.Ready), ReadHeaderTimeout: headerTime}, st.ReadyAddress, 0},
 		{"peers", &http.Server{Handler: fl.Handler(), ReadHeaderTimeout: headerTime}, st.PeerAddress, 0},
 		{"figures", &http.Server{Handler: figuresHandler(registry), ReadHeaderTimeout: headerTime}, net.JoinHostPort(st.IP, strconv.Itoa(st.MetricsPort)), 0},
 	}
@@ -183,10 +183,10 @@
 	sizes := machine.DefaultSizes()
 	sizes.Margin, sizes.Standby, sizes.StandbyLong, sizes.ReturnAfter, sizes.Lookahead = cs.Margin, cs.Standby, cs.StandbyLong, cs.IdleFor, cs.Ahead
 	op := fleet.Options{
-		Name: st.Name, Hall: st.Hall, Address: st.PeerAddress, Seeds: st.Seeds, Power: st.Power,
-		Store: platform.NewStore(st.StoreAddress, platform.Metered(bytes)), SinglePartTx: st.OnePart, Workers: platform.NewWorkers(platform.Metered(bytes)), Machines: platform.NewMachines(st.MachinesAddress), Format: platform.Format{},
+		Name: st.Name, Hall: st.Hall, Address: st.PeerAddress, Seeds: st.Seeds, Power: st.CPUShare,
+		Store: platform.NewStore(st.StoreAddress, platform.WithMeter(bytes)), SinglePartTx: st.SinglePartTx, Workers: platform.NewWorkers(platform.WithMeter(bytes)), Machines: platform.NewMachines(st.MachinesAddress), Format: platform.Format{},
 		Cell: cell.Options{
-			LeaseDuration: min(cs.Lease, st.LeaseMax), RenewalWindow: cs.RenewFor, RegistrationMaxAge: st.RoomFor, PollInterval: cs.LookGap, MaxStopTime: st.StopTime, EarlyStart: st.Early, RemoteFactor: st.RemoteFactor,
+			LeaseDuration: min(cs.Lease, st.LeaseMax), RenewalWindow: cs.RenewFor, RegistrationMaxAge: st.RegistrationMaxAge, PollInterval: cs.LookGap, MaxStopTime: st.MaxStopTime, EarlyStart: st.EarlyStart, RemoteFactor: st.RemoteFactor,
 			Retention: st.Retention + cell.DefaultRetention/5,
 		},
 		Sizes: sizes, Log: lg, Registry: registry, Traffic: bytes,
--- a/tcp/conn.go
+++ b/tcp/conn.go
@@ -81,7 +81,7 @@
 // Write sends bytes of a call, unless its time is over.
 func (cn *conn) Write(raw []byte) (int, error) {
 	if until := cn.until.Load(); until != 0 && int64(sinceStart()) > until {
-		return 0, ErrLate
+		return 0, ErrDeadlinePassed
 	}
 	count, err := cn.Conn.Write(raw)
 	cn.moved(count, 0)
--- a/tcp/meter.go
+++ b/tcp/meter.go
@@ -7,11 +7,11 @@
 
 // Meter is told how many bytes calls moved, by the kind of call. It is called while a connection is written or read, so it must be quick.
 type Meter interface {
-	Moved(kind string, out, in int)
+	Transferred(kind string, out, in int)
 }
 
-// Metered has a meter told of all bytes; kind names a call.
-func Metered(mt Meter, kind func(*http.Request) string) Option {
+// WithMeter has a meter told of all bytes; kind names a call.
+func WithMeter(mt Meter, kind func(*http.Request) string) Option {
 	return func(op *options) { op.meter, op.kind = mt, kind }
 }
 
@@ -47,14 +47,14 @@
 // Write sends bytes.
 func (mc meteredConn) Write(raw []byte) (int, error) {
 	count, err := mc.Conn.Write(raw)
-	mc.ml.meter.Moved(mc.ml.kind, count, 0)
+	mc.ml.meter.Transferred(mc.ml.kind, count, 0)
 	return count, err
 }
 
 // Read takes bytes.
 func (mc meteredConn) Read(into []byte) (int, error) {
 	count, err := mc.Conn.Read(into)
-	mc.ml.meter.Moved(mc.ml.kind, 0, count)
+	mc.ml.meter.Transferred(mc.ml.kind, 0, count)
 	return count, err
 }
 
@@ -62,7 +62,7 @@
 func (cn *conn) moved(out, in int) {
 	if mt := cn.tr.opts.meter; mt != nil {
 		if kind := cn.kind.Load(); kind != nil {
-			mt.Moved(*kind, out, in)
+			mt.Transferred(*kind, out, in)
 		}
 	}
 }
--- a/tcp/options.go
+++ b/tcp/options.go
@@ -17,12 +17,12 @@
 	meter Meter
 	kind  func(*http.Request) string
 	// greet is called with each new connection before its first call; nil for none.
-	greet Greeting
+	greet HandshakeFunc
 }
 
-// Greeting speaks on a new connection before its first call, for which the connection was opened and whose values the context has. An error
+// HandshakeFunc speaks on a new connection before its first call, for which the connection was opened and whose values the context has. An error
 // closes the connection; the call ends with it and is not sent.
-type Greeting func(ctx context.Context, cn net.Conn) error
+type HandshakeFunc func(ctx context.Context, cn net.Conn) error
 
 // Defaults of the options.
 const (
@@ -45,16 +45,16 @@
 // DialTimeout bounds opening a connection.
 func DialTimeout(span time.Duration) Option { return func(op *options) { op.dialTimeout = span } }
 
-// IdleTime is how long an unused connection is kept.
-func IdleTime(span time.Duration) Option { return func(op *options) { op.idleTime = span } }
+// IdleTimeout is how long an unused connection is kept.
+func IdleTimeout(span time.Duration) Option { return func(op *options) { op.idleTime = span } }
 
-// Connections is how many connections to an address may be open at once.
-func Connections(most int) Option {
+// MaxConnections is how many connections to an address may be open at once.
+func MaxConnections(most int) Option {
 	return func(op *options) { op.connections, op.idleConnections = most, most }
 }
 
-// IdleConnections is how many unused connections to an address are kept.
-func IdleConnections(most int) Option { return func(op *options) { op.idleConnections = most } }
+// MaxIdleConnections is how many unused connections to an address are kept.
+func MaxIdleConnections(most int) Option { return func(op *options) { op.idleConnections = most } }
 
-// Greeted has each new connection greeted, within the time that opening it may take.
-func Greeted(greet Greeting) Option { return func(op *options) { op.greet = greet } }
+// Handshake has each new connection greeted, within the time that opening it may take.
+func Handshake(greet HandshakeFunc) Option { return func(op *options) { op.greet = greet } }
--- a/tcp/quiet.go
+++ b/tcp/quiet.go
@@ -23,9 +23,9 @@
 	err   error
 }
 
-// UntilQuiet returns a context for a call that is given up once nothing of its answer has come for the span, instead of at a fixed time: a
+// WithIdleTimeout returns a context for a call that is given up once nothing of its answer has come for the span, instead of at a fixed time: a
 // large answer on a narrow link takes long, and asking for it again would take as long once more.
-func UntilQuiet(ctx context.Context, span time.Duration) (context.Context, context.CancelFunc) {
+func WithIdleTimeout(ctx context.Context, span time.Duration) (context.Context, context.CancelFunc) {
 	qt := &quiet{Context: ctx, span: span, until: time.Now().Add(quietMost * span), done: make(chan struct{})}
 	qt.timer = time.AfterFunc(span, func() { qt.end(context.DeadlineExceeded) })
 	stop := context.AfterFunc(ctx, func() { qt.end(ctx.Err()) })
--- a/tcp/quiet_test.go
+++ b/tcp/quiet_test.go
@@ -28,7 +28,7 @@
 	defer close(hang)
 	client := NewClient()
 	read := func(path string) (int, error) {
-		ctx, cancel := UntilQuiet(t.Context(), span)
+		ctx, cancel := WithIdleTimeout(t.Context(), span)
 		defer cancel()
 		rq, err := http.NewRequestWithContext(ctx, http.MethodGet, srv.URL+path, nil)
 		if err != nil {
@@ -49,7 +49,7 @@
 		t.Errorf("an answer that stands still ends with %v", err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	part, done := UntilQuiet(ctx, time.Hour)
+	part, done := WithIdleTimeout(ctx, time.Hour)
 	defer done()
 	cancel()
 	<-part.Done()
--- a/tcp/tcp.go
+++ b/tcp/tcp.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// ErrLate says that the time of a call was over before a byte of it was written.
-var ErrLate = errors.New("the time of the call was over before it was written")
+// ErrDeadlinePassed says that the time of a call was over before a byte of it was written.
+var ErrDeadlinePassed = errors.New("the time of the call was over before it was written")
 
 // Transport carries calls. A call that ends without a whole answer resets its connection, so that bytes which the network still holds
 // are thrown away and not delivered later. It implements http.RoundTripper.
--- a/tcp/tcp_test.go
+++ b/tcp/tcp_test.go
@@ -98,7 +98,7 @@
 		raw, _ := io.ReadAll(theirs)
 		arrived <- raw
 	}()
-	if _, err := cn.Write([]byte("order")); !errors.Is(err, ErrLate) {
+	if _, err := cn.Write([]byte("order")); !errors.Is(err, ErrDeadlinePassed) {
 		t.Errorf("error %v, want ErrLate", err)
 	}
 	cn.Close()
@@ -190,7 +190,7 @@
 	}))
 	defer server.Close()
 	sl := newSilencer(t, server.Listener.Addr().String())
-	client := NewClient(Connections(connections))
+	client := NewClient(MaxConnections(connections))
 	url := "http://" + sl.ln.Addr().String()
 	var wg sync.WaitGroup
 	for range connections {
@@ -222,7 +222,7 @@
 		<-release
 	}))
 	defer server.Close()
-	client := NewClient(Connections(2))
+	client := NewClient(MaxConnections(2))
 	answer := make(chan error, 1)
 	go func() { answer <- get(client, server.URL, longWait) }()
 	<-waiting
