--- a/clock/clock.go
+++ b/clock/clock.go
@@ -10,37 +10,37 @@
 
 // skewMost is how far the time of day may move against the steady time before the kernel is asked whether the machine was suspended. Asking
 // is a system call, and readings are taken several times for each event of a cell.
-const skewMost = 10 * time.Millisecond
+const maxSkew = 10 * time.Millisecond
 
 // Clock is a steady clock. Readings are comparable with each other alone: they hold no monotonic part, and a step of the time of day does
 // not move them.
 type Clock struct {
-	read ReadFunc
-	boot func() (time.Duration, error)
+	readClocks ReadFunc
+	readBoot   func() (time.Duration, error)
 	// origin is the time of day at the start, steady and booted are what the two other clocks told then.
-	origin         time.Time
-	steady, booted time.Duration
+	startWall                 time.Time
+	startMonotonic, startBoot time.Duration
 	// skew is the newest known difference between the time of day and the steady time, slept the time for which the machine was suspended.
-	skew, slept atomic.Int64
+	skew, suspended atomic.Int64
 }
 
 // ReadFunc gives the time of day, and the steady time since some moment, as of one instant.
-type ReadFunc func() (day time.Time, steady time.Duration)
+type ReadFunc func() (wall time.Time, monotonic time.Duration)
 
 var (
 	// started is when the process began.
-	started = time.Now()
+	processStart = time.Now()
 	// system is the process's clock.
-	system = New(readSystem, SinceBoot)
+	processClock = New(readSystemClocks, SinceBoot)
 )
 
-func readSystem() (time.Time, time.Duration) {
+func readSystemClocks() (time.Time, time.Duration) {
 	now := time.Now()
-	return now.Round(0), now.Sub(started)
+	return now.Round(0), now.Sub(processStart)
 }
 
 // Now reads the process's clock.
-func Now() time.Time { return system.Now() }
+func Now() time.Time { return processClock.Now() }
 
 // SinceBoot is the time since the machine was started, with that for which it was suspended.
 func SinceBoot() (time.Duration, error) {
@@ -52,37 +52,37 @@
 }
 
 // New returns a clock over a time of day with a steady time, and the time since boot.
-func New(read ReadFunc, boot func() (time.Duration, error)) *Clock {
-	ck := &Clock{read: read, boot: boot}
-	ck.origin, ck.steady = read()
+func New(readClocks ReadFunc, readBoot func() (time.Duration, error)) *Clock {
+	ck := &Clock{readClocks: readClocks, readBoot: readBoot}
+	ck.startWall, ck.startMonotonic = readClocks()
 	// Without a reading nothing is known of suspensions, and the clock is the steady one; reading fails on no system that has the clock.
-	ck.booted, _ = boot()
+	ck.startBoot, _ = readBoot()
 	return ck
 }
 
 // Now reads the clock.
 func (ck *Clock) Now() time.Time {
-	day, steady := ck.read()
-	ran := steady - ck.steady
-	skew := day.Sub(ck.origin) - ran
-	if moved := skew - time.Duration(ck.skew.Load()); moved.Abs() > skewMost {
-		ck.measure(ran, skew)
+	wall, monotonic := ck.readClocks()
+	elapsed := monotonic - ck.startMonotonic
+	skew := wall.Sub(ck.startWall) - elapsed
+	if change := skew - time.Duration(ck.skew.Load()); change.Abs() > maxSkew {
+		ck.updateSuspended(elapsed, skew)
 	}
-	return ck.origin.Add(ran + time.Duration(ck.slept.Load()))
+	return ck.startWall.Add(elapsed + time.Duration(ck.suspended.Load()))
 }
 
 // measure asks for how long the machine was suspended. The time never goes back.
-func (ck *Clock) measure(ran, skew time.Duration) {
+func (ck *Clock) updateSuspended(elapsed, skew time.Duration) {
 	// Stored in any case, so that a system without the clock is asked once for each move.
 	ck.skew.Store(int64(skew))
-	since, err := ck.boot()
+	sinceBoot, err := ck.readBoot()
 	if err != nil {
 		return
 	}
-	slept := int64(since - ck.booted - ran)
+	suspended := int64(sinceBoot - ck.startBoot - elapsed)
 	for {
-		known := ck.slept.Load()
-		if slept <= known || ck.slept.CompareAndSwap(known, slept) {
+		previous := ck.suspended.Load()
+		if suspended <= previous || ck.suspended.CompareAndSwap(previous, suspended) {
 			return
 		}
 	}
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -10,62 +10,62 @@
 )
 
 // host is a machine with three clocks.
-type host struct {
-	day          time.Time
-	steady, boot time.Duration
-	asked        int
-	err          error
+type fakeHost struct {
+	wall            time.Time
+	monotonic, boot time.Duration
+	bootReads       int
+	err             error
 }
 
-func (ho *host) read() (time.Time, time.Duration) { return ho.day, ho.steady }
+func (fh *fakeHost) read() (time.Time, time.Duration) { return fh.wall, fh.monotonic }
 
-func (ho *host) sinceBoot() (time.Duration, error) {
-	ho.asked++
-	return ho.boot, ho.err
+func (fh *fakeHost) sinceBoot() (time.Duration, error) {
+	fh.bootReads++
+	return fh.boot, fh.err
 }
 
 // pass lets the machine run.
-func (ho *host) pass(span time.Duration) {
-	ho.day, ho.steady, ho.boot = ho.day.Add(span), ho.steady+span, ho.boot+span
+func (fh *fakeHost) advance(d time.Duration) {
+	fh.wall, fh.monotonic, fh.boot = fh.wall.Add(d), fh.monotonic+d, fh.boot+d
 }
 
 // suspend lets its steady clock stand still.
-func (ho *host) suspend(span time.Duration) { ho.day, ho.boot = ho.day.Add(span), ho.boot+span }
+func (fh *fakeHost) suspend(d time.Duration) { fh.wall, fh.boot = fh.wall.Add(d), fh.boot+d }
 
-func newHost() *host { return &host{day: time.Unix(1_700_000_000, 0), boot: time.Hour} }
+func newFakeHost() *fakeHost { return &fakeHost{wall: time.Unix(1_700_000_000, 0), boot: time.Hour} }
 
 // A machine that was suspended for 9 s counts them; its steady clock did not, so that a lease of 3 s seemed to run on.
 func TestSuspensionCounts(t *testing.T) {
-	ho := newHost()
-	ck := clock.New(ho.read, ho.sinceBoot)
+	fh := newFakeHost()
+	ck := clock.New(fh.read, fh.sinceBoot)
 	first := ck.Now()
-	ho.pass(time.Second)
-	ho.suspend(9 * time.Second)
-	ho.pass(time.Second)
+	fh.advance(time.Second)
+	fh.suspend(9 * time.Second)
+	fh.advance(time.Second)
 	if got := ck.Now().Sub(first); got != 11*time.Second {
 		t.Errorf("%v passed, want 11s", got)
 	}
-	ho.suspend(time.Second)
+	fh.suspend(time.Second)
 	if got := ck.Now().Sub(first); got != 12*time.Second {
 		t.Errorf("%v passed, want 12s", got)
 	}
 }
 
 // Steps of the time of day move nothing, and while there are none the kernel is not asked.
-func TestStepsOfTheTimeOfDayDoNotCount(t *testing.T) {
-	ho := newHost()
-	ck := clock.New(ho.read, ho.sinceBoot)
+func TestWallClockStepsDoNotCount(t *testing.T) {
+	fh := newFakeHost()
+	ck := clock.New(fh.read, fh.sinceBoot)
 	first := ck.Now()
 	for range 1000 {
-		ho.pass(time.Millisecond)
+		fh.advance(time.Millisecond)
 		ck.Now()
 	}
-	if ho.asked != 1 {
-		t.Errorf("the kernel was asked %d times, want once at the start", ho.asked)
+	if fh.bootReads != 1 {
+		t.Errorf("the kernel was asked %d times, want once at the start", fh.bootReads)
 	}
 	for _, step := range []time.Duration{2 * time.Second, -2 * time.Second, -time.Minute} {
-		ho.day = ho.day.Add(step)
-		ho.pass(time.Second)
+		fh.wall = fh.wall.Add(step)
+		fh.advance(time.Second)
 		ck.Now()
 	}
 	if got := ck.Now().Sub(first); got != 4*time.Second {
@@ -73,19 +73,19 @@
 	}
 }
 
-func TestClockWithoutBootTimeIsSteady(t *testing.T) {
-	ho := newHost()
-	ho.err = errors.New("no such clock")
-	ck := clock.New(ho.read, ho.sinceBoot)
+func TestClockWithoutBootTimeIsMonotonic(t *testing.T) {
+	fh := newFakeHost()
+	fh.err = errors.New("no such clock")
+	ck := clock.New(fh.read, fh.sinceBoot)
 	first := ck.Now()
-	ho.suspend(time.Second)
-	ho.pass(time.Second)
+	fh.suspend(time.Second)
+	fh.advance(time.Second)
 	if got := ck.Now().Sub(first); got != time.Second {
 		t.Errorf("%v passed, want 1s", got)
 	}
 	ck.Now()
-	if ho.asked != 2 {
-		t.Errorf("the kernel was asked %d times, want at the start and once for the move", ho.asked)
+	if fh.bootReads != 2 {
+		t.Errorf("the kernel was asked %d times, want at the start and once for the move", fh.bootReads)
 	}
 }
 
--- a/tcp/conn.go
+++ b/tcp/conn.go
@@ -16,27 +16,27 @@
 // so a slow store raises no false alarm.
 const (
 	// probeAfter is how long a connection may be without traffic before it is probed, probeEvery the pause between two probes.
-	probeAfter = time.Second
-	probeEvery = time.Second
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
 	// probeMost is how many probes may stay unanswered: a connection that nothing uses is dead after some three seconds.
-	probeMost = 2
+	keepAliveProbes = 2
 	// unackedMost is how long what was written may stay without an acknowledgement.
-	unackedMost = 3 * time.Second
+	userTimeout = 3 * time.Second
 )
 
 var (
-	keepAlive = net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeEvery, Count: probeMost}
+	keepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes}
 	// start is the origin of a steady clock that goes on while the process stands still.
-	start = clock.Now()
+	processStart = clock.Now()
 )
 
-func sinceStart() time.Duration { return clock.Now().Sub(start) }
+func sinceStart() time.Duration { return clock.Now().Sub(processStart) }
 
 // setUserTimeout bounds how long bytes may stay unacknowledged.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var setErr error
 	err := raw.Control(func(fd uintptr) {
-		setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedMost.Milliseconds()))
+		setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
@@ -50,53 +50,53 @@
 	tr      *Transport
 	address string
 	// until is the end of the call's time by the steady clock, 0 for none; heard is when something was read last.
-	until, heard atomic.Int64
+	deadline, lastReadAt atomic.Int64
 	// kind names the newest call for the meter.
 	kind atomic.Pointer[string]
 	// quiet is the newest call's, nil if it has a fixed time.
-	quiet atomic.Pointer[quiet]
+	idleCtx atomic.Pointer[idleContext]
 	// answered is set once the answer of the newest call has begun.
-	answered atomic.Bool
-	closing  sync.Once
+	answered  atomic.Bool
+	closeOnce sync.Once
 }
 
 // take gives the connection to a call.
-func (cn *conn) take(ctx context.Context) {
+func (cn *conn) assign(ctx context.Context) {
 	if cn == nil {
 		return
 	}
-	until := int64(0)
+	deadlineNanos := int64(0)
 	if deadline, ok := ctx.Deadline(); ok {
-		until = int64(sinceStart() + time.Until(deadline))
+		deadlineNanos = int64(sinceStart() + time.Until(deadline))
 	}
-	waits, _ := ctx.Value(quietKey{}).(*quiet)
-	cn.quiet.Store(waits)
+	idleCtx, _ := ctx.Value(idleContextKey{}).(*idleContext)
+	cn.idleCtx.Store(idleCtx)
 	cn.answered.Store(false)
-	cn.until.Store(until)
+	cn.deadline.Store(deadlineNanos)
 }
 
 // unused reports whether no call waits for an answer on the connection.
-func (cn *conn) unused() bool { return cn.answered.Load() }
+func (cn *conn) idle() bool { return cn.answered.Load() }
 
 // Write sends bytes of a call, unless its time is over.
 func (cn *conn) Write(raw []byte) (int, error) {
-	if until := cn.until.Load(); until != 0 && int64(sinceStart()) > until {
+	if deadline := cn.deadline.Load(); deadline != 0 && int64(sinceStart()) > deadline {
 		return 0, ErrDeadlinePassed
 	}
 	count, err := cn.Conn.Write(raw)
-	cn.moved(count, 0)
+	cn.countBytes(count, 0)
 	return count, err
 }
 
 // Read takes bytes of an answer.
-func (cn *conn) Read(into []byte) (int, error) {
-	count, err := cn.Conn.Read(into)
+func (cn *conn) Read(buf []byte) (int, error) {
+	count, err := cn.Conn.Read(buf)
 	if count > 0 {
-		cn.moved(0, count)
-		if waits := cn.quiet.Load(); waits != nil {
-			waits.heard()
+		cn.countBytes(0, count)
+		if idleCtx := cn.idleCtx.Load(); idleCtx != nil {
+			idleCtx.extend()
 		}
-		cn.heard.Store(int64(sinceStart()))
+		cn.lastReadAt.Store(int64(sinceStart()))
 		cn.answered.Store(true)
 	}
 	return count, err
@@ -104,6 +104,6 @@
 
 // Close resets the connection.
 func (cn *conn) Close() error {
-	cn.closing.Do(func() { cn.tr.forget(cn) })
+	cn.closeOnce.Do(func() { cn.tr.remove(cn) })
 	return cn.Conn.Close()
 }
--- a/tcp/quiet_test.go
+++ b/tcp/idletimeout_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestCallGoesOnWhileItsAnswerComes: a large answer over a narrow link takes several times as long as the call may hear nothing.
-func TestCallGoesOnWhileItsAnswerComes(t *testing.T) {
+func TestCallContinuesWhileResponseArrives(t *testing.T) {
 	const span, pieces = 300 * time.Millisecond, 10
 	hang := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(wr http.ResponseWriter, rq *http.Request) {
@@ -49,11 +49,11 @@
 		t.Errorf("an answer that stands still ends with %v", err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	part, done := WithIdleTimeout(ctx, time.Hour)
+	child, done := WithIdleTimeout(ctx, time.Hour)
 	defer done()
 	cancel()
-	<-part.Done()
-	if !errors.Is(part.Err(), context.Canceled) {
-		t.Errorf("ended with its parent by %v", part.Err())
+	<-child.Done()
+	if !errors.Is(child.Err(), context.Canceled) {
+		t.Errorf("ended with its parent by %v", child.Err())
 	}
 }
--- a/tcp/meter.go
+++ b/tcp/meter.go
@@ -11,8 +11,8 @@
 }
 
 // WithMeter has a meter told of all bytes; kind names a call.
-func WithMeter(mt Meter, kind func(*http.Request) string) Option {
-	return func(op *options) { op.meter, op.kind = mt, kind }
+func WithMeter(mt Meter, callKind func(*http.Request) string) Option {
+	return func(op *options) { op.meter, op.callKind = mt, callKind }
 }
 
 // Listen opens an address for connections whose bytes a meter is told of, all as of one kind.
@@ -59,7 +59,7 @@
 }
 
 // moved tells the meter of bytes of the connection's newest call.
-func (cn *conn) moved(out, in int) {
+func (cn *conn) countBytes(out, in int) {
 	if mt := cn.tr.opts.meter; mt != nil {
 		if kind := cn.kind.Load(); kind != nil {
 			mt.Transferred(*kind, out, in)
--- a/tcp/options.go
+++ b/tcp/options.go
@@ -11,13 +11,13 @@
 type Option func(*options)
 
 type options struct {
-	dialTimeout, idleTime        time.Duration
-	connections, idleConnections int
+	dialTimeout, idleTimeout           time.Duration
+	maxConnections, maxIdleConnections int
 	// meter is told of bytes by the kind of call; nil if nobody is.
-	meter Meter
-	kind  func(*http.Request) string
+	meter    Meter
+	callKind func(*http.Request) string
 	// greet is called with each new connection before its first call; nil for none.
-	greet HandshakeFunc
+	handshake HandshakeFunc
 }
 
 // HandshakeFunc speaks on a new connection before its first call, for which the connection was opened and whose values the context has. An error
@@ -27,15 +27,15 @@
 // Defaults of the options.
 const (
 	// defaultDial bounds opening a connection; halls are some milliseconds apart.
-	defaultDial = time.Second
+	defaultDialTimeout = time.Second
 	// defaultIdle is how long an unused connection is kept.
-	defaultIdle = 90 * time.Second
+	defaultIdleTimeout = 90 * time.Second
 	// defaultIdleConnections is how many unused connections to an address are kept.
-	defaultIdleConnections = 2
+	defaultMaxIdleConnections = 2
 )
 
 func newOptions(opts []Option) options {
-	op := options{dialTimeout: defaultDial, idleTime: defaultIdle, idleConnections: defaultIdleConnections}
+	op := options{dialTimeout: defaultDialTimeout, idleTimeout: defaultIdleTimeout, maxIdleConnections: defaultMaxIdleConnections}
 	for _, set := range opts {
 		set(&op)
 	}
@@ -43,18 +43,18 @@
 }
 
 // DialTimeout bounds opening a connection.
-func DialTimeout(span time.Duration) Option { return func(op *options) { op.dialTimeout = span } }
+func DialTimeout(timeout time.Duration) Option { return func(op *options) { op.dialTimeout = timeout } }
 
 // IdleTimeout is how long an unused connection is kept.
-func IdleTimeout(span time.Duration) Option { return func(op *options) { op.idleTime = span } }
+func IdleTimeout(timeout time.Duration) Option { return func(op *options) { op.idleTimeout = timeout } }
 
 // MaxConnections is how many connections to an address may be open at once.
-func MaxConnections(most int) Option {
-	return func(op *options) { op.connections, op.idleConnections = most, most }
+func MaxConnections(count int) Option {
+	return func(op *options) { op.maxConnections, op.maxIdleConnections = count, count }
 }
 
 // MaxIdleConnections is how many unused connections to an address are kept.
-func MaxIdleConnections(most int) Option { return func(op *options) { op.idleConnections = most } }
+func MaxIdleConnections(count int) Option { return func(op *options) { op.maxIdleConnections = count } }
 
 // Handshake has each new connection greeted, within the time that opening it may take.
-func Handshake(greet HandshakeFunc) Option { return func(op *options) { op.greet = greet } }
+func Handshake(handshake HandshakeFunc) Option { return func(op *options) { op.handshake = handshake } }
--- a/tcp/tcp.go
+++ b/tcp/tcp.go
@@ -21,7 +21,7 @@
 	inner *http.Transport
 	mu    sync.Mutex // guards open
 	// open holds the connections by address.
-	open map[string]map[*conn]bool
+	conns map[string]map[*conn]bool
 }
 
 // NewClient returns a client over a transport of its own.
@@ -29,10 +29,10 @@
 
 // NewTransport returns a transport.
 func NewTransport(opts ...Option) *Transport {
-	tr := &Transport{opts: newOptions(opts), open: map[string]map[*conn]bool{}}
+	tr := &Transport{opts: newOptions(opts), conns: map[string]map[*conn]bool{}}
 	tr.inner = &http.Transport{
-		DialContext: tr.dial, DisableCompression: true, IdleConnTimeout: tr.opts.idleTime,
-		MaxConnsPerHost: tr.opts.connections, MaxIdleConnsPerHost: tr.opts.idleConnections,
+		DialContext: tr.dial, DisableCompression: true, IdleConnTimeout: tr.opts.idleTimeout,
+		MaxConnsPerHost: tr.opts.maxConnections, MaxIdleConnsPerHost: tr.opts.maxIdleConnections,
 	}
 	return tr
 }
@@ -40,21 +40,21 @@
 // RoundTrip carries one call. Nothing of it is written after its context's deadline, even if the process stood still meanwhile. Where it
 // was given up without an answer, unused connections to the same address that have been as silent are closed: they may be as dead.
 func (tr *Transport) RoundTrip(rq *http.Request) (*http.Response, error) {
-	began := sinceStart()
+	startedAt := sinceStart()
 	var used *conn
 	ctx := httptrace.WithClientTrace(rq.Context(), &httptrace.ClientTrace{
 		GotConn: func(gi httptrace.GotConnInfo) {
 			used, _ = gi.Conn.(*conn)
-			used.take(rq.Context())
-			if used != nil && tr.opts.kind != nil {
-				kind := tr.opts.kind(rq)
+			used.assign(rq.Context())
+			if used != nil && tr.opts.callKind != nil {
+				kind := tr.opts.callKind(rq)
 				used.kind.Store(&kind)
 			}
 		},
 	})
 	rp, err := tr.inner.RoundTrip(rq.WithContext(ctx))
 	if err != nil && used != nil && errors.Is(rq.Context().Err(), context.DeadlineExceeded) {
-		tr.dropSilent(used, began)
+		tr.closeStale(used, startedAt)
 	}
 	return rp, err
 }
@@ -64,7 +64,7 @@
 
 // dial opens a connection.
 func (tr *Transport) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	dl := &net.Dialer{Timeout: tr.opts.dialTimeout, KeepAliveConfig: keepAlive, Control: setUserTimeout}
+	dl := &net.Dialer{Timeout: tr.opts.dialTimeout, KeepAliveConfig: keepAliveConfig, Control: setUserTimeout}
 	inner, err := dl.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
@@ -77,55 +77,55 @@
 		}
 	}
 	cn := &conn{Conn: inner, tr: tr, address: address}
-	cn.heard.Store(int64(sinceStart()))
-	if err := tr.greet(ctx, cn); err != nil {
+	cn.lastReadAt.Store(int64(sinceStart()))
+	if err := tr.handshake(ctx, cn); err != nil {
 		cn.Close()
 		return nil, err
 	}
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	if tr.open[address] == nil {
-		tr.open[address] = map[*conn]bool{}
+	if tr.conns[address] == nil {
+		tr.conns[address] = map[*conn]bool{}
 	}
-	tr.open[address][cn] = true
+	tr.conns[address][cn] = true
 	return cn, nil
 }
 
 // greet greets a new connection.
-func (tr *Transport) greet(ctx context.Context, cn *conn) error {
-	if tr.opts.greet == nil {
+func (tr *Transport) handshake(ctx context.Context, cn *conn) error {
+	if tr.opts.handshake == nil {
 		return nil
 	}
 	if err := cn.SetDeadline(time.Now().Add(tr.opts.dialTimeout)); err != nil {
 		return err
 	}
-	if err := tr.opts.greet(ctx, cn); err != nil {
+	if err := tr.opts.handshake(ctx, cn); err != nil {
 		return err
 	}
 	return cn.SetDeadline(time.Time{})
 }
 
 // forget takes a connection that is closed out of the list.
-func (tr *Transport) forget(cn *conn) {
+func (tr *Transport) remove(cn *conn) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	delete(tr.open[cn.address], cn)
-	if len(tr.open[cn.address]) == 0 {
-		delete(tr.open, cn.address)
+	delete(tr.conns[cn.address], cn)
+	if len(tr.conns[cn.address]) == 0 {
+		delete(tr.conns, cn.address)
 	}
 }
 
 // dropSilent closes the connections to an address that nothing uses and on which nothing was heard since a call began that failed.
-func (tr *Transport) dropSilent(failed *conn, since time.Duration) {
+func (tr *Transport) closeStale(timedOut *conn, since time.Duration) {
 	tr.mu.Lock()
-	var silent []*conn
-	for cn := range tr.open[failed.address] {
-		if cn != failed && cn.unused() && cn.heard.Load() < int64(since) {
-			silent = append(silent, cn)
+	var stale []*conn
+	for cn := range tr.conns[timedOut.address] {
+		if cn != timedOut && cn.idle() && cn.lastReadAt.Load() < int64(since) {
+			stale = append(stale, cn)
 		}
 	}
 	tr.mu.Unlock()
-	for _, cn := range silent {
+	for _, cn := range stale {
 		cn.Close()
 	}
 }
--- a/tcp/tcp_test.go
+++ b/tcp/tcp_test.go
@@ -19,13 +19,13 @@
 
 const (
 	// shortWait ends calls that cannot succeed, longWait those that must.
-	shortWait = 300 * time.Millisecond
-	longWait  = 60 * time.Second
+	shortTimeout = 300 * time.Millisecond
+	longTimeout  = 60 * time.Second
 )
 
 // get calls an address and returns the error.
-func get(client *http.Client, url string, span time.Duration) error {
-	ctx, cancel := context.WithTimeout(context.Background(), span)
+func get(client *http.Client, url string, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	rq, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -42,7 +42,7 @@
 
 // TestCallThatIsGivenUpDoesNotArrive: the peer reads only after the call was given up, as behind a cut that heals. What the network
 // still held by then is thrown away.
-func TestCallThatIsGivenUpDoesNotArrive(t *testing.T) {
+func TestAbandonedCallIsNotDelivered(t *testing.T) {
 	// The body fits into this side's buffer, not into the peer's.
 	const size, window = 256 << 10, 4 << 10
 	lc := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -57,7 +57,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	healed := make(chan struct{})
+	resumeRead := make(chan struct{})
 	arrived := make(chan int64, 1)
 	go func() {
 		peer, err := ln.Accept()
@@ -65,11 +65,11 @@
 			return
 		}
 		defer peer.Close()
-		<-healed
+		<-resumeRead
 		count, _ := io.Copy(io.Discard, peer)
 		arrived <- count
 	}()
-	ctx, cancel := context.WithTimeout(context.Background(), shortWait)
+	ctx, cancel := context.WithTimeout(context.Background(), shortTimeout)
 	defer cancel()
 	rq, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+ln.Addr().String(), strings.NewReader(strings.Repeat("x", size)))
 	if err != nil {
@@ -78,7 +78,7 @@
 	if _, err := NewClient().Do(rq); !errors.Is(err, context.DeadlineExceeded) {
 		t.Fatalf("error %v, want that the time is over", err)
 	}
-	close(healed)
+	close(resumeRead)
 	if count := <-arrived; count >= size {
 		t.Fatalf("all %d bytes arrived after the call was given up", count)
 	}
@@ -91,7 +91,7 @@
 	cn := &conn{Conn: ours, tr: NewTransport(), address: "peer"}
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(-time.Millisecond))
 	defer cancel()
-	cn.take(ctx)
+	cn.assign(ctx)
 	arrived := make(chan []byte, 1)
 	go func() {
 		// What arrives before the other side closes.
@@ -108,48 +108,48 @@
 }
 
 // silencer forwards connections to a server until it falls silent for those that are open; new ones work.
-type silencer struct {
-	ln     net.Listener
-	server string
-	mu     sync.Mutex
-	silent []*atomic.Bool
-	opened int
+type stallingProxy struct {
+	ln      net.Listener
+	server  string
+	mu      sync.Mutex
+	stalled []*atomic.Bool
+	opened  int
 }
 
-func newSilencer(t *testing.T, server string) *silencer {
+func newStallingProxy(t *testing.T, server string) *stallingProxy {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	sl := &silencer{ln: ln, server: server}
+	sp := &stallingProxy{ln: ln, server: server}
 	t.Cleanup(func() { ln.Close() })
-	go sl.run()
-	return sl
+	go sp.run()
+	return sp
 }
 
-func (sl *silencer) run() {
+func (sp *stallingProxy) run() {
 	for {
-		near, err := sl.ln.Accept()
+		downstream, err := sp.ln.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", sl.server)
+		upstream, err := net.Dial("tcp", sp.server)
 		if err != nil {
-			near.Close()
+			downstream.Close()
 			return
 		}
-		quiet := &atomic.Bool{}
-		sl.mu.Lock()
-		sl.silent = append(sl.silent, quiet)
-		sl.opened++
-		sl.mu.Unlock()
-		go pump(far, near, quiet)
-		go pump(near, far, quiet)
+		stalled := &atomic.Bool{}
+		sp.mu.Lock()
+		sp.stalled = append(sp.stalled, stalled)
+		sp.opened++
+		sp.mu.Unlock()
+		go forward(upstream, downstream, stalled)
+		go forward(downstream, upstream, stalled)
 	}
 }
 
 // pump copies one way, and throws away what comes once the connection is silent.
-func pump(to, from net.Conn, quiet *atomic.Bool) {
+func forward(to, from net.Conn, stalled *atomic.Bool) {
 	defer to.Close()
 	buf := make([]byte, 4096)
 	for {
@@ -157,7 +157,7 @@
 		if err != nil {
 			return
 		}
-		if quiet.Load() {
+		if stalled.Load() {
 			continue
 		}
 		if _, err := to.Write(buf[:count]); err != nil {
@@ -166,55 +166,55 @@
 	}
 }
 
-func (sl *silencer) fallSilent() {
-	sl.mu.Lock()
-	defer sl.mu.Unlock()
-	for _, quiet := range sl.silent {
-		quiet.Store(true)
+func (sp *stallingProxy) stall() {
+	sp.mu.Lock()
+	defer sp.mu.Unlock()
+	for _, stalled := range sp.stalled {
+		stalled.Store(true)
 	}
 }
 
 // TestOneCallTellsThatUnusedConnectionsAreSilent: many open connections fall silent at once; one call is lost, not one for each.
-func TestOneCallTellsThatUnusedConnectionsAreSilent(t *testing.T) {
+func TestTimeoutClosesStaleIdleConnections(t *testing.T) {
 	const connections = 6
 	gate := make(chan struct{})
-	var inside atomic.Int32
+	var inFlight atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, rq *http.Request) {
 		if rq.URL.Path != "/gate" {
 			return
 		}
-		if inside.Add(1) == connections {
+		if inFlight.Add(1) == connections {
 			close(gate)
 		}
 		<-gate
 	}))
 	defer server.Close()
-	sl := newSilencer(t, server.Listener.Addr().String())
+	proxy := newStallingProxy(t, server.Listener.Addr().String())
 	client := NewClient(MaxConnections(connections))
-	url := "http://" + sl.ln.Addr().String()
+	url := "http://" + proxy.ln.Addr().String()
 	var wg sync.WaitGroup
 	for range connections {
 		wg.Go(func() {
-			if err := get(client, url+"/gate", longWait); err != nil {
+			if err := get(client, url+"/gate", longTimeout); err != nil {
 				t.Error(err)
 			}
 		})
 	}
 	wg.Wait()
-	sl.fallSilent()
-	if err := get(client, url, shortWait); !errors.Is(err, context.DeadlineExceeded) {
+	proxy.stall()
+	if err := get(client, url, shortTimeout); !errors.Is(err, context.DeadlineExceeded) {
 		t.Fatalf("error %v on a silent connection", err)
 	}
-	if err := get(client, url, longWait); err != nil {
+	if err := get(client, url, longTimeout); err != nil {
 		t.Fatalf("the next call met another silent connection: %v", err)
 	}
-	if sl.opened != connections+1 {
-		t.Fatalf("%d connections were opened, want %d", sl.opened, connections+1)
+	if proxy.opened != connections+1 {
+		t.Fatalf("%d connections were opened, want %d", proxy.opened, connections+1)
 	}
 }
 
 // TestWaitingCallIsLeftAlone: another call to a slow peer is given up; one that still waits for its answer gets it.
-func TestWaitingCallIsLeftAlone(t *testing.T) {
+func TestTimeoutLeavesWaitingCallOpen(t *testing.T) {
 	release := make(chan struct{})
 	waiting := make(chan struct{}, 2)
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -224,9 +224,9 @@
 	defer server.Close()
 	client := NewClient(MaxConnections(2))
 	answer := make(chan error, 1)
-	go func() { answer <- get(client, server.URL, longWait) }()
+	go func() { answer <- get(client, server.URL, longTimeout) }()
 	<-waiting
-	if err := get(client, server.URL, shortWait); !errors.Is(err, context.DeadlineExceeded) {
+	if err := get(client, server.URL, shortTimeout); !errors.Is(err, context.DeadlineExceeded) {
 		t.Fatalf("error %v, want that the time is over", err)
 	}
 	close(release)
@@ -236,7 +236,7 @@
 }
 
 // TestConnectionsAreProbed: the bounds within which the system notices that a connection is dead are in force.
-func TestConnectionsAreProbed(t *testing.T) {
+func TestKeepAliveOptionsAreSet(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	defer server.Close()
 	tr := NewTransport()
@@ -249,7 +249,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := map[int]int{unix.TCP_KEEPIDLE: 1, unix.TCP_KEEPINTVL: 1, unix.TCP_KEEPCNT: probeMost, unix.TCP_USER_TIMEOUT: int(unackedMost.Milliseconds())}
+	want := map[int]int{unix.TCP_KEEPIDLE: 1, unix.TCP_KEEPINTVL: 1, unix.TCP_KEEPCNT: keepAliveProbes, unix.TCP_USER_TIMEOUT: int(userTimeout.Milliseconds())}
 	if err := raw.Control(func(fd uintptr) {
 		for option, value := range want {
 			if got, err := unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, option); err != nil || got != value {
