--- a/cell/worker.go
+++ b/cell/worker.go
@@ -89,7 +89,7 @@
 	unregisteredAt   time.Time
 	// roomUncertainUntil is until when only a part of the room is counted on, because the registration was already old when it was first read.
 	roomUncertainUntil time.Time
-	// recorded means that the cell's row names the worker. recording means that a write of the row is in flight.
+	// recorded means that the cell's row names the worker. recording means that a write that names it was ordered.
 	recorded  bool
 	recording bool
 	// tokenCounter is shared by all incarnations of the worker.
