--- a/operator/actions.go
+++ b/operator/actions.go
@@ -8,14 +8,14 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// actionID names a side effect on the platform; asked twice it is carried out once, and one id carries out one action.
+// actionID returns the idempotency key of an action on the platform. The platform carries out one action per key and ignores repeats.
 func actionID(pn *Plan, in *table.Instance, ac table.Action) string {
 	return fmt.Sprintf("%s.%s.%d.%s", pn.ID, in.ID, in.Epoch, ac)
 }
 
-// execute does one move of a decision that was made from a snapshot.
-func (ex *Executor) execute(ctx context.Context, ip Input, sn *table.Snapshot, mv Step) error {
-	switch mv {
+// execute performs the step that was decided on the given snapshot.
+func (ex *Executor) execute(ctx context.Context, ip Input, sn *table.Snapshot, step Step) error {
+	switch step {
 	case StepClose:
 		return ex.setPhase(ctx, ip, sn, table.PhaseClosing)
 	case StepLeave:
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// act asks the platform for a side effect.
+// act requests an action on an instance from the platform.
 func (ex *Executor) act(ctx context.Context, in *table.Instance, ac table.Action, key string) error {
 	ex.hook(fmt.Sprintf("act %s", ac))
 	if err := ex.platform.Act(ctx, in.ID, ac, key); err != nil {
@@ -41,15 +41,16 @@
 	return nil
 }
 
-// instanceWrite changes an instance's row as it stood in the snapshot of the decision.
+// instanceWrite returns the write of an instance's row, conditional on the row's version in the snapshot of the decision.
 func instanceWrite(sn *table.Snapshot, in table.Instance) table.Write {
 	rw := sn.Rows[table.RowKey{Table: table.TableInstance, Key: string(in.ID)}]
-	// An instance that was decoded from a row encodes again.
+	// Encoding cannot fail, since the instance was decoded from a row.
 	raw, _ := table.Encode(in)
 	return table.Write{Table: table.TableInstance, Key: string(in.ID), IfVersion: rw.Version, Value: raw}
 }
 
-// serviceWrites changes which instances plans have taken out of the services; every change of it writes the row, so that two admissions never overlook each other.
+// serviceWrites returns writes that change which instances of the services are disrupted by plans. Every such change writes the service's
+// row, so that of two concurrent admissions one gets a conflict.
 func serviceWrites(sn *table.Snapshot, services []table.ServiceID, change func([]table.InstanceID) []table.InstanceID) []table.Write {
 	var writes []table.Write
 	for _, id := range services {
@@ -64,10 +65,10 @@
 	return writes
 }
 
-// serviceWrite changes a service's row as it stood in the snapshot of the decision.
+// serviceWrite returns the write of a service's row, conditional on the row's version in the snapshot of the decision.
 func serviceWrite(sn *table.Snapshot, sv table.Service) table.Write {
 	rw := sn.Rows[table.RowKey{Table: table.TableService, Key: string(sv.ID)}]
-	// A service that was decoded from a row encodes again.
+	// Encoding cannot fail, since the service was decoded from a row.
 	raw, _ := table.Encode(sv)
 	return table.Write{Table: table.TableService, Key: string(sv.ID), IfVersion: rw.Version, Value: raw}
 }
@@ -87,7 +88,7 @@
 	}
 }
 
-// setPhase moves an instance to a phase without changing whether it serves.
+// setPhase moves an instance to a phase of the plan without changing its serving state.
 func (ex *Executor) setPhase(ctx context.Context, ip Input, sn *table.Snapshot, phase table.Phase) error {
 	next := *ip.Instance
 	next.Hold = &table.Hold{Plan: ip.Plan.ID, Phase: phase, Since: ip.Now.UTC()}
@@ -97,7 +98,8 @@
 	return ex.commit(ctx, ip.Plan, string(phase), string(next.ID), ex.planWrite(ip.Plan, nil), instanceWrite(sn, next))
 }
 
-// leave takes an instance out of service: the budgets of its services, its state and its sessions' successors change in one transaction.
+// leave takes an instance out of service. One transaction changes the instance's state, records the disruption in its services and names
+// the successors of its sessions.
 func (ex *Executor) leave(ctx context.Context, ip Input, sn *table.Snapshot) error {
 	next := *ip.Instance
 	pin := table.Pin{Instance: next.ID, Epoch: next.Epoch}
@@ -120,7 +122,8 @@
 	return ex.commit(ctx, ip.Plan, string(table.PhaseLeaving), string(next.ID), writes...)
 }
 
-// successorsWithFallback falls back to any serving instance for a session that usage did not show, rather than lose it.
+// successorsWithFallback returns the successors of an instance's sessions. For a service without a preferred successor it accepts any
+// serving instance: the usage report may lack a session, and moving that session again is better than losing it.
 func (ex *Executor) successorsWithFallback(ip Input, sn *table.Snapshot) map[table.ServiceID][]table.Pin {
 	successors := ex.successors(ip.Plan, sn, ip.Instance)
 	fallback := sn.Successors(*ip.Instance, func(other *table.Instance) bool { return !sn.Gone(other.ID) })
@@ -132,7 +135,7 @@
 	return successors
 }
 
-// drain makes the worker refuse new work by itself, for entry instances that cannot hear of the leaving.
+// drain makes the worker itself refuse new work. Entry instances that have not received the instance's new state may still send it requests.
 func (ex *Executor) drain(ctx context.Context, ip Input, sn *table.Snapshot) error {
 	if err := ex.act(ctx, ip.Instance, table.ActionDrain, actionID(ip.Plan, ip.Instance, table.ActionDrain)); err != nil {
 		return err
@@ -140,7 +143,7 @@
 	return ex.setPhase(ctx, ip, sn, table.PhaseDrained)
 }
 
-// stop reboots or stops the instance.
+// stop requests the reboot or the stop of the instance.
 func (ex *Executor) stop(ctx context.Context, ip Input, sn *table.Snapshot) error {
 	ac := stopAction(ip.Plan)
 	if err := ex.act(ctx, ip.Instance, ac, actionID(ip.Plan, ip.Instance, ac)); err != nil {
@@ -173,7 +176,8 @@
 	return ex.commit(ctx, ip.Plan, "serving", string(next.ID), writes...)
 }
 
-// endDrain ends a drain, and first uses up the step ids of side effects that a frozen executor might still ask for.
+// endDrain makes the worker accept work again. It first uses up the idempotency keys of the drain and stop actions, so that an executor
+// that was frozen before such an action cannot trigger it later.
 func (ex *Executor) endDrain(ctx context.Context, ip Input) error {
 	if ip.Instance.Hold == nil {
 		return ex.act(ctx, ip.Instance, table.ActionAccept, actionID(ip.Plan, ip.Instance, table.ActionAccept))
@@ -189,7 +193,7 @@
 	return nil
 }
 
-// leaveIdle leaves a stopped instance idle; it stays counted as out of its services until an operator returns or moves it.
+// leaveIdle leaves a stopped instance idle. Its services keep counting it as disrupted until an operator returns or moves it.
 func (ex *Executor) leaveIdle(ctx context.Context, ip Input, sn *table.Snapshot) error {
 	next := *ip.Instance
 	next.State, next.Hold, next.Done = table.InstanceIdle, nil, ip.Plan.ID
--- a/operator/budget.go
+++ b/operator/budget.go
@@ -6,10 +6,10 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// Refusal says why an instance may not be taken out of a service now.
+// Refusal explains why an instance cannot be taken out of a service at present.
 type Refusal struct {
 	Service table.ServiceID
-	// Usable is how many instances serve now and Least how many must go on.
+	// Usable is the number of instances that serve now. Required is the number that must keep serving.
 	Usable   int
 	Required int
 }
@@ -19,7 +19,8 @@
 	return fmt.Sprintf("service %s has %d usable instances and needs %d", rf.Service, rf.Usable, rf.Required)
 }
 
-// Admit returns what forbids taking an instance out of service: every service of it must keep as many as asked for less its budget.
+// Admit checks whether an instance may be taken out of service. It returns a refusal for every service of the instance that would have
+// fewer usable instances than its target count minus its disruption budget.
 func Admit(ft *Fleet, in *table.Instance) []Refusal {
 	var refusals []Refusal
 	for _, id := range in.Services {
--- a/operator/client.go
+++ b/operator/client.go
@@ -14,34 +14,34 @@
 
 const clientTimeout = 30 * time.Second
 
-// Client makes the operator's calls to an entry instance.
+// Client calls the operator API of an entry instance.
 type Client struct {
 	rc *resty.Client
 }
 
-// NewClient returns a client of an entry instance's operator listener.
+// NewClient returns a client for the operator listener of an entry instance.
 func NewClient(address, token string) *Client {
 	return &Client{rc: resty.New().SetBaseURL("http://" + address).SetAuthToken(token).SetTimeout(clientTimeout)}
 }
 
-// NewTLSClient returns a client that checks the entry instance against the certificates of a PEM file.
+// NewTLSClient returns a client that uses TLS and verifies the entry instance with the certificate authorities of a PEM file.
 func NewTLSClient(address, token, authorityFile string) *Client {
 	rc := resty.New().SetRootCertificate(authorityFile).SetBaseURL("https://" + address).SetAuthToken(token).SetTimeout(clientTimeout)
 	return &Client{rc: rc}
 }
 
-// CallError is an answer that says that the call was not carried out.
+// CallError is the error response to a call that was not carried out.
 type CallError struct {
 	Status  int
 	Problem Problem
 }
 
-// Error returns the message and all findings, one a line.
+// Error returns the message and all findings, one per line.
 func (ce *CallError) Error() string {
 	return strings.Join(append([]string{ce.Problem.Message}, ce.Problem.Findings...), "\n  ")
 }
 
-// do makes one call and decodes the answer.
+// do sends one request and decodes the response.
 func (cl *Client) do(ctx context.Context, method, path string, body, result any) error {
 	var problem Problem
 	rq := cl.rc.R().SetContext(ctx).SetError(&problem)
@@ -61,13 +61,13 @@
 	return nil
 }
 
-// Status returns what the entry instance says of itself.
+// Status returns the status of the entry instance.
 func (cl *Client) Status(ctx context.Context) (Status, error) {
 	var st Status
 	return st, cl.do(ctx, http.MethodGet, "/v1/status", nil, &st)
 }
 
-// Propose asks for a plan.
+// Propose requests a plan for an intent.
 func (cl *Client) Propose(ctx context.Context, it Intent) (PlanView, error) {
 	var vw PlanView
 	return vw, cl.do(ctx, http.MethodPost, "/v1/plans", it, &vw)
@@ -97,7 +97,7 @@
 	return lines, cl.do(ctx, http.MethodGet, "/v1/audit", nil, &lines)
 }
 
-// Metrics returns the entry instance's figures by name.
+// Metrics returns the value of each metric of the entry instance by name.
 func (cl *Client) Metrics(ctx context.Context) (map[string]int64, error) {
 	var all map[string]struct {
 		Value int64 `json:"value"`
@@ -117,12 +117,12 @@
 	return cl.do(ctx, http.MethodPost, "/v1/jobs", SubmitRequest{Jobs: jobs}, nil)
 }
 
-// CancelJobs cancels a wave of jobs.
+// CancelJobs cancels the jobs that match the request.
 func (cl *Client) CancelJobs(ctx context.Context, call CancelRequest) error {
 	return cl.do(ctx, http.MethodPost, "/v1/jobs/cancel", call, nil)
 }
 
-// SetQuota sets the slots of a team.
+// SetQuota sets the number of slots of a team.
 func (cl *Client) SetQuota(ctx context.Context, quota worker.Quota) error {
 	return cl.do(ctx, http.MethodPut, "/v1/quotas", quota, nil)
 }
@@ -133,13 +133,13 @@
 	return jobs, cl.do(ctx, http.MethodGet, "/v1/jobs", nil, &jobs)
 }
 
-// Configuration returns the accepted configuration and what each entry instance runs.
+// Configuration returns the accepted configuration and the version that each entry instance has applied.
 func (cl *Client) Configuration(ctx context.Context) (ConfigurationView, error) {
 	var vw ConfigurationView
 	return vw, cl.do(ctx, http.MethodGet, "/v1/settings", nil, &vw)
 }
 
-// AcceptConfiguration offers a configuration over the version that was seen.
+// AcceptConfiguration submits a configuration that replaces the expected version.
 func (cl *Client) AcceptConfiguration(ctx context.Context, document string, expected table.Version) (ConfigurationView, error) {
 	var vw ConfigurationView
 	return vw, cl.do(ctx, http.MethodPut, "/v1/settings", AcceptRequest{Document: document, ExpectedVersion: expected}, &vw)
--- a/operator/configuration.go
+++ b/operator/configuration.go
@@ -15,41 +15,41 @@
 	"go.uber.org/zap"
 )
 
-// configurationKey is the row of the accepted fleet settings.
+// configurationKey is the key of the row with the accepted fleet settings.
 const configurationKey = "fleet"
 
-// Configuration is the row of the accepted fleet settings; it is accepted once it is committed.
+// Configuration is the row with the accepted fleet settings. A configuration counts as accepted once the row is committed.
 type Configuration struct {
-	// Document is the JSON with comments as the operator wrote it.
+	// Document is the JSON text as the operator wrote it, including comments.
 	Document string    `json:"document"`
 	Author   Name      `json:"author"`
 	At       time.Time `json:"at"`
 }
 
-// ActiveVersion is the configuration version that one entry instance runs.
+// ActiveVersion is the configuration version that an entry instance has applied.
 type ActiveVersion struct {
 	Entry   table.InstanceID `json:"entry"`
 	Version table.Version    `json:"version"`
-	// Reachable is false if the entry instance could not be asked.
+	// Reachable is false if the entry instance did not answer.
 	Reachable bool `json:"asked"`
 }
 
-// ConfigurationView is the accepted configuration and what each entry instance runs.
+// ConfigurationView is the accepted configuration and the version that each entry instance has applied.
 type ConfigurationView struct {
 	Configuration
 	Version        table.Version   `json:"version"`
 	ActiveVersions []ActiveVersion `json:"inForce"`
 }
 
-// VersionCollector asks every entry instance listed which configuration it runs.
+// VersionCollector asks the given entry instances which configuration version they have applied.
 type VersionCollector interface {
 	InForce(ctx context.Context, entries []table.Member) []ActiveVersion
 }
 
-// AcceptConfiguration checks a configuration whole and commits it over the version that the operator saw.
+// AcceptConfiguration validates a configuration and commits it if the accepted version is still the one that the operator saw.
 func (mg *Manager) AcceptConfiguration(ctx context.Context, author Name, document string, expected table.Version) (table.Version, error) {
 	if _, err := settings.ParseFleet([]byte(document)); err != nil {
-		return 0, &RefusedError{Message: "the configuration has faults", Findings: parseFindings(err)}
+		return 0, &RefusedError{Message: "the configuration is invalid", Findings: parseFindings(err)}
 	}
 	raw, err := table.Encode(Configuration{Document: document, Author: author, At: mg.now().UTC()})
 	if err != nil {
@@ -59,9 +59,9 @@
 	version, err := table.CommitOnce(ctx, mg.table, table.Audit{Actor: string(author), Action: "acceptConfiguration", Subject: configurationKey, Why: fmt.Sprintf("over version %d", expected), At: mg.now().UTC()}, wt)
 	var conflict *table.ConflictError
 	if errors.As(err, &conflict) {
-		// The operator's next look here must show what was in the way.
+		// Merge the conflicting row, so that the operator's next read from this entry instance shows it.
 		mg.cache.Merge(conflict.Rows[:1], 0)
-		return 0, &RefusedError{Message: "another configuration was accepted in between", Findings: []string{conflictText(conflict)}}
+		return 0, &RefusedError{Message: "another configuration was accepted in the meantime", Findings: []string{conflictText(conflict)}}
 	}
 	if err != nil {
 		return 0, err
@@ -90,7 +90,7 @@
 	return texts
 }
 
-// ActiveSettings holds the fleet settings in force here; they never go back to an older version.
+// ActiveSettings holds the fleet settings that this entry instance has applied. They are never replaced by an older version.
 type ActiveSettings struct {
 	log     *event.Logger
 	apply   func(*settings.Fleet)
@@ -102,25 +102,25 @@
 	fleet   *settings.Fleet
 }
 
-// NewActiveSettings returns a keeper of the defaults; apply is told of each configuration that comes into force.
+// NewActiveSettings starts with the default settings. It calls apply with every newer configuration.
 func NewActiveSettings(lg *event.Logger, apply func(*settings.Fleet)) *ActiveSettings {
 	as := &ActiveSettings{log: lg, apply: apply}
 	fleet, err := settings.ParseFleet([]byte("{}"))
 	if err != nil {
-		// The defaults are part of the program.
+		// The defaults are compiled in, so an error is a programming error.
 		panic(err)
 	}
 	as.current.Store(&settingsVersion{fleet: fleet})
 	return as
 }
 
-// InForce returns the version and the settings in force.
+// InForce returns the applied settings and their version; the version is 0 for the defaults.
 func (as *ActiveSettings) InForce() (table.Version, *settings.Fleet) {
 	cur := as.current.Load()
 	return cur.version, cur.fleet
 }
 
-// Update puts the configuration of a snapshot in force if it is newer.
+// Update applies the configuration of a snapshot if it is newer.
 func (as *ActiveSettings) Update(sn *table.Snapshot) {
 	rw := sn.Rows[table.RowKey{Table: table.TableSetting, Key: configurationKey}]
 	before := as.current.Load()
@@ -145,7 +145,7 @@
 	as.log.Emit(event.ConfigurationSeen, zap.Uint64("version", uint64(rw.Version)))
 }
 
-// NewPlanner returns the planner for fleet settings.
+// NewPlanner returns a planner that uses the given fleet settings.
 func NewPlanner(ft *settings.Fleet) Planner {
 	return Planner{
 		Weights: Weights{Moves: ft.WeightMoves, Buffer: ft.WeightBuffer, Time: ft.WeightTime},
@@ -158,16 +158,16 @@
 	rw := sn.Rows[table.RowKey{Table: table.TableSetting, Key: configurationKey}]
 	vw := ConfigurationView{Version: rw.Version, ActiveVersions: sv.versions.InForce(rq.Context(), sn.Entries())}
 	if rw.Version > 0 {
-		// A row that cannot be read shows as empty, with its version.
+		// A row that cannot be decoded is shown as an empty configuration with its version.
 		vw.Configuration, _ = table.Decode[Configuration](rw)
 	}
 	writeJSON(wr, http.StatusOK, vw)
 }
 
-// AcceptRequest is the body of a call that accepts a configuration.
+// AcceptRequest is the request body for accepting a configuration.
 type AcceptRequest struct {
 	Document string `json:"document"`
-	// ExpectedVersion is the version that the operator saw; 0 before the first.
+	// ExpectedVersion is the accepted version that the operator saw, or 0 if no configuration has been accepted yet.
 	ExpectedVersion table.Version `json:"over"`
 }
 
--- a/operator/draft.go
+++ b/operator/draft.go
@@ -8,17 +8,17 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// draft is a plan in the making, for one strategy.
+// draft builds the waves of a plan for one strategy.
 type draft struct {
 	pl       *Planner
 	ft       *Fleet
 	kind     Kind
 	strategy Strategy
-	// pending holds the targets that are in no wave yet.
+	// pending holds the targets that are not assigned to a wave yet.
 	pending []*table.Instance
-	// usable counts the usable instances of each service, less those that earlier waves took for good.
+	// usable counts the usable instances of each service, without those that earlier waves remove permanently.
 	usable map[table.ServiceID]int
-	// sessionCapacity is how many sessions of each service its finished and untouched instances can still take.
+	// sessionCapacity is the number of further sessions of each service that fit on instances that are finished or not targeted.
 	sessionCapacity map[table.ServiceID]int
 	waves           []Wave
 }
@@ -47,7 +47,7 @@
 	return pn
 }
 
-// addSessionCapacity adds the connections of an instance that may take sessions, less those that it has.
+// addSessionCapacity adds the free connections of an instance that can take sessions.
 func (dr *draft) addSessionCapacity(in *table.Instance, sessions map[table.ServiceID]int) {
 	for _, id := range in.Services {
 		if sv := dr.ft.Services[id]; sv != nil {
@@ -56,7 +56,8 @@
 	}
 }
 
-// compareTargets orders targets: those out of use first, then by rack with few sessions, so that a rack leaves together where the budget allows.
+// compareTargets orders the targets: unusable instances first, then by number of sessions, then by rack. Instances of one rack thus leave
+// together where the budgets allow it.
 func (dr *draft) compareTargets(ai, bi *table.Instance) int {
 	if order := cmp.Compare(boolRank(dr.ft.usable(ai)), boolRank(dr.ft.usable(bi))); order != 0 {
 		return order
@@ -77,8 +78,9 @@
 	return 0
 }
 
-// addWave adds one wave: as many of the first targets as the budgets, the strategy and the room for their sessions allow.
-// If none fits, the first target of each service goes, and its sessions end by themselves: moved ones would have to move again.
+// addWave adds one wave with as many of the first targets as the budgets, the strategy and the capacity for their sessions allow.
+// If no target qualifies, the wave takes the first target of each service and waits until its sessions end: sessions that were moved now
+// would have to move again.
 func (dr *draft) addWave() {
 	taken, rest := dr.selectTargets(dr.reserveSessionCapacity)
 	wv := Wave{}
@@ -87,7 +89,7 @@
 		wv.AwaitSessionEnd = true
 	}
 	if len(taken) == 0 {
-		// The budgets forbid it now; the executor waits until they allow it.
+		// The budgets do not allow any target now. The executor waits until they do.
 		taken, rest = dr.pending[:1], dr.pending[1:]
 	}
 	for _, in := range taken {
@@ -98,7 +100,7 @@
 	dr.pending = rest
 }
 
-// selectTargets takes targets up to the strategy's number that the budgets and a further rule allow.
+// selectTargets selects targets, up to the parallelism of the strategy, that the budgets and the additional rule allow.
 func (dr *draft) selectTargets(allowed func(*table.Instance) bool) (taken, rest []*table.Instance) {
 	out := map[table.ServiceID]int{}
 	for ix, in := range dr.pending {
@@ -115,7 +117,7 @@
 	return taken, rest
 }
 
-// onePerService allows the first instance that is asked about for each service.
+// onePerService returns a rule that allows the first instance of each service that it is called with.
 func (dr *draft) onePerService() func(*table.Instance) bool {
 	seen := map[table.ServiceID]bool{}
 	return func(in *table.Instance) bool {
@@ -131,7 +133,7 @@
 	}
 }
 
-// finish notes that an instance has been dealt with: it can take sessions again, or is gone for good.
+// finish accounts for an instance that has left the wave: it can take sessions again, or it is removed from its services permanently.
 func (dr *draft) finish(in *table.Instance) {
 	switch {
 	case dr.kind == KindReboot:
@@ -143,7 +145,7 @@
 	}
 }
 
-// withinBudgets reports whether the budgets of an instance's services allow it beside those already in the wave.
+// withinBudgets reports whether the budgets allow the instance in addition to those already selected for the wave.
 func (dr *draft) withinBudgets(in *table.Instance, out map[table.ServiceID]int) bool {
 	if !dr.ft.usable(in) {
 		return true
@@ -166,7 +168,8 @@
 	}
 }
 
-// reserveSessionCapacity reserves room for the sessions that will have to move; they go only where the plan does not touch them again.
+// reserveSessionCapacity reserves capacity for the sessions that have to move and reports whether there was enough. It counts only
+// instances from which the plan does not move sessions again.
 func (dr *draft) reserveSessionCapacity(in *table.Instance) bool {
 	for id, sessions := range dr.ft.Sessions[in.ID] {
 		if dr.pl.remainingSessions(sessions, dr.strategy) > dr.sessionCapacity[id] {
--- a/operator/example_test.go
+++ b/operator/example_test.go
@@ -8,7 +8,7 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// smallFleet is three instances of one service, of which one may be out.
+// smallFleet returns three instances of one service with a budget of one.
 func smallFleet() *operator.Fleet {
 	ft := &operator.Fleet{
 		Services: map[table.ServiceID]*table.Service{"books": {ID: "books", Connections: 64, Asked: 3, Budget: 1}},
--- a/operator/executor.go
+++ b/operator/executor.go
@@ -19,32 +19,32 @@
 	commitTimeout           = 5 * time.Second
 )
 
-// Platform acts on instances and knows their use.
+// Platform performs actions on instances and reports their usage.
 type Platform interface {
 	Usage(ctx context.Context, ids ...table.InstanceID) ([]table.Usage, error)
 	Act(ctx context.Context, id table.InstanceID, ac table.Action, key string) error
 }
 
-// RowCache holds the snapshot and takes rows that were just committed.
+// RowCache holds the newest snapshot and accepts committed rows.
 type RowCache interface {
 	SnapshotSource
 	Merge(rows []table.Row, complete table.Version)
-	// Committed takes rows that were just committed here, and lets peers know.
+	// Committed adds rows that were just committed here and notifies the peers.
 	Committed(rows []table.Row)
 	Poll()
 }
 
-// AckCollector asks every entry instance listed what it has for an instance that leaves.
+// AckCollector asks the given entry instances for the requests that they still have for a leaving instance.
 type AckCollector interface {
 	Leaving(ctx context.Context, entries []table.Member, pn table.Pin) []Ack
 }
 
-// Prober tells whether an instance answers.
+// Prober checks whether an instance answers.
 type Prober interface {
 	Up(ctx context.Context, address string) bool
 }
 
-// ExecutorOptions holds what an executor can be built with.
+// ExecutorOptions holds the options of an Executor. Tick, LeaseDuration, MaxMembershipAge, Log and Now have defaults.
 type ExecutorOptions struct {
 	Entry              table.InstanceID
 	Incarnation        table.Incarnation
@@ -56,7 +56,8 @@
 	Now                func() time.Time
 }
 
-// Executor carries confirmed plans out; any number may run, and each step's conditional write decides.
+// Executor carries out confirmed plans. Several executors may run at the same time: every step is a conditional write, and only one
+// executor's write succeeds.
 type Executor struct {
 	opts     ExecutorOptions
 	table    table.Table
@@ -64,11 +65,11 @@
 	cache    RowCache
 	acks     AckCollector
 	prober   Prober
-	// hook is called hook each side effect and commit; tests freeze or end the executor there.
+	// hook is called before each action and each commit. Tests use it to freeze or stop the executor.
 	hook func(point string)
 }
 
-// NewExecutor returns an executor.
+// NewExecutor returns an Executor.
 func NewExecutor(table table.Table, pf Platform, rows RowCache, acks AckCollector, prober Prober, opts ExecutorOptions) *Executor {
 	if opts.Tick == 0 {
 		opts.Tick = defaultTick
@@ -88,17 +89,17 @@
 	return &Executor{opts: opts, table: table, platform: pf, cache: rows, acks: acks, prober: prober, hook: func(string) {}}
 }
 
-// SetHook sets a function that is called before each side effect and commit, for tests.
+// SetHook sets a function for tests that is called before each action and each commit.
 func (ex *Executor) SetHook(before func(point string)) {
 	ex.hook = before
 }
 
-// Run works on plans until the context ends.
+// Run executes plans until the context ends.
 func (ex *Executor) Run(ctx context.Context) {
 	table.Every(ctx, ex.opts.Tick, ex.Tick)
 }
 
-// Tick takes every active plan one step further as far as it can.
+// Tick advances every running or aborting plan as far as possible.
 func (ex *Executor) Tick(ctx context.Context) {
 	for _, pn := range activePlans(ex.cache.Snapshot()) {
 		if pn.Status == PlanRunning || pn.Status == PlanAborting {
@@ -107,7 +108,7 @@
 	}
 }
 
-// advance does what can be done for one plan now.
+// advance performs the steps of one plan that are possible now.
 func (ex *Executor) advance(ctx context.Context, pn *Plan) {
 	lease, free := ex.planLease(pn.ID)
 	if !free {
@@ -116,11 +117,11 @@
 	ids, _ := ex.currentInstances(pn, NewFleet(ex.cache.Snapshot(), nil))
 	usage, err := ex.platform.Usage(ctx, append(ids, pn.instances()[0])...)
 	if err != nil {
-		ex.renewLease(ctx, lease, []string{"the platform does not say how the workers are used"})
+		ex.renewLease(ctx, lease, []string{"the platform did not report the usage of the workers"})
 		return
 	}
 	if age := ex.opts.Now().Sub(ex.cache.Snapshot().MembersAt); age > ex.opts.MaxMembershipAge {
-		ex.renewLease(ctx, lease, []string{fmt.Sprintf("the membership is %v old", age.Round(time.Second))})
+		ex.renewLease(ctx, lease, []string{fmt.Sprintf("the membership was last read %v ago", age.Round(time.Second))})
 		return
 	}
 	if !ex.renewLease(ctx, lease, lease.Waiting) {
@@ -141,35 +142,35 @@
 	}
 }
 
-// tickView is what one tick sees: the usage that was asked for, and the fleet of the newest snapshot, made once for each.
+// tickView caches the fleet while a plan advances in one tick. The usage is read once, and the fleet is built once per snapshot.
 type tickView struct {
 	usage []table.Usage
 	sn    *table.Snapshot
 	ft    *Fleet
 }
 
-func (sg *tickView) fleet(sn *table.Snapshot) *Fleet {
-	if sg.sn != sn {
-		sg.sn, sg.ft = sn, NewFleet(sn, sg.usage)
+func (tv *tickView) fleet(sn *table.Snapshot) *Fleet {
+	if tv.sn != sn {
+		tv.sn, tv.ft = sn, NewFleet(sn, tv.usage)
 	}
-	return sg.ft
+	return tv.ft
 }
 
-// advanceInstances decides on every instance in reach and returns what is waited for.
-func (ex *Executor) advanceInstances(ctx context.Context, pn *Plan, sg *tickView) []string {
+// advanceInstances performs the next step of each current instance and returns the reasons for which instances wait.
+func (ex *Executor) advanceInstances(ctx context.Context, pn *Plan, tv *tickView) []string {
 	var waiting []string
-	if err := ex.recordDown(ctx, pn, sg); err != nil {
-		return []string{fmt.Sprintf("what is down cannot be recorded: %v", errors.Unwrap(err))}
+	if err := ex.recordDown(ctx, pn, tv); err != nil {
+		return []string{fmt.Sprintf("the instances that are down could not be recorded: %v", errors.Unwrap(err))}
 	}
-	ids, wave := ex.currentInstances(pn, sg.fleet(ex.cache.Snapshot()))
+	ids, wave := ex.currentInstances(pn, tv.fleet(ex.cache.Snapshot()))
 	if len(ids) == 0 {
 		ex.finish(ctx, pn)
 		return nil
 	}
 	for _, id := range ids {
-		// Each decision sees what the ones before have committed.
+		// Every decision uses a snapshot that includes the commits of the previous decisions.
 		sn := ex.cache.Snapshot()
-		ip := ex.decisionInput(ctx, pn, wave, sn, sg.fleet(sn), id)
+		ip := ex.decisionInput(ctx, pn, wave, sn, tv.fleet(sn), id)
 		dc := Decide(ip)
 		if dc.Step == StepWait {
 			waiting = append(waiting, dc.Reason)
@@ -182,11 +183,11 @@
 	return waiting
 }
 
-// recordDown writes which instances are down into the rows of the plan's services.
-// A decision that was made before, by an executor frozen since, then conflicts instead of breaking a budget.
-func (ex *Executor) recordDown(ctx context.Context, pn *Plan, sg *tickView) error {
+// recordDown writes the instances that are down into the rows of the plan's services. A decision that a frozen executor made earlier then
+// gets a conflict and cannot break a budget.
+func (ex *Executor) recordDown(ctx context.Context, pn *Plan, tv *tickView) error {
 	sn := ex.cache.Snapshot()
-	ft := sg.fleet(sn)
+	ft := tv.fleet(sn)
 	for _, touch := range pn.BudgetImpacts {
 		sv := sn.Services[touch.Service]
 		if sv == nil {
@@ -205,7 +206,7 @@
 	return nil
 }
 
-// currentInstances returns the instances of the current wave, or all that an aborting plan still holds.
+// currentInstances returns the instances of the current wave. For an aborting plan it returns all instances that the plan still holds.
 func (ex *Executor) currentInstances(pn *Plan, ft *Fleet) ([]table.InstanceID, Wave) {
 	if pn.Status == PlanAborting {
 		var held []table.InstanceID
@@ -223,7 +224,7 @@
 	return pn.Waves[number].Instances, pn.Waves[number]
 }
 
-// decisionInput gathers what the decision on one instance is made from.
+// decisionInput gathers the input for the decision on one instance.
 func (ex *Executor) decisionInput(ctx context.Context, pn *Plan, wave Wave, sn *table.Snapshot, ft *Fleet, id table.InstanceID) Input {
 	in := ft.Instance(id)
 	ip := Input{Plan: pn, Wave: wave, Fleet: ft, Instance: in, Now: ex.opts.Now(), MaxRequestDuration: ex.opts.MaxRequestDuration, HasSuccessors: ex.hasSuccessors(pn, sn, ft, in)}
@@ -239,7 +240,7 @@
 	return ip
 }
 
-// successors returns where an instance's sessions may go without being moved again.
+// successors returns the instances that can take an instance's sessions without having to move them again.
 func (ex *Executor) successors(pn *Plan, sn *table.Snapshot, in *table.Instance) map[table.ServiceID][]table.Pin {
 	plans := activePlans(sn)
 	return sn.Successors(*in, func(other *table.Instance) bool {
@@ -258,7 +259,7 @@
 	return true
 }
 
-// finish ends a plan that has nothing left to do.
+// finish marks a plan as done or aborted when no steps remain.
 func (ex *Executor) finish(ctx context.Context, pn *Plan) {
 	next := *pn
 	next.Status = PlanDone
@@ -266,16 +267,16 @@
 	if pn.Status == PlanAborting {
 		next.Status, action = PlanAborted, "planAborted"
 	}
-	// Another executor may have finished it first.
+	// A conflict means that another executor has already finished the plan.
 	_ = ex.commit(ctx, pn, action, string(pn.ID), ex.planWrite(pn, &next))
 }
 
-// planLease returns the lease of a plan and whether this executor may work on it.
+// planLease returns the lease of a plan and whether this executor may work on the plan.
 func (ex *Executor) planLease(id table.PlanID) (PlanLease, bool) {
 	lease := PlanLease{Plan: id}
 	rw, known := ex.cache.Snapshot().Rows[table.RowKey{Table: table.TableLease, Key: string(id)}]
 	if known && !rw.Deleted {
-		// A lease that cannot be read is treated as free; no promise rests on it.
+		// A lease that cannot be decoded is treated as free. Leases only avoid duplicate work, so correctness does not depend on them.
 		lease, _ = table.Decode[PlanLease](rw)
 		lease.version = rw.Version
 	}
@@ -283,7 +284,8 @@
 	return lease, held || !ex.opts.Now().Before(lease.Until)
 }
 
-// renewLease takes or renews the lease when less than half of it is left, and reports whether this executor holds it.
+// renewLease takes the lease, or renews it when half of its duration or less is left or the waiting reasons have changed. It reports
+// whether this executor holds the lease.
 func (ex *Executor) renewLease(ctx context.Context, lease PlanLease, waiting []string) bool {
 	held := lease.Holder == ex.opts.Entry && lease.Incarnation == ex.opts.Incarnation
 	fresh := lease.Until.Sub(ex.opts.Now()) > ex.opts.LeaseDuration/2
@@ -312,7 +314,7 @@
 	return true
 }
 
-// commit applies a step's writes with its line of audit, at most once, and lets the next decision see them.
+// commit applies the writes of a step with an audit entry, at most once, and makes them visible to the next decision.
 func (ex *Executor) commit(ctx context.Context, pn *Plan, action, subject string, writes ...table.Write) error {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -328,7 +330,7 @@
 	return nil
 }
 
-// merge shows committed writes to this entry instance at once.
+// merge adds committed writes to the local snapshot without waiting for the next poll.
 func (ex *Executor) merge(writes []table.Write, version table.Version) {
 	var rows []table.Row
 	for _, wt := range writes {
@@ -339,28 +341,28 @@
 	ex.cache.Committed(rows)
 }
 
-// planWrite changes the plan's row; without a change it only checks that the row is still the one that was decided from.
+// planWrite returns the write of the plan's row. Without a new plan it only checks that the row has not changed since the decision.
 func (ex *Executor) planWrite(pn *Plan, next *Plan) table.Write {
 	wt := table.Write{Table: table.TablePlan, Key: string(pn.ID), IfVersion: pn.version, Check: next == nil}
 	if next != nil {
-		// A plan that was decoded from a row encodes again.
+		// Encoding cannot fail, since the plan was decoded from a row.
 		wt.Value, _ = table.Encode(next)
 	}
 	return wt
 }
 
-// activePlans returns the plans that may hold instances, by the head row; plans that ended are not decoded.
+// activePlans returns the active plans, using the list of active plans so that ended plans need not be decoded.
 func activePlans(sn *table.Snapshot) []*Plan {
 	rw, known := sn.Rows[table.RowKey{Table: table.TablePlan, Key: activeListKey}]
 	if !known {
 		return nil
 	}
-	head, err := table.Decode[ActiveList](rw)
+	list, err := table.Decode[ActiveList](rw)
 	if err != nil {
 		return nil
 	}
 	var plans []*Plan
-	for _, id := range head.Active {
+	for _, id := range list.Active {
 		if pn, _, err := findPlan(sn, id); err == nil && pn.Status.active() {
 			plans = append(plans, pn)
 		}
@@ -368,7 +370,7 @@
 	return plans
 }
 
-// SortedPlans returns the plans of a snapshot by age, the oldest first.
+// SortedPlans returns all plans of a snapshot, the oldest first.
 func SortedPlans(sn *table.Snapshot) []*Plan {
 	var plans []*Plan
 	for key, rw := range sn.Rows {
--- a/operator/fakeplatform_test.go
+++ b/operator/fakeplatform_test.go
@@ -14,7 +14,7 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// fakePlatform is a platform in memory that checks each promise at each commit, and the instances behind it.
+// fakePlatform is an in-memory platform with instances. It checks the invariants at every commit and every action.
 type fakePlatform struct {
 	t           testing.TB
 	mu          sync.Mutex
@@ -22,18 +22,18 @@
 	version     table.Version
 	rows        map[table.RowKey]table.Row
 	actionsDone map[string]bool
-	// down holds the instances that failed; the membership drops them at once.
+	// down holds the failed instances. The membership drops them at once.
 	down map[table.InstanceID]bool
-	// upAt is when a rebooted instance answers again.
+	// upAt is the time at which a rebooted instance answers again.
 	upAt    map[table.InstanceID]time.Time
 	usage   map[table.InstanceID]map[table.ServiceID]int
 	entries []table.InstanceID
-	// lostAnswerShare is the share of commits whose answer is lost.
+	// lostAnswerShare is the share of commits and actions that take effect although the caller gets an error.
 	lostAnswerShare float64
-	// failedAt is when each instance last failed.
+	// failedAt is the time of each instance's last failure.
 	failedAt map[table.InstanceID]time.Time
 	reboots  map[string]int
-	// movedTo holds by plan the pins that sessions were moved to.
+	// movedTo holds, by plan, the pins to which sessions were moved.
 	movedTo    map[table.PlanID]map[table.Pin]bool
 	moved      int
 	violations []string
@@ -49,7 +49,7 @@
 	fp.violations = append(fp.violations, fmt.Sprintf(format, args...))
 }
 
-// put writes a row without any condition.
+// put writes a row unconditionally.
 func (fp *fakePlatform) put(name table.TableName, key string, value any) {
 	raw, err := table.Encode(value)
 	if err != nil {
@@ -136,28 +136,29 @@
 	return fp.version, nil
 }
 
-// fleet returns the truth: rows and who is really down.
+// fleet returns the current fleet according to the rows and the actual failures. The caller holds the lock.
 func (fp *fakePlatform) fleet() *operator.Fleet {
 	sn, _ := table.EmptySnapshot().Merge(slices.Collect(maps.Values(fp.rows)))
 	return operator.NewFleet(sn.WithMembers(fp.members()), nil)
 }
 
-// maxDetectionDelay is how long a failure may be unknown to an executor: its lease, and two polls of the membership.
+// maxDetectionDelay is the longest time for which an executor may not know of a failure: its lease and two polls of the membership.
 const maxDetectionDelay = 10 * time.Second
 
-// downTooLong reports whether an instance is down for longer than any executor may overlook.
+// downTooLong reports whether an instance has been down for longer than maxDetectionDelay.
 func (fp *fakePlatform) downTooLong(id table.InstanceID) bool {
 	return fp.down[id] && time.Since(fp.failedAt[id]) > maxDetectionDelay
 }
 
-// lockedFleet returns the fleet for those who do not hold the lock.
+// lockedFleet acquires the lock and returns the current fleet.
 func (fp *fakePlatform) lockedFleet() *operator.Fleet {
 	fp.mu.Lock()
 	defer fp.mu.Unlock()
 	return fp.fleet()
 }
 
-// checkCommit wants that no commit takes an instance out beyond a budget, and that an instance is one plan's and one pool's.
+// checkCommit checks that no commit takes an instance out of service beyond a budget, and that no instance goes directly from one plan to
+// another.
 func (fp *fakePlatform) checkCommit(before, after *operator.Fleet) {
 	for _, in := range after.Instances {
 		was := before.Instance(in.ID)
@@ -182,7 +183,7 @@
 	}
 }
 
-// moveSessions gives a leaving instance's sessions to its successors and wants that its plan had not moved any of them before.
+// moveSessions moves a leaving instance's sessions to its successors and checks that its plan has not moved any of them before.
 func (fp *fakePlatform) moveSessions(wt table.Write) {
 	mv, err := table.Decode[table.Move](table.Row{Value: wt.Value})
 	if err != nil {
@@ -223,7 +224,7 @@
 	return usage, nil
 }
 
-// Act carries an action out once for each step id and wants that only an instance that has left is stopped.
+// Act performs an action once per idempotency key and checks that only instances that have left are stopped.
 func (fp *fakePlatform) Act(_ context.Context, id table.InstanceID, ac table.Action, step string) error {
 	time.Sleep(time.Millisecond)
 	fp.mu.Lock()
@@ -246,7 +247,7 @@
 	}
 	fp.reboots[step]++
 	fp.upAt[id] = time.Now().Add(30 * time.Second)
-	// A reboot ends the sessions that are still there.
+	// A reboot ends the remaining sessions.
 	fp.usage[id] = map[table.ServiceID]int{}
 	if fp.rnd.Float64() < fp.lostAnswerShare {
 		return table.ErrLost
@@ -254,14 +255,14 @@
 	return nil
 }
 
-// Up tells whether an instance is back from its reboot.
+// Up reports whether an instance has finished its reboot.
 func (fp *fakePlatform) Up(_ context.Context, address string) bool {
 	fp.mu.Lock()
 	defer fp.mu.Unlock()
 	return !time.Now().Before(fp.upAt[table.InstanceID(address)])
 }
 
-// Leaving answers for every entry instance from its own view.
+// Leaving answers for each entry instance from the snapshot of its own watcher.
 func (fp *fakePlatform) Leaving(_ context.Context, entries []table.Member, pn table.Pin) []operator.Ack {
 	var acks []operator.Ack
 	for ix, mb := range entries {
@@ -271,7 +272,7 @@
 	return acks
 }
 
-// startWatcher returns a watcher of the world, as one entry instance has it.
+// startWatcher starts a watcher of the platform for one entry instance.
 func (fp *fakePlatform) startWatcher(ctx context.Context, poll time.Duration) *table.Watcher {
 	wt := table.NewWatcher(fp, table.WithPollInterval(poll))
 	fp.watchers = append(fp.watchers, wt)
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -7,19 +7,19 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// Fleet is what decisions about plans are made from.
+// Fleet is the state of the fleet on which decisions about plans are based.
 type Fleet struct {
 	// Instances is sorted by id.
 	Instances []*table.Instance
 	Services  map[table.ServiceID]*table.Service
 	Pools     map[table.PoolID]*table.Pool
-	// Down holds the instances that the membership does not list; one not heard of counts as down.
+	// Down holds the instances that the membership does not list or lists as leaving.
 	Down map[table.InstanceID]bool
-	// Sessions is what the platform last heard of open sessions.
+	// Sessions holds the number of open sessions per service, as last reported by the platform.
 	Sessions map[table.InstanceID]map[table.ServiceID]int
 }
 
-// NewFleet returns the fleet of a snapshot and the usage last heard of.
+// NewFleet returns the fleet of a snapshot with the given usage reports.
 func NewFleet(sn *table.Snapshot, usage []table.Usage) *Fleet {
 	ft := &Fleet{Instances: sn.SortedInstances(), Services: map[table.ServiceID]*table.Service{}, Pools: sn.Pools, Down: map[table.InstanceID]bool{}, Sessions: map[table.InstanceID]map[table.ServiceID]int{}}
 	for id, sv := range sn.Services {
@@ -36,7 +36,7 @@
 	return ft
 }
 
-// Instance returns an instance by id, nil if there is none.
+// Instance returns an instance by id, or nil if there is none.
 func (ft *Fleet) Instance(id table.InstanceID) *table.Instance {
 	index, found := slices.BinarySearchFunc(ft.Instances, id, func(in *table.Instance, id table.InstanceID) int {
 		return strings.Compare(string(in.ID), string(id))
@@ -47,12 +47,12 @@
 	return ft.Instances[index]
 }
 
-// usable reports whether an instance serves: by its row, by the membership, and by no plan's word against it.
+// usable reports whether an instance is serving according to its row and is not down.
 func (ft *Fleet) usable(in *table.Instance) bool {
 	return in.State == table.InstanceServing && !ft.Down[in.ID]
 }
 
-// sessionCount counts the sessions of an instance.
+// sessionCount returns the number of open sessions of an instance.
 func (ft *Fleet) sessionCount(id table.InstanceID) int {
 	count := 0
 	for _, sessions := range ft.Sessions[id] {
@@ -61,7 +61,7 @@
 	return count
 }
 
-// usableCount counts the usable instances of a service other than those that plans have taken out.
+// usableCount returns the number of usable instances of a service, without those that its row records as disrupted or down.
 func (ft *Fleet) usableCount(sv *table.Service) int {
 	count := 0
 	for _, in := range ft.Instances {
@@ -72,12 +72,12 @@
 	return count
 }
 
-// unavailable reports whether a service's row counts an instance as out: by a plan's hand, or seen down.
+// unavailable reports whether a service's row records an instance as disrupted by a plan or as down.
 func unavailable(sv *table.Service, id table.InstanceID) bool {
 	return slices.Contains(sv.Disrupted, id) || slices.Contains(sv.Down, id)
 }
 
-// downInstances returns the instances of a service that the membership does not list, sorted.
+// downInstances returns the instances of a service that are down, sorted by id.
 func (ft *Fleet) downInstances(id table.ServiceID) []table.InstanceID {
 	var down []table.InstanceID
 	for _, in := range ft.Instances {
--- a/operator/http.go
+++ b/operator/http.go
@@ -9,22 +9,22 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// maxRequestBytes bounds what an operator may send in one call.
+// maxRequestBytes limits the body of a request.
 const maxRequestBytes = 1 << 20
 
-// PlanView is a plan with how far it has come.
+// PlanView is a plan with its progress.
 type PlanView struct {
 	Plan
-	// Executor is the entry instance that works on it.
+	// Executor is the entry instance that holds the plan's lease.
 	Executor table.InstanceID `json:"executor,omitempty"`
-	// Waiting says why it does not go on.
+	// Waiting lists the reasons for which instances of the plan wait.
 	Waiting []string `json:"waiting,omitempty"`
-	// Finished counts the instances that it is done with, of all its instances.
+	// Finished counts the instances for which the plan is finished, out of Total.
 	Finished int `json:"finished"`
 	Total    int `json:"total"`
 }
 
-// newPlanView returns how far a plan has come in a snapshot.
+// newPlanView returns a plan with its progress according to a snapshot.
 func newPlanView(sn *table.Snapshot, pn *Plan) PlanView {
 	vw := PlanView{Plan: *pn, Total: len(pn.instances())}
 	for _, id := range pn.instances() {
@@ -83,7 +83,7 @@
 	writeJSON(wr, status, newPlanView(sv.snapshots.Snapshot(), pn))
 }
 
-// auditTrail returns the lines of audit after a version.
+// auditTrail returns the audit entries after a version.
 func (sv *Server) auditTrail(wr http.ResponseWriter, rq *http.Request) {
 	since, err := strconv.ParseUint(rq.URL.Query().Get("since"), 10, 64)
 	if err != nil && rq.URL.Query().Get("since") != "" {
@@ -104,18 +104,18 @@
 	writeJSON(wr, http.StatusOK, lines)
 }
 
-// decodeRequest decodes the body of a call, or answers with the one clear error.
+// decodeRequest decodes the body of a request, or responds with an error and returns false.
 func decodeRequest(wr http.ResponseWriter, rq *http.Request, value any) bool {
 	dec := json.NewDecoder(http.MaxBytesReader(wr, rq.Body, maxRequestBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(value); err != nil {
-		writeJSON(wr, http.StatusBadRequest, Problem{Message: "the body cannot be read: " + err.Error()})
+		writeJSON(wr, http.StatusBadRequest, Problem{Message: "the request body cannot be decoded: " + err.Error()})
 		return false
 	}
 	return true
 }
 
-// writeError answers a call that was not carried out.
+// writeError responds with the status and the message for an error of a call.
 func writeError(wr http.ResponseWriter, err error) {
 	var refused *RefusedError
 	var conflict *table.ConflictError
@@ -127,8 +127,8 @@
 	case errors.Is(err, ErrState), errors.As(err, &conflict):
 		writeJSON(wr, http.StatusConflict, Problem{Message: err.Error()})
 	case errors.Is(err, table.ErrLost):
-		writeJSON(wr, http.StatusGatewayTimeout, Problem{Message: "the platform did not say whether this took effect; look, or call again: it takes effect at most once"})
+		writeJSON(wr, http.StatusGatewayTimeout, Problem{Message: "the platform did not confirm whether this took effect; check the state, or call again: it takes effect at most once"})
 	default:
-		writeJSON(wr, http.StatusServiceUnavailable, Problem{Message: "the platform does not answer; nothing was changed"})
+		writeJSON(wr, http.StatusServiceUnavailable, Problem{Message: "the platform did not answer; nothing was changed"})
 	}
 }
--- a/operator/jobs.go
+++ b/operator/jobs.go
@@ -11,15 +11,15 @@
 	"github.com/aspenseam/aspenseam/worker"
 )
 
-// maxJobs is how many jobs one call may submit.
+// maxJobs is the maximum number of jobs per request.
 const maxJobs = 500
 
-// SubmitRequest is the body of a call that submits jobs; a job keeps its id, so that submitting twice is the same as once.
+// SubmitRequest is the request body for submitting jobs. Jobs are identified by id, so that repeating a request submits no job twice.
 type SubmitRequest struct {
 	Jobs []JobRequest `json:"jobs"`
 }
 
-// JobRequest is one job as its team wants it.
+// JobRequest is one job of a SubmitRequest.
 type JobRequest struct {
 	ID       worker.JobID  `json:"id"`
 	Team     worker.TeamID `json:"team"`
@@ -28,7 +28,8 @@
 	Declared worker.Size   `json:"declared"`
 }
 
-// CancelRequest is the body of a call that cancels a wave of jobs with one write.
+// CancelRequest is the request body for cancelling jobs of a team with one write. Kind and Jobs restrict which jobs are cancelled if they are
+// not empty.
 type CancelRequest struct {
 	Team worker.TeamID  `json:"team"`
 	Kind worker.Kind    `json:"kind,omitempty"`
@@ -36,12 +37,12 @@
 	Why  string         `json:"why"`
 }
 
-// validate returns all that is wrong with a submission.
+// validate returns all faults of a request.
 func (sc SubmitRequest) validate() []string {
 	var findings []string
 	seen := map[worker.JobID]bool{}
 	if len(sc.Jobs) == 0 || len(sc.Jobs) > maxJobs {
-		findings = append(findings, fmt.Sprintf("jobs must be 1 to %d", maxJobs))
+		findings = append(findings, fmt.Sprintf("jobs must have 1 to %d entries", maxJobs))
 	}
 	for ix, jr := range sc.Jobs {
 		if jr.ID == "" || jr.Team == "" || jr.Kind == "" {
@@ -58,10 +59,10 @@
 	return findings
 }
 
-// SubmitJobs queues jobs in one transaction; jobs that are already there stay as they are.
+// SubmitJobs queues jobs in one transaction and returns the number of jobs queued. Jobs that already exist are left unchanged.
 func (mg *Manager) SubmitJobs(ctx context.Context, author Name, call SubmitRequest) (int, error) {
 	if findings := call.validate(); len(findings) > 0 {
-		return 0, &RefusedError{Message: "the jobs have faults", Findings: findings}
+		return 0, &RefusedError{Message: "the jobs are invalid", Findings: findings}
 	}
 	remaining := call.Jobs
 	for len(remaining) > 0 {
@@ -105,10 +106,10 @@
 	return remaining
 }
 
-// CancelJobs cancels a wave of jobs by one row.
+// CancelJobs cancels the jobs that match a request by writing one row.
 func (mg *Manager) CancelJobs(ctx context.Context, author Name, call CancelRequest) error {
 	if call.Team == "" || call.Why == "" {
-		return &RefusedError{Message: "the cancellation has faults", Findings: []string{"team and why are required"}}
+		return &RefusedError{Message: "the cancellation is invalid", Findings: []string{"team and why are required"}}
 	}
 	raw, err := table.Encode(worker.Cancellation{Team: call.Team, Kind: call.Kind, Jobs: call.Jobs, At: mg.now().UTC()})
 	if err != nil {
@@ -119,10 +120,10 @@
 	return err
 }
 
-// SetQuota sets the slots of a team.
+// SetQuota sets the number of slots of a team.
 func (mg *Manager) SetQuota(ctx context.Context, author Name, quota worker.Quota) error {
 	if quota.Team == "" || quota.Slots < 0 {
-		return &RefusedError{Message: "the quota has faults", Findings: []string{"team is required, slots must not be negative"}}
+		return &RefusedError{Message: "the quota is invalid", Findings: []string{"team is required, and slots must not be negative"}}
 	}
 	raw, err := table.Encode(quota)
 	if err != nil {
@@ -174,7 +175,7 @@
 	wr.WriteHeader(http.StatusNoContent)
 }
 
-// jobs returns all jobs as they stand at the platform.
+// jobs returns all jobs, as read from the platform.
 func (sv *Server) jobs(wr http.ResponseWriter, rq *http.Request) {
 	cs, err := sv.table.Changes(rq.Context(), 0, []table.TableName{worker.TableJob})
 	if err != nil {
--- a/operator/manager.go
+++ b/operator/manager.go
@@ -13,21 +13,22 @@
 )
 
 const (
-	// activeListKey is the row that every confirmation writes, so that two of them never overlook each other.
+	// activeListKey is the key of the row with the list of active plans. Every confirmation writes this row, so that of two concurrent
+	// confirmations one gets a conflict.
 	activeListKey = "head"
-	// maxCommitAttempts is how often a confirmation is tried again when another plan was confirmed in between.
+	// maxCommitAttempts bounds the attempts to confirm or change a plan when other commits conflict.
 	maxCommitAttempts = 5
 )
 
-// Errors of operators' calls.
+// Errors of operator calls.
 var (
-	// ErrNotFound says that there is no such thing.
+	// ErrNotFound says that the requested object does not exist.
 	ErrNotFound = errors.New("not found")
-	// ErrState says that the plan's state does not allow the call.
-	ErrState = errors.New("not possible in this state")
+	// ErrState says that the plan's status does not allow the call.
+	ErrState = errors.New("not allowed in this state")
 )
 
-// RefusedError says why a call was not carried out; nothing was changed.
+// RefusedError explains why a call was refused. A refused call has changed nothing.
 type RefusedError struct {
 	Message  string
 	Findings []string
@@ -38,12 +39,12 @@
 	return strings.Join(append([]string{re.Message}, re.Findings...), "; ")
 }
 
-// ActiveList is the row that lists the plans that may hold instances.
+// ActiveList is the row that lists the active plans, which are those that may hold instances.
 type ActiveList struct {
 	Active []table.PlanID `json:"active"`
 }
 
-// Manager takes intents and turns them into plans that operators confirm.
+// Manager creates plans from operators' intents and handles operators' changes to plans, jobs, quotas and fleet settings.
 type Manager struct {
 	table    table.Table
 	platform Platform
@@ -52,12 +53,13 @@
 	now      func() time.Time
 }
 
-// NewManager returns a desk; the planner is asked for at each proposal, so that its weights can change.
+// NewManager returns a Manager. It calls planner for each proposal, so that changed weights take effect.
 func NewManager(table table.Table, pf Platform, rows RowCache, planner func() Planner, now func() time.Time) *Manager {
 	return &Manager{table: table, platform: pf, cache: rows, planner: planner, now: now}
 }
 
-// loadFleet returns the loadFleet as the table is now; it reads on from the snapshot, so that the operator's own last call is in it.
+// loadFleet reads the rows that changed since the snapshot and returns the current fleet. An operator's own previous call is therefore
+// always included.
 func (mg *Manager) loadFleet(ctx context.Context) (*table.Snapshot, *Fleet, error) {
 	cs, err := mg.table.Changes(ctx, mg.cache.Snapshot().Version, table.FeedTables)
 	if err != nil {
@@ -72,7 +74,7 @@
 	return sn, NewFleet(sn, usage), nil
 }
 
-// Propose makes a plan for an intent and keeps it until it is confirmed.
+// Propose creates a plan for an intent and stores it as proposed.
 func (mg *Manager) Propose(ctx context.Context, author Name, it Intent) (*Plan, error) {
 	_, ft, err := mg.loadFleet(ctx)
 	if err != nil {
@@ -90,7 +92,7 @@
 	return pn, nil
 }
 
-// write puts a plan's row over a version, with its line of audit.
+// write commits a plan's row and its audit entry, conditional on the expected version of the row.
 func (mg *Manager) write(ctx context.Context, author Name, action string, pn *Plan, expected table.Version, more ...table.Write) error {
 	raw, err := table.Encode(pn)
 	if err != nil {
@@ -110,7 +112,7 @@
 	return nil
 }
 
-// Confirm starts a plan if the fleet is still as the plan was made from; confirming twice is the same as once.
+// Confirm starts a plan if the preconditions of the plan still hold. Repeating a confirmation has no further effect.
 func (mg *Manager) Confirm(ctx context.Context, author Name, id table.PlanID) (*Plan, error) {
 	var conflict *table.ConflictError
 	for range maxCommitAttempts {
@@ -138,17 +140,17 @@
 		return nil, &RefusedError{Message: "the fleet has changed since the plan was made; propose it again", Findings: differences}
 	}
 	if conflicts := Conflicts(activePlans(sn), pn); len(conflicts) > 0 {
-		return nil, &RefusedError{Message: "another plan has instances of this one", Findings: conflicts}
+		return nil, &RefusedError{Message: "another plan includes the same instances", Findings: conflicts}
 	}
 	pn.Status = PlanRunning
-	head, err := activeListWrite(sn, pn.ID)
+	listWrite, err := activeListWrite(sn, pn.ID)
 	if err != nil {
 		return nil, err
 	}
-	return pn, mg.write(ctx, author, "confirm", pn, version, head)
+	return pn, mg.write(ctx, author, "confirm", pn, version, listWrite)
 }
 
-// checkConfirmed returns no error for a plan that is under way or done.
+// checkConfirmed returns an error if the plan was aborted, and nil if it has already started or is done.
 func checkConfirmed(pn *Plan) error {
 	if pn.Status == PlanAborted || pn.Status == PlanAborting {
 		return eris.Wrapf(ErrState, "plan is %s", pn.Status)
@@ -156,15 +158,15 @@
 	return nil
 }
 
-// activeListWrite adds a plan to the active ones.
+// activeListWrite returns the write that adds a plan to the list of active plans.
 func activeListWrite(sn *table.Snapshot, id table.PlanID) (table.Write, error) {
 	rw := sn.Rows[table.RowKey{Table: table.TablePlan, Key: activeListKey}]
-	var head ActiveList
+	var list ActiveList
 	for _, pn := range activePlans(sn) {
-		head.Active = append(head.Active, pn.ID)
+		list.Active = append(list.Active, pn.ID)
 	}
-	head.Active = append(head.Active, id)
-	raw, err := table.Encode(head)
+	list.Active = append(list.Active, id)
+	raw, err := table.Encode(list)
 	return table.Write{Table: table.TablePlan, Key: activeListKey, IfVersion: rw.Version, Value: raw}, err
 }
 
@@ -179,7 +181,7 @@
 	return &pn, rw.Version, err
 }
 
-// Conflicts returns whose plans have which instances of a plan.
+// Conflicts lists the instances of a plan that are also in another active plan, one sentence for each.
 func Conflicts(plans []*Plan, pn *Plan) []string {
 	var conflicts []string
 	for _, other := range plans {
@@ -195,7 +197,7 @@
 	return conflicts
 }
 
-// transitions says which states a plan may be in for a call and what it becomes.
+// transitions maps each call to the statuses that allow it and the resulting status.
 var transitions = map[string]struct {
 	from []PlanStatus
 	to   PlanStatus
@@ -205,7 +207,7 @@
 	"abort":  {[]PlanStatus{PlanProposed, PlanRunning, PlanPaused}, PlanAborting},
 }
 
-// Change pauses, resumes or aborts a plan; doing so twice is the same as once.
+// Change pauses, resumes or aborts a plan. Repeating a call has no further effect.
 func (mg *Manager) Change(ctx context.Context, author Name, id table.PlanID, call string) (*Plan, error) {
 	tr, known := transitions[call]
 	if !known {
@@ -237,7 +239,7 @@
 		return nil, eris.Wrapf(ErrState, "plan is %s", pn.Status)
 	}
 	if pn.Status == PlanProposed {
-		// Nothing was begun, so nothing has to be brought back.
+		// The plan has not started, so there is nothing to roll back.
 		to = PlanAborted
 	}
 	pn.Status = to
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -1,4 +1,4 @@
-// Package operator speaks HTTP to operators: status, metrics, plans, settings and the audit trail.
+// Package operator serves the HTTP API for operators: status, metrics, jobs, plans, fleet settings and the audit trail.
 package operator
 
 import (
@@ -16,50 +16,50 @@
 	"go.uber.org/zap"
 )
 
-// bearer begins the header that carries an operator's token.
+// bearer is the scheme prefix of the Authorization header.
 const bearer = "Bearer "
 
-// Name is an operator's name, as it stands in the audit trail.
+// Name is the name of an operator, as recorded in the audit trail.
 type Name string
 
-// SnapshotSource returns the newest snapshot.
+// SnapshotSource provides the newest table snapshot and reports whether the platform answered the last read.
 type SnapshotSource interface {
 	Snapshot() *table.Snapshot
 	Reached() bool
 }
 
-// Status is what an entry instance says of itself.
+// Status is the state that an entry instance reports about itself and the workers that it routes to.
 type Status struct {
 	Entry       table.InstanceID  `json:"entry"`
 	Incarnation table.Incarnation `json:"incarnation"`
 	Hall        table.HallID      `json:"hall"`
-	// Version is the table version up to which this entry instance knows everything.
+	// Version is the table version up to which this entry instance has read all rows.
 	Version table.Version `json:"version"`
-	// Platform tells whether the platform answered the last read.
+	// Platform reports whether the platform answered the last read.
 	Platform  bool             `json:"platform"`
 	Instances []InstanceStatus `json:"instances"`
 	Rejected  []table.RowKey   `json:"rejected,omitempty"`
 }
 
-// InstanceStatus is what an entry instance sees of one worker.
+// InstanceStatus is the state of one worker as this entry instance sees it.
 type InstanceStatus struct {
 	ID    table.InstanceID    `json:"id"`
 	Hall  table.HallID        `json:"hall"`
 	Rack  table.RackID        `json:"rack"`
 	Pool  table.PoolID        `json:"pool"`
 	State table.InstanceState `json:"state"`
-	// Listed tells whether the membership names it.
+	// Listed reports whether the membership contains the instance.
 	Listed   bool `json:"listed"`
 	InFlight int  `json:"open"`
 	Queued   int  `json:"queued"`
 }
 
-// InFlightCounter tells what goes to an instance.
+// InFlightCounter counts the requests that this entry instance has sent to an instance or queued for it.
 type InFlightCounter interface {
 	InFlight(id table.InstanceID) (open, queued int)
 }
 
-// Options holds what a server can be built with.
+// Options holds the options of a Server.
 type Options struct {
 	Entry       table.InstanceID
 	Incarnation table.Incarnation
@@ -69,20 +69,20 @@
 	Log         *event.Logger
 }
 
-// Option changes one of the options.
+// Option sets one of the Options.
 type Option func(*Options)
 
-// WithEntry names the entry instance, this run of it and its hall.
+// WithEntry sets the id, the incarnation and the hall of the entry instance.
 func WithEntry(id table.InstanceID, inc table.Incarnation, hall table.HallID) Option {
 	return func(op *Options) { op.Entry, op.Incarnation, op.Hall = id, inc, hall }
 }
 
-// WithOperators sets who may call.
+// WithOperators sets the operators whose tokens are accepted.
 func WithOperators(operators []settings.Operator) Option {
 	return func(op *Options) { op.Operators = operators }
 }
 
-// WithRegistry sets the metrics that are served.
+// WithRegistry sets the metrics registry to serve.
 func WithRegistry(registry metrics.Registry) Option {
 	return func(op *Options) { op.Registry = registry }
 }
@@ -92,7 +92,7 @@
 	return func(op *Options) { op.Log = lg }
 }
 
-// Server answers operators.
+// Server serves the HTTP API for operators.
 type Server struct {
 	opts      Options
 	snapshots SnapshotSource
@@ -103,7 +103,7 @@
 	operators atomic.Pointer[[]settings.Operator]
 }
 
-// NewServer returns a server.
+// NewServer returns a Server.
 func NewServer(snapshots SnapshotSource, endpoints InFlightCounter, table table.Table, desk *Manager, versions VersionCollector, options ...Option) *Server {
 	opts := Options{Registry: metrics.NewRegistry(), Log: event.Nop()}
 	for _, option := range options {
@@ -114,7 +114,7 @@
 	return sv
 }
 
-// SetOperators replaces who may call.
+// SetOperators replaces the operators whose tokens are accepted.
 func (sv *Server) SetOperators(operators []settings.Operator) {
 	sv.operators.Store(&operators)
 }
@@ -122,13 +122,13 @@
 // operatorKey is the context key of the operator's name.
 type operatorKey struct{}
 
-// operatorFromContext returns the name of the operator that a call came from.
+// operatorFromContext returns the name of the authenticated operator.
 func operatorFromContext(ctx context.Context) Name {
 	name, _ := ctx.Value(operatorKey{}).(Name)
 	return name
 }
 
-// Handler returns the operators' calls; each needs a known token.
+// Handler returns the HTTP handler of the API. Every call requires the token of a known operator.
 func (sv *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/status", sv.status)
@@ -148,7 +148,7 @@
 	return sv.authenticate(mux)
 }
 
-// authenticate lets calls with a known token through and notes whose it is.
+// authenticate rejects calls without a known token and stores the operator's name in the request context.
 func (sv *Server) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(wr http.ResponseWriter, rq *http.Request) {
 		name, ok := sv.operatorByToken(rq.Header.Get("Authorization"))
@@ -161,7 +161,7 @@
 	})
 }
 
-// operatorByToken compares with every token in a time that does not depend on them.
+// operatorByToken looks up the operator of an Authorization header. It compares the token with every known token in constant time.
 func (sv *Server) operatorByToken(header string) (Name, bool) {
 	token, found := strings.CutPrefix(header, bearer)
 	var name Name
@@ -174,10 +174,10 @@
 	return name, found && matched
 }
 
-// Problem is the one clear error of a call that was not carried out.
+// Problem is the error response of a call that was not carried out.
 type Problem struct {
 	Message string `json:"message"`
-	// Findings lists every fault of what was sent.
+	// Findings lists every fault found in the request.
 	Findings []string `json:"findings,omitempty"`
 }
 
@@ -199,6 +199,6 @@
 func writeJSON(wr http.ResponseWriter, status int, value any) {
 	wr.Header().Set("Content-Type", "application/json")
 	wr.WriteHeader(status)
-	// The operator may be gone; there is nobody else to tell.
+	// The status has been sent, so an error cannot be reported to the client any more.
 	_ = json.NewEncoder(wr).Encode(value)
 }
--- a/operator/plan.go
+++ b/operator/plan.go
@@ -7,50 +7,50 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// Kind says what an operator wants done to instances.
+// Kind is the kind of an intent.
 type Kind string
 
 // The kinds of intents.
 const (
-	// KindReboot takes instances out of service one wave after the other, reboots them and puts them back.
+	// KindReboot takes instances out of service wave by wave, reboots them and puts them back.
 	KindReboot Kind = "reboot"
-	// KindDrain takes instances out of service and leaves them idle and stopped.
+	// KindDrain takes instances out of service, stops them and leaves them idle.
 	KindDrain Kind = "drain"
-	// KindMove takes instances to another pool.
+	// KindMove moves instances to another pool.
 	KindMove Kind = "move"
 	// KindReturn puts idle instances back into service.
 	KindReturn Kind = "return"
 )
 
-// Intent is what an operator wants.
+// Intent is an operator's request for a change to a set of instances.
 type Intent struct {
 	Kind Kind `json:"kind"`
-	// Instances, Racks, Pools and Halls name the targets; an instance named by any is one.
+	// Instances, Racks, Pools and Halls select the targets. An instance is a target if any of them selects it.
 	Instances []table.InstanceID `json:"instances,omitempty"`
 	Racks     []table.RackID     `json:"racks,omitempty"`
 	Pools     []table.PoolID     `json:"pools,omitempty"`
 	Halls     []table.HallID     `json:"halls,omitempty"`
-	// ToPool is where KindMove takes them.
+	// ToPool is the destination of KindMove.
 	ToPool table.PoolID `json:"toPool,omitempty"`
-	// Why stands in the audit trail.
+	// Why is recorded in the audit trail.
 	Why string `json:"why"`
 }
 
-// PlanStatus is how far a plan has come.
+// PlanStatus is the status of a plan.
 type PlanStatus string
 
-// The states of a plan.
+// The statuses of a plan.
 const (
 	PlanProposed PlanStatus = "proposed"
 	PlanRunning  PlanStatus = "running"
 	PlanPaused   PlanStatus = "paused"
-	// PlanAborting brings the instances that it holds back to a safe state.
+	// PlanAborting plans return the instances that they hold to a safe state.
 	PlanAborting PlanStatus = "aborting"
 	PlanAborted  PlanStatus = "aborted"
 	PlanDone     PlanStatus = "done"
 )
 
-// ended reports whether nothing will be done for the plan any more.
+// ended reports whether no further steps will be taken for the plan.
 func (ps PlanStatus) ended() bool {
 	return ps == PlanAborted || ps == PlanDone
 }
@@ -60,7 +60,7 @@
 	return ps == PlanRunning || ps == PlanPaused || ps == PlanAborting
 }
 
-// Plan is the row of a plan; what is done with each instance stands in the instance's own row.
+// Plan is the row of a plan. The progress of each instance is stored in the instance's own row.
 type Plan struct {
 	ID            table.PlanID   `json:"id"`
 	Intent        Intent         `json:"intent"`
@@ -71,70 +71,70 @@
 	Waves         []Wave         `json:"waves"`
 	Estimate      Estimate       `json:"estimate"`
 	BudgetImpacts []BudgetImpact `json:"touches"`
-	// Preconditions is what the plan was made from.
+	// Preconditions is the state of the fleet on which the plan was based.
 	Preconditions []Precondition `json:"base"`
-	// version is that of the row which the plan was decoded from; whatever is decided from the plan holds only while the row is at it.
+	// version is the version of the row from which the plan was decoded. A decision about the plan is valid only while the row has this version.
 	version table.Version
 }
 
-// Wave is the instances that are out of service together.
+// Wave is a set of instances that are out of service at the same time.
 type Wave struct {
 	Instances []table.InstanceID `json:"instances"`
-	// AwaitSessionEnd says that sessions cannot be moved without moving them again, so that the wave waits until they have ended.
+	// AwaitSessionEnd says that the wave waits until its sessions have ended, since sessions that move now would have to move again.
 	AwaitSessionEnd bool `json:"naturalOnly,omitempty"`
 }
 
-// Strategy is how a plan trades moves, buffer and time.
+// Strategy determines how a plan balances moved sessions, spare instances and time.
 type Strategy struct {
-	// Parallel is the most instances out of service at once.
+	// Parallel is the maximum number of instances out of service at the same time.
 	Parallel int `json:"parallel"`
-	// CloseMs is how long an instance takes no new sessions before its open ones are moved, in milliseconds.
+	// CloseMs is the time during which an instance takes no new sessions before its open sessions are moved, in milliseconds.
 	CloseMs int64 `json:"closeMs"`
 }
 
-// closeDuration returns the time for natural ends.
+// closeDuration returns the time during which sessions may end before they are moved.
 func (sg Strategy) closeDuration() time.Duration {
 	return time.Duration(sg.CloseMs) * time.Millisecond
 }
 
-// Estimate is what a plan is expected to cost.
+// Estimate is the expected cost of a plan.
 type Estimate struct {
 	// Moves is the number of sessions that will move.
 	Moves int `json:"moves"`
-	// BufferPeak is the most instances out of use at once; BufferHours sums the unused hours of instances.
+	// BufferPeak is the maximum number of instances out of use at the same time. BufferHours is the sum of unused instance hours.
 	BufferPeak  int     `json:"bufferPeak"`
 	BufferHours float64 `json:"bufferHours"`
-	// DurationMs is the expected length in milliseconds.
+	// DurationMs is the expected duration in milliseconds.
 	DurationMs int64 `json:"lengthMs"`
 }
 
-// BudgetImpact is how close a plan comes to a service's budget.
+// BudgetImpact is how much of a service's disruption budget a plan uses.
 type BudgetImpact struct {
 	Service table.ServiceID `json:"service"`
 	Asked   int             `json:"asked"`
 	Budget  int             `json:"budget"`
-	// MaxOut is the most instances of the service that are out at once, those already out among them.
+	// MaxOut is the maximum number of the service's instances out at the same time, including those that are out already.
 	MaxOut int `json:"mostOut"`
 }
 
-// Precondition is something that a plan relies on.
+// Precondition is a state of the fleet on which a plan depends.
 type Precondition struct {
 	Subject string `json:"subject"`
 	Value   string `json:"value"`
 }
 
-// PlanLease saves work among executors and says what the plan waits for; no promise rests on it.
+// PlanLease avoids duplicate work among executors and records why the plan waits. Correctness does not depend on it.
 type PlanLease struct {
 	Plan        table.PlanID      `json:"plan"`
 	Holder      table.InstanceID  `json:"holder"`
 	Incarnation table.Incarnation `json:"incarnation"`
 	Until       time.Time         `json:"until"`
 	Waiting     []string          `json:"waiting,omitempty"`
-	// version is that of the row which the lease was decoded from; 0 if there was none.
+	// version is the version of the row from which the lease was decoded, or 0 if there was none.
 	version table.Version
 }
 
-// has reports whether the plan works on an instance.
+// has reports whether the plan includes an instance.
 func (pn *Plan) has(id table.InstanceID) bool {
 	for _, wv := range pn.Waves {
 		if slices.Contains(wv.Instances, id) {
--- a/operator/planner.go
+++ b/operator/planner.go
@@ -9,41 +9,42 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// parallelGrowthDivisor makes the numbers that are weighed grow by a quarter, so that large fleets need few.
+// parallelGrowthDivisor sets the growth of the candidate parallelism: each value is a quarter larger than the one before, so that large
+// fleets need few candidates.
 const parallelGrowthDivisor = 4
 
-// overtimeCostPerHour is the cost of each hour of a plan that takes longer than allowed, above any weight.
+// overtimeCostPerHour is the cost per hour of a plan that exceeds the maximum duration. It outweighs every other cost.
 const overtimeCostPerHour = 1e9
 
-// Weights say how much an operator minds each cost.
+// Weights are the relative costs of a plan.
 type Weights struct {
-	// Moves is for each session that is moved.
+	// Moves is the cost of each session that is moved.
 	Moves float64
-	// Buffer is for each instance that must be spare, which is the most that are out of use at once.
+	// Buffer is the cost of each spare instance that is needed, which is the maximum number of instances out of use at the same time.
 	Buffer float64
-	// Time is for each hour that the roll-out takes.
+	// Time is the cost of each hour of the roll-out.
 	Time float64
 }
 
-// Timing is how long things take.
+// Timing holds the durations that the planner assumes and the limits that it keeps.
 type Timing struct {
-	// MeanSessionDuration is the mean length of a session.
+	// MeanSessionDuration is the mean duration of a session.
 	MeanSessionDuration time.Duration
-	// RebootDuration is how long an instance takes to stop and start.
+	// RebootDuration is the time that an instance takes to stop and start.
 	RebootDuration time.Duration
-	// CloseDurations are the times for natural ends that may be chosen.
+	// CloseDurations are the candidates for Strategy.CloseMs.
 	CloseDurations []time.Duration
-	// MaxPlanDuration is how long a roll-out may take; 0 sets no bound.
+	// MaxPlanDuration is the maximum duration of a roll-out; 0 means no limit.
 	MaxPlanDuration time.Duration
 }
 
-// Planner makes plans; it does no input or output.
+// Planner creates plans. It performs no I/O.
 type Planner struct {
 	Weights Weights
 	Timing  Timing
 }
 
-// Propose returns the cheapest plan for an intent, or the findings that forbid any.
+// Propose returns the plan with the lowest cost for an intent, or the findings that make every plan impossible.
 func (pl *Planner) Propose(ft *Fleet, it Intent) (*Plan, []string) {
 	targets, findings := Targets(ft, it)
 	if len(findings) > 0 {
@@ -66,7 +67,7 @@
 	return best, nil
 }
 
-// Targets returns the instances that an intent names, or what is wrong with it.
+// Targets returns the instances that an intent selects, or the faults of the intent.
 func Targets(ft *Fleet, it Intent) ([]*table.Instance, []string) {
 	var findings []string
 	add := func(format string, args ...any) { findings = append(findings, fmt.Sprintf(format, args...)) }
@@ -77,7 +78,7 @@
 	case KindReboot, KindDrain, KindReturn:
 	case KindMove:
 		if ft.Pools[it.ToPool] == nil {
-			add("toPool %q is not a pool", it.ToPool)
+			add("toPool %q does not exist", it.ToPool)
 		}
 	default:
 		add("kind must be %s, %s, %s or %s", KindReboot, KindDrain, KindMove, KindReturn)
@@ -94,7 +95,7 @@
 		}
 	}
 	if len(targets) == 0 && len(findings) == 0 {
-		add("no instance is named that this can be done to")
+		add("the intent selects no instance that it can be applied to")
 	}
 	return targets, findings
 }
@@ -103,7 +104,7 @@
 	return slices.Contains(it.Instances, in.ID) || slices.Contains(it.Racks, in.Rack) || slices.Contains(it.Pools, in.Pool) || slices.Contains(it.Halls, in.Hall)
 }
 
-// needsChange leaves out instances that are already as the intent wants them.
+// needsChange reports whether an instance is not yet in the state that the intent requests.
 func needsChange(it Intent, in *table.Instance) bool {
 	switch it.Kind {
 	case KindReturn:
@@ -116,7 +117,7 @@
 	return true
 }
 
-// strategies returns the ways that are weighed.
+// strategies returns the candidate strategies.
 func (pl *Planner) strategies(ft *Fleet, it Intent, targets []*table.Instance) []Strategy {
 	closeDurations := pl.Timing.CloseDurations
 	if len(closeDurations) == 0 || it.Kind == KindReturn {
@@ -132,7 +133,7 @@
 	return strategies
 }
 
-// totalBudget sums the budgets of the targets' services, the most that can be out together.
+// totalBudget returns the sum of the budgets of the targets' services, which bounds the instances that can be out at the same time.
 func totalBudget(ft *Fleet, targets []*table.Instance) int {
 	seen := map[table.ServiceID]bool{}
 	sum := 0
@@ -147,7 +148,8 @@
 	return sum
 }
 
-// cost weighs an estimate; a plan that takes longer than allowed is chosen only if none is shorter.
+// cost returns the weighted cost of an estimate. A plan that exceeds the maximum duration is chosen only if all plans do; then
+// the shortest plan is chosen.
 func (pl *Planner) cost(es Estimate) float64 {
 	duration := time.Duration(es.DurationMs) * time.Millisecond
 	cost := pl.Weights.Moves*float64(es.Moves) + pl.Weights.Buffer*float64(es.BufferPeak) + pl.Weights.Time*duration.Hours()
@@ -157,7 +159,7 @@
 	return cost
 }
 
-// permanentViolations returns the budgets that an intent would break for good.
+// permanentViolations returns the budgets that an intent would violate permanently.
 func (pl *Planner) permanentViolations(ft *Fleet, it Intent, targets []*table.Instance) []string {
 	if !it.Kind.permanent() {
 		return nil
@@ -184,12 +186,12 @@
 	return findings
 }
 
-// permanent reports whether instances do not come back to their services.
+// permanent reports whether the instances do not return to their services.
 func (kd Kind) permanent() bool {
 	return kd == KindDrain || kd == KindMove
 }
 
-// remainingSessions returns how many of so many sessions are still open after the time for natural ends.
+// remainingSessions returns how many of the given sessions are expected to be open after the strategy's close duration.
 func (pl *Planner) remainingSessions(sessions int, sg Strategy) int {
 	if pl.Timing.MeanSessionDuration <= 0 {
 		return sessions
@@ -197,7 +199,7 @@
 	return int(math.Ceil(float64(sessions) * math.Exp(-sg.closeDuration().Seconds()/pl.Timing.MeanSessionDuration.Seconds())))
 }
 
-// estimate returns what a plan is expected to cost.
+// estimate returns the expected cost of a plan.
 func (pl *Planner) estimate(ft *Fleet, it Intent, pn *Plan) Estimate {
 	var es Estimate
 	var duration time.Duration
@@ -222,7 +224,8 @@
 	return es
 }
 
-// idleTime returns how much of an instance's time is unused while it takes no new sessions for so long: its sessions thin out exponentially.
+// idleTime returns the part of the wait that an instance is unused while it takes no new sessions. The number of its sessions decays
+// exponentially.
 func (pl *Planner) idleTime(wait time.Duration) time.Duration {
 	mean := pl.Timing.MeanSessionDuration
 	if mean <= 0 || wait <= 0 {
@@ -232,7 +235,7 @@
 	return wait - time.Duration(used*float64(time.Second))
 }
 
-// timeUntilEmpty returns when the last of so many sessions is expected to end by itself.
+// timeUntilEmpty returns the expected time until the last of the given sessions ends.
 func (pl *Planner) timeUntilEmpty(sessions int) time.Duration {
 	harmonic := 0.0
 	for number := 1; number <= sessions; number++ {
--- a/operator/preconditions.go
+++ b/operator/preconditions.go
@@ -8,7 +8,7 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// budgetImpacts returns how close a plan comes to each budget.
+// budgetImpacts returns how much of each service's budget a plan uses.
 func budgetImpacts(ft *Fleet, pn *Plan) []BudgetImpact {
 	maxOut := map[table.ServiceID]int{}
 	for _, wv := range pn.Waves {
@@ -35,7 +35,7 @@
 	return impacts
 }
 
-// Preconditions returns what a plan relies on, as it is in a fleet.
+// Preconditions returns the state of the fleet on which a plan depends.
 func Preconditions(ft *Fleet, pn *Plan) []Precondition {
 	var preconditions []Precondition
 	services := map[table.ServiceID]bool{}
@@ -63,7 +63,7 @@
 	return preconditions
 }
 
-// Differences returns what has changed since a plan was made, one sentence each.
+// Differences returns the preconditions that have changed since the plan was made, one sentence for each.
 func Differences(base, now []Precondition) []string {
 	values := map[string]string{}
 	for _, pc := range now {
--- a/operator/random_test.go
+++ b/operator/random_test.go
@@ -15,8 +15,8 @@
 )
 
 var (
-	randomCases = flag.Int("cases", 6, "how many random fleets are planned and carried out")
-	randomSeed  = flag.Uint64("caseseed", 1, "seed of the first of them")
+	randomCases = flag.Int("cases", 6, "number of random fleets that are planned and maintained")
+	randomSeed  = flag.Uint64("caseseed", 1, "seed of the first random fleet")
 )
 
 // randomCase is one random fleet with executors, failures and operators.
@@ -24,8 +24,8 @@
 	t         *testing.T
 	seed      uint64
 	rnd       *rand.Rand
-	wd        *fakePlatform
-	desk      *operator.Manager
+	fp        *fakePlatform
+	manager   *operator.Manager
 	plans     []table.PlanID
 	executors int
 	freezes   int
@@ -33,7 +33,7 @@
 	calls     int
 }
 
-// TestRandomFleets carries out random plans with frozen executors, failing instances, lost answers and operators who change their minds.
+// TestRandomFleets executes random plans while executors freeze, instances fail, answers are lost and operators pause, resume and abort plans.
 func TestRandomFleets(t *testing.T) {
 	total := randomCase{}
 	commits, moved, ended := 0, 0, map[operator.PlanStatus]int{}
@@ -41,14 +41,14 @@
 		seed := *randomSeed + uint64(number)
 		rc := &randomCase{t: t, seed: seed, rnd: rand.New(rand.NewPCG(seed, 7))}
 		synctest.Test(t, func(t *testing.T) { rc.run() })
-		for _, breach := range rc.wd.violations {
+		for _, breach := range rc.fp.violations {
 			t.Errorf("case %d: %s", seed, breach)
 		}
 		for _, pn := range rc.finalPlans() {
 			ended[pn.Status]++
 		}
-		commits += rc.wd.commits
-		moved += rc.wd.moved
+		commits += rc.fp.commits
+		moved += rc.fp.moved
 		total.freezes += rc.freezes
 		total.failures += rc.failures
 		total.calls += rc.calls
@@ -58,18 +58,18 @@
 
 func (rc *randomCase) run() {
 	ctx, cancel := context.WithCancel(context.Background())
-	rc.wd = newFakePlatform(rc.t, rand.New(rand.NewPCG(rc.seed, 8)))
+	rc.fp = newFakePlatform(rc.t, rand.New(rand.NewPCG(rc.seed, 8)))
 	rc.makeFleet()
-	rc.wd.mu.Lock()
-	rc.wd.lostAnswerShare = 0.1
-	rc.wd.mu.Unlock()
+	rc.fp.mu.Lock()
+	rc.fp.lostAnswerShare = 0.1
+	rc.fp.mu.Unlock()
 	for range 3 {
-		rc.startExecutor(ctx, rc.wd.startWatcher(ctx, time.Duration(100+rc.rnd.IntN(2000))*time.Millisecond))
+		rc.startExecutor(ctx, rc.fp.startWatcher(ctx, time.Duration(100+rc.rnd.IntN(2000))*time.Millisecond))
 	}
-	dv := table.NewWatcher(rc.wd)
+	dv := table.NewWatcher(rc.fp)
 	go dv.Run(ctx)
 	planner := operator.Planner{Weights: operator.Weights{Moves: rc.rnd.Float64() * 10, Buffer: rc.rnd.Float64() * 10, Time: rc.rnd.Float64() * 10}, Timing: operator.Timing{MeanSessionDuration: time.Hour, RebootDuration: time.Minute, CloseDurations: []time.Duration{0, 10 * time.Minute}}}
-	rc.desk = operator.NewManager(rc.wd, rc.wd, dv, func() operator.Planner { return planner }, time.Now)
+	rc.manager = operator.NewManager(rc.fp, rc.fp, dv, func() operator.Planner { return planner }, time.Now)
 	time.Sleep(5 * time.Second)
 	for range 2 + rc.rnd.IntN(3) {
 		rc.propose(ctx)
@@ -90,45 +90,45 @@
 	time.Sleep(5 * time.Minute)
 }
 
-// makeFleet writes random services, pools and instances; the address is the id, so that the world can tell who is asked.
+// makeFleet writes random services, pools and instances. An instance's address is its id, so that the fake platform can identify it.
 func (rc *randomCase) makeFleet() {
 	services := 1 + rc.rnd.IntN(3)
 	for number := range services {
 		id := table.ServiceID(fmt.Sprintf("s%d", number))
 		size := 4 + rc.rnd.IntN(6)
-		rc.wd.put(table.TablePool, "p"+string(id), table.Pool{ID: table.PoolID("p" + string(id)), Services: []table.ServiceID{id}})
+		rc.fp.put(table.TablePool, "p"+string(id), table.Pool{ID: table.PoolID("p" + string(id)), Services: []table.ServiceID{id}})
 		for ix := range size {
 			in := table.Instance{ID: table.InstanceID(fmt.Sprintf("%s.w%d", id, ix)), Hall: "h1", Rack: table.RackID(fmt.Sprintf("r%d", ix/3)), Pool: table.PoolID("p" + string(id)), State: table.InstanceServing, Epoch: 1, Services: []table.ServiceID{id}}
 			if rc.rnd.IntN(4) == 0 {
 				in.Services = append(in.Services, "shared")
 			}
 			in.Address = string(in.ID)
-			rc.wd.put(table.TableInstance, string(in.ID), in)
-			rc.wd.usage[in.ID] = map[table.ServiceID]int{id: rc.rnd.IntN(6)}
+			rc.fp.put(table.TableInstance, string(in.ID), in)
+			rc.fp.usage[in.ID] = map[table.ServiceID]int{id: rc.rnd.IntN(6)}
 		}
-		rc.wd.put(table.TableService, string(id), table.Service{ID: id, Slots: 8, Connections: 64, Asked: size, Budget: 1 + rc.rnd.IntN(3)})
+		rc.fp.put(table.TableService, string(id), table.Service{ID: id, Slots: 8, Connections: 64, Asked: size, Budget: 1 + rc.rnd.IntN(3)})
 	}
 	shared := 0
-	for _, in := range rc.wd.lockedFleet().Instances {
+	for _, in := range rc.fp.lockedFleet().Instances {
 		if slices.Contains(in.Services, "shared") {
 			shared++
 		}
 	}
-	rc.wd.put(table.TableService, "shared", table.Service{ID: "shared", Slots: 8, Connections: 64, Asked: shared, Budget: 1})
+	rc.fp.put(table.TableService, "shared", table.Service{ID: "shared", Slots: 8, Connections: 64, Asked: shared, Budget: 1})
 }
 
-// startExecutor runs an executor that is frozen now and then at a random point before a side effect or a commit.
+// startExecutor runs an executor that freezes at random before actions and commits.
 func (rc *randomCase) startExecutor(ctx context.Context, wt *table.Watcher) {
 	rc.executors++
-	ex := operator.NewExecutor(rc.wd, rc.wd, wt, rc.wd, rc.wd, operator.ExecutorOptions{Entry: table.InstanceID(fmt.Sprintf("e%d", rc.executors)), Incarnation: table.Incarnation(table.NewID()), MaxRequestDuration: 30 * time.Second, Tick: 2 * time.Second})
+	ex := operator.NewExecutor(rc.fp, rc.fp, wt, rc.fp, rc.fp, operator.ExecutorOptions{Entry: table.InstanceID(fmt.Sprintf("e%d", rc.executors)), Incarnation: table.Incarnation(table.NewID()), MaxRequestDuration: 30 * time.Second, Tick: 2 * time.Second})
 	ex.SetHook(func(string) {
-		rc.wd.mu.Lock()
-		frozen := rc.wd.rnd.IntN(12) == 0 && rc.wd.lostAnswerShare > 0
-		length := time.Duration(rc.wd.rnd.IntN(120)) * time.Second
+		rc.fp.mu.Lock()
+		frozen := rc.fp.rnd.IntN(12) == 0 && rc.fp.lostAnswerShare > 0
+		length := time.Duration(rc.fp.rnd.IntN(120)) * time.Second
 		if frozen {
 			rc.freezes++
 		}
-		rc.wd.mu.Unlock()
+		rc.fp.mu.Unlock()
 		if frozen {
 			time.Sleep(length)
 		}
@@ -137,7 +137,7 @@
 }
 
 func (rc *randomCase) propose(ctx context.Context) {
-	instances := rc.wd.lockedFleet().Instances
+	instances := rc.fp.lockedFleet().Instances
 	it := operator.Intent{Kind: operator.KindReboot, Why: "random"}
 	switch rc.rnd.IntN(3) {
 	case 0:
@@ -149,27 +149,27 @@
 		it.Kind = []operator.Kind{operator.KindReboot, operator.KindDrain, operator.KindMove}[rc.rnd.IntN(3)]
 		it.ToPool = "ps0"
 	}
-	pn, err := rc.desk.Propose(ctx, "alice", it)
+	pn, err := rc.manager.Propose(ctx, "alice", it)
 	if err != nil {
 		return
 	}
 	rc.calls++
-	if _, err := rc.desk.Confirm(ctx, "alice", pn.ID); err == nil {
+	if _, err := rc.manager.Confirm(ctx, "alice", pn.ID); err == nil {
 		rc.plans = append(rc.plans, pn.ID)
 	}
 }
 
-// injectEvent fails or mends an instance, or lets an operator change a plan.
+// injectEvent fails an instance, recovers all instances, or lets an operator propose or change a plan.
 func (rc *randomCase) injectEvent(ctx context.Context) {
-	instances := rc.wd.lockedFleet().Instances
+	instances := rc.fp.lockedFleet().Instances
 	id := instances[rc.rnd.IntN(len(instances))].ID
 	switch rc.rnd.IntN(6) {
 	case 0:
 		rc.failures++
-		rc.wd.mu.Lock()
-		rc.wd.down[id] = true
-		rc.wd.failedAt[id] = time.Now()
-		rc.wd.mu.Unlock()
+		rc.fp.mu.Lock()
+		rc.fp.down[id] = true
+		rc.fp.failedAt[id] = time.Now()
+		rc.fp.mu.Unlock()
 	case 1, 2:
 		rc.recoverInstances()
 	case 3:
@@ -177,40 +177,40 @@
 	case 4:
 		if len(rc.plans) > 0 {
 			rc.calls++
-			// A call that the plan's state does not allow is an operator's everyday mistake.
-			_, _ = rc.desk.Change(ctx, "bruno", rc.plans[rc.rnd.IntN(len(rc.plans))], []string{"pause", "resume", "abort"}[rc.rnd.IntN(3)])
+			// Errors are expected, since the plan's status may not allow the call.
+			_, _ = rc.manager.Change(ctx, "bruno", rc.plans[rc.rnd.IntN(len(rc.plans))], []string{"pause", "resume", "abort"}[rc.rnd.IntN(3)])
 		}
 	}
 }
 
 func (rc *randomCase) recoverInstances() {
-	rc.wd.mu.Lock()
-	defer rc.wd.mu.Unlock()
-	clear(rc.wd.down)
+	rc.fp.mu.Lock()
+	defer rc.fp.mu.Unlock()
+	clear(rc.fp.down)
 }
 
-// endFaults ends all faults and lets natural ends happen, so that every plan can end.
+// endFaults ends all faults and all sessions, so that every plan can end.
 func (rc *randomCase) endFaults(ctx context.Context) {
 	rc.recoverInstances()
-	rc.wd.mu.Lock()
-	rc.wd.lostAnswerShare = 0
-	clear(rc.wd.usage)
-	services := rc.wd.fleet().Services
-	rc.wd.mu.Unlock()
-	// What was drained or moved for good took its part of the budgets; the operators ask for less.
+	rc.fp.mu.Lock()
+	rc.fp.lostAnswerShare = 0
+	clear(rc.fp.usage)
+	services := rc.fp.fleet().Services
+	rc.fp.mu.Unlock()
+	// Instances that were drained or moved permanently use up the budgets, so the target counts are set to 0.
 	for id, sv := range services {
 		sv.Asked = 0
-		rc.wd.put(table.TableService, string(id), *sv)
+		rc.fp.put(table.TableService, string(id), *sv)
 	}
 	for _, id := range rc.plans {
-		// Only paused plans are resumed; the others refuse.
-		_, _ = rc.desk.Change(ctx, "alice", id, "resume")
+		// Only paused plans can be resumed. Errors for the others are expected.
+		_, _ = rc.manager.Change(ctx, "alice", id, "resume")
 	}
 }
 
-// finalPlans returns the plans as they stand in the table.
+// finalPlans returns the confirmed plans as stored in the table.
 func (rc *randomCase) finalPlans() []*operator.Plan {
-	sn, _ := table.EmptySnapshot().Merge(allRows(rc.wd))
+	sn, _ := table.EmptySnapshot().Merge(allRows(rc.fp))
 	var plans []*operator.Plan
 	for _, pn := range operator.SortedPlans(sn) {
 		if slices.Contains(rc.plans, pn.ID) {
@@ -220,11 +220,11 @@
 	return plans
 }
 
-func allRows(wd *fakePlatform) []table.Row {
-	wd.mu.Lock()
-	defer wd.mu.Unlock()
+func allRows(fp *fakePlatform) []table.Row {
+	fp.mu.Lock()
+	defer fp.mu.Unlock()
 	var rows []table.Row
-	for _, rw := range wd.rows {
+	for _, rw := range fp.rows {
 		rows = append(rows, rw)
 	}
 	return rows
@@ -239,26 +239,27 @@
 	return true
 }
 
-// check wants that every plan ended, nothing is left held, nothing was rebooted twice and no session moved twice by one plan.
+// check checks that every plan has ended, that no instance is still held and that no action was performed twice. The fake platform checks
+// during the run that no plan moves a session twice.
 func (rc *randomCase) check() {
 	if !rc.allEnded() {
 		for _, pn := range rc.finalPlans() {
-			rc.wd.violate("plan %s is still %s", pn.ID, pn.Status)
+			rc.fp.violate("plan %s is still %s", pn.ID, pn.Status)
 		}
-		for _, rw := range allRows(rc.wd) {
+		for _, rw := range allRows(rc.fp) {
 			if rw.Table == table.TableLease {
-				rc.wd.violate("lease %s", rw.Value)
+				rc.fp.violate("lease %s", rw.Value)
 			}
 		}
 	}
-	for _, in := range rc.wd.lockedFleet().Instances {
+	for _, in := range rc.fp.lockedFleet().Instances {
 		if in.Hold != nil {
-			rc.wd.violate("%s is still held by %s", in.ID, in.Hold.Plan)
+			rc.fp.violate("%s is still held by %s", in.ID, in.Hold.Plan)
 		}
 	}
-	for step, count := range rc.wd.reboots {
+	for step, count := range rc.fp.reboots {
 		if count != 1 {
-			rc.wd.violate("%s was carried out %d times", step, count)
+			rc.fp.violate("%s was carried out %d times", step, count)
 		}
 	}
 }
--- a/operator/waves_test.go
+++ b/operator/waves_test.go
@@ -12,7 +12,7 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// rollout is what a maintenance of a whole fleet cost.
+// rollout is the cost of the maintenance of a whole fleet.
 type rollout struct {
 	moves       int
 	movedAgain  int
@@ -23,12 +23,12 @@
 	waves       int
 }
 
-// String returns the figures in one line.
+// String returns the costs in one line.
 func (ro rollout) String() string {
-	return fmt.Sprintf("moves %d (%d of them again), buffer peak %d, buffer %.1f instance hours, roll-out %v in %d waves, budget breaches %d", ro.moves, ro.movedAgain, ro.bufferPeak, ro.bufferHours, ro.duration.Round(time.Minute), ro.waves, ro.breaches)
+	return fmt.Sprintf("moves %d (%d of them repeated), buffer peak %d, buffer %.1f instance hours, roll-out %v in %d waves, budget breaches %d", ro.moves, ro.movedAgain, ro.bufferPeak, ro.bufferHours, ro.duration.Round(time.Minute), ro.waves, ro.breaches)
 }
 
-// sessionSimulation is the sessions of a fleet, each with the number of moves it has had.
+// sessionSimulation simulates the sessions of a fleet. It stores for each session how often it has moved.
 type sessionSimulation struct {
 	ft     *Fleet
 	rnd    *rand.Rand
@@ -44,7 +44,7 @@
 	return sim
 }
 
-// advance lets sessions end by themselves for a time; as many open anew on instances that are not in the wave.
+// advance lets sessions end for the elapsed time. For each session that ends, a new one opens on an instance that is not in the wave.
 func (sim *sessionSimulation) advance(wave []table.InstanceID, elapsed time.Duration) {
 	endProbability := 1 - math.Exp(-elapsed.Seconds()/sim.timing.MeanSessionDuration.Seconds())
 	for _, in := range sim.ft.Instances {
@@ -62,7 +62,7 @@
 	}
 }
 
-// assign puts a session of an instance's service on a random other one that fits.
+// assign puts a session of an instance's service on a random instance that fits.
 func (sim *sessionSimulation) assign(from *table.Instance, moves int, fits func(*table.Instance) bool) bool {
 	var candidates []table.InstanceID
 	for _, other := range sim.ft.Instances {
@@ -78,8 +78,8 @@
 	return true
 }
 
-// runMaintenance carries waves out one after the other through the real decisions on budgets and successors.
-// Instances fail in the middle of the waves that are named; each is back after two waves.
+// runMaintenance executes the waves one after the other with the real decisions on budgets and successors. The instances of failAt fail
+// during the wave of that number; each is back two waves later.
 func runMaintenance(ft *Fleet, pn *Plan, pace Timing, unconstrained bool, failAt map[int]table.InstanceID) rollout {
 	sim := newSessionSimulation(ft, pace)
 	ro := rollout{}
@@ -108,7 +108,7 @@
 	return ro
 }
 
-// failInstance moves the sessions of a failed instance, which is not the plan's doing.
+// failInstance reassigns the sessions of a failed instance. These moves are not counted, since the plan does not cause them.
 func (sim *sessionSimulation) failInstance(in *table.Instance) {
 	for _, moves := range sim.at[in.ID] {
 		sim.assign(in, moves, func(other *table.Instance) bool { return other.ID != in.ID })
@@ -116,7 +116,7 @@
 	sim.at[in.ID] = nil
 }
 
-// admitWave takes the instances that the budgets allow; the baselines that do not ask take all.
+// admitWave returns the instances that the budgets allow. The baselines ignore the budgets and take all.
 func admitWave(ft *Fleet, pn *Plan, wv Wave, unconstrained bool) (admitted, refused []table.InstanceID) {
 	for _, id := range wv.Instances {
 		in := ft.Instance(id)
@@ -131,7 +131,7 @@
 	return admitted, refused
 }
 
-// runWave closes, moves, reboots and returns the instances of one wave.
+// runWave closes, empties, reboots and returns the instances of one wave.
 func (sim *sessionSimulation) runWave(ro *rollout, pn *Plan, wv Wave, unconstrained bool) {
 	if len(wv.Instances) == 0 {
 		ro.duration += sim.timing.RebootDuration
@@ -160,7 +160,7 @@
 	}
 }
 
-// drainNaturally lets a wave's sessions end by themselves and returns how long that takes.
+// drainNaturally ends the sessions of a wave without moving them and returns the expected time that this takes.
 func (sim *sessionSimulation) drainNaturally(wv Wave) time.Duration {
 	maxSessions := 0
 	for _, id := range wv.Instances {
@@ -174,7 +174,7 @@
 	return wait
 }
 
-// moveSessions moves the sessions of one instance by the real rule on successors, or anywhere for the baselines.
+// moveSessions moves the sessions of one instance according to the real rule on successors, or to any usable instance for the baselines.
 func (sim *sessionSimulation) moveSessions(ro *rollout, pn *Plan, wv Wave, id table.InstanceID, unconstrained bool) {
 	in := sim.ft.Instance(id)
 	sessions := sim.at[id]
@@ -190,7 +190,7 @@
 	}
 }
 
-// breaches counts the services that have fewer usable instances than asked for less the budget.
+// breaches returns the number of services that have fewer usable instances than their target count minus the budget.
 func breaches(ft *Fleet) int {
 	count := 0
 	for _, sv := range ft.Services {
@@ -201,7 +201,7 @@
 	return count
 }
 
-// makeFleet returns services of so many instances, four to a rack, with so many sessions each.
+// makeFleet returns services with the given numbers of instances, four to a rack, with the given average number of sessions per instance.
 func makeFleet(sizes []int, budget, sessions int) *Fleet {
 	ft := &Fleet{Services: map[table.ServiceID]*table.Service{}, Pools: map[table.PoolID]*table.Pool{}, Down: map[table.InstanceID]bool{}, Sessions: map[table.InstanceID]map[table.ServiceID]int{}}
 	rnd := rand.New(rand.NewPCG(5, 6))
@@ -219,7 +219,7 @@
 	return ft
 }
 
-// baseline returns a plan in name order with waves of so many, 0 for the largest that fits the budgets.
+// baseline returns a plan in the order of names with waves of the given size, or of the largest size that fits the budgets if it is 0.
 func baseline(ft *Fleet, size int) *Plan {
 	pn := &Plan{ID: "b"}
 	pending := slices.Clone(ft.Instances)
@@ -289,7 +289,7 @@
 	}
 }
 
-// compare measures the planner beside both baselines on equal fleets.
+// compare measures the planner and both baselines on equal fleets.
 func compare(t *testing.T, fleet func() *Fleet, weights Weights, fails bool) {
 	failAt := map[int]table.InstanceID{}
 	if fails {
@@ -307,7 +307,7 @@
 	t.Logf("planner (parallel %d, close %v): %v", pn.Strategy.Parallel, pn.Strategy.closeDuration(), planned)
 	t.Logf("one at a time by name: %v", oneByOne)
 	t.Logf("largest wave that fits: %v", largest)
-	t.Logf("lower bounds: %.0f moves with these natural ends, %.1f instance hours", bound, minHours)
+	t.Logf("lower bounds: %.0f moves with this close duration, %.1f instance hours", bound, minHours)
 	if planned.movedAgain > 0 || planned.breaches > 0 {
 		t.Errorf("the planner moved %d sessions again and broke %d budgets", planned.movedAgain, planned.breaches)
 	}
@@ -316,7 +316,8 @@
 	}
 }
 
-// movesBound returns how many sessions must move at least with the plan's natural ends: all that are left on instances that do not wait for the last one.
+// movesBound returns a lower bound of the sessions that must move with the plan's close duration: those expected to remain on instances
+// that do not wait for the end of all sessions.
 func movesBound(ft *Fleet, pn *Plan, pace Timing) float64 {
 	bound := 0.0
 	for _, wv := range pn.Waves {
@@ -338,14 +339,14 @@
 	t.Logf("moves first: %+v %+v", moves.Strategy, moves.Estimate)
 	t.Logf("buffer first: %+v %+v", buffer.Strategy, buffer.Estimate)
 	if moves.Estimate.Moves*2 > buffer.Estimate.Moves {
-		t.Errorf("weighing moves saves too few: %d against %d", moves.Estimate.Moves, buffer.Estimate.Moves)
+		t.Errorf("the weight on moves saves too few moves: %d against %d", moves.Estimate.Moves, buffer.Estimate.Moves)
 	}
 	if buffer.Estimate.BufferPeak*2 > moves.Estimate.BufferPeak {
-		t.Errorf("weighing buffer saves too little: %d against %d", buffer.Estimate.BufferPeak, moves.Estimate.BufferPeak)
+		t.Errorf("the weight on buffer saves too little buffer: %d against %d", buffer.Estimate.BufferPeak, moves.Estimate.BufferPeak)
 	}
 }
 
-// maxPlanAllocations bounds the allocations of a plan over 450 workers.
+// maxPlanAllocations is the maximum number of allocations for a plan of a fleet of up to 450 workers in 199 pools.
 const maxPlanAllocations = 200000
 
 func TestAllocationsOfAPlanAtTheLettersSize(t *testing.T) {
