--- a/cell/place.go
+++ b/cell/place.go
@@ -14,7 +14,7 @@
 	weightFree = 1.0
 	// weightRemote prefers workers in the rack that holds the task's data.
 	weightRemote = 10.0
-	// weightAvoid penalizes the worker on which the task last failed.
+	// weightAvoid penalizes the worker on which the task last failed or was refused.
 	weightAvoid = 100.0
 	// weightLongRunning packs long-running tasks together, so that other machines can be lent to other pools.
 	weightLongRunning = 20.0
--- a/cell/plan.go
+++ b/cell/plan.go
@@ -10,7 +10,7 @@
 
 const (
 	// maxRowsPerSave is the maximum number of progress rows in one save. A transaction is limited to 100 entries; each row takes two because
-	// of its condition, and the cell's own row takes more.
+	// of its condition, and the condition on the cell's own row takes one more.
 	maxRowsPerSave = 45
 	// idlePlanInterval is the planning interval of a cell without events.
 	idlePlanInterval = 250 * time.Millisecond
