--- a/cell/evict.go
+++ b/cell/evict.go
@@ -133,7 +133,7 @@
 	wk.observeClock(od.Clock, od.Received)
 	switch od.Outcome {
 	case WrongIncarnation:
-		cr.handleWorkerEnd(now, wk, "another life answers", order.Token)
+		cr.handleWorkerEnd(now, wk, "another incarnation answers", order.Token)
 	case Superseded:
 		cr.handleSuperseded(wk, order.Token)
 	case Done:
