--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,4 +1,5 @@
-// Package clock is the steady clock of leases, claims and watches: it also counts the time for which the machine was suspended.
+// Package clock provides the monotonic clock for leases, claims and watches. Unlike Go's monotonic time, it includes the time for which the
+// machine was suspended.
 package clock
 
 import (
@@ -8,29 +9,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// skewMost is how far the time of day may move against the steady time before the kernel is asked whether the machine was suspended. Asking
-// is a system call, and readings are taken several times for each event of a cell.
+// maxSkew is how far the wall clock may deviate from the monotonic time before the kernel is asked whether the machine was suspended. Asking
+// takes a system call, and the clock is read several times for each event of a cell.
 const maxSkew = 10 * time.Millisecond
 
-// Clock is a steady clock. Readings are comparable with each other alone: they hold no monotonic part, and a step of the time of day does
-// not move them.
+// Clock is a monotonic clock. Its readings can be compared only with each other. They contain no monotonic reading of package time and are not
+// affected by steps of the wall clock.
 type Clock struct {
 	readClocks ReadFunc
 	readBoot   func() (time.Duration, error)
-	// origin is the time of day at the start, steady and booted are what the two other clocks told then.
+	// startWall, startMonotonic and startBoot are the readings of the three clocks when the Clock was created.
 	startWall                 time.Time
 	startMonotonic, startBoot time.Duration
-	// skew is the newest known difference between the time of day and the steady time, slept the time for which the machine was suspended.
+	// skew is the last known difference between wall clock and monotonic time. suspended is the time for which the machine was suspended.
 	skew, suspended atomic.Int64
 }
 
-// ReadFunc gives the time of day, and the steady time since some moment, as of one instant.
+// ReadFunc reads the wall clock, and the monotonic time since an arbitrary moment, at the same instant.
 type ReadFunc func() (wall time.Time, monotonic time.Duration)
 
 var (
-	// started is when the process began.
+	// processStart is the origin of the process clock's monotonic time.
 	processStart = time.Now()
-	// system is the process's clock.
+	// processClock is the clock that Now reads.
 	processClock = New(readSystemClocks, SinceBoot)
 )
 
@@ -39,10 +40,10 @@
 	return now.Round(0), now.Sub(processStart)
 }
 
-// Now reads the process's clock.
+// Now returns the time of the process-wide clock.
 func Now() time.Time { return processClock.Now() }
 
-// SinceBoot is the time since the machine was started, with that for which it was suspended.
+// SinceBoot returns the time since the machine was booted, including the time for which it was suspended.
 func SinceBoot() (time.Duration, error) {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -51,16 +52,17 @@
 	return time.Duration(ts.Nano()), nil
 }
 
-// New returns a clock over a time of day with a steady time, and the time since boot.
+// New returns a clock based on the given readings of the wall clock, the monotonic time and the time since boot.
 func New(readClocks ReadFunc, readBoot func() (time.Duration, error)) *Clock {
 	ck := &Clock{readClocks: readClocks, readBoot: readBoot}
 	ck.startWall, ck.startMonotonic = readClocks()
-	// Without a reading nothing is known of suspensions, and the clock is the steady one; reading fails on no system that has the clock.
+	// If the boot time cannot be read, suspensions are not detected and the clock equals the monotonic time. Reading it does not fail on systems
+	// that support CLOCK_BOOTTIME.
 	ck.startBoot, _ = readBoot()
 	return ck
 }
 
-// Now reads the clock.
+// Now returns the current time of the clock.
 func (ck *Clock) Now() time.Time {
 	wall, monotonic := ck.readClocks()
 	elapsed := monotonic - ck.startMonotonic
@@ -71,9 +73,9 @@
 	return ck.startWall.Add(elapsed + time.Duration(ck.suspended.Load()))
 }
 
-// measure asks for how long the machine was suspended. The time never goes back.
+// updateSuspended reads the time since boot and updates the suspended time, which never decreases.
 func (ck *Clock) updateSuspended(elapsed, skew time.Duration) {
-	// Stored in any case, so that a system without the clock is asked once for each move.
+	// Store the skew even if reading the boot time fails, so that a system without this clock is asked only once per change of the skew.
 	ck.skew.Store(int64(skew))
 	sinceBoot, err := ck.readBoot()
 	if err != nil {
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -9,7 +9,7 @@
 	"github.com/aspenseam/aspenseam/clock"
 )
 
-// host is a machine with three clocks.
+// fakeHost is a machine with three clocks.
 type fakeHost struct {
 	wall            time.Time
 	monotonic, boot time.Duration
@@ -24,17 +24,18 @@
 	return fh.boot, fh.err
 }
 
-// pass lets the machine run.
+// advance advances all clocks of the running machine.
 func (fh *fakeHost) advance(d time.Duration) {
 	fh.wall, fh.monotonic, fh.boot = fh.wall.Add(d), fh.monotonic+d, fh.boot+d
 }
 
-// suspend lets its steady clock stand still.
+// suspend suspends the machine, so that its monotonic clock does not advance.
 func (fh *fakeHost) suspend(d time.Duration) { fh.wall, fh.boot = fh.wall.Add(d), fh.boot+d }
 
 func newFakeHost() *fakeHost { return &fakeHost{wall: time.Unix(1_700_000_000, 0), boot: time.Hour} }
 
-// A machine that was suspended for 9 s counts them; its steady clock did not, so that a lease of 3 s seemed to run on.
+// TestSuspensionCounts checks that a suspension of 9 s counts. The operating system's monotonic clock did not include it, so a lease of 3 s
+// appeared to be still valid.
 func TestSuspensionCounts(t *testing.T) {
 	fh := newFakeHost()
 	ck := clock.New(fh.read, fh.sinceBoot)
@@ -51,7 +52,7 @@
 	}
 }
 
-// Steps of the time of day move nothing, and while there are none the kernel is not asked.
+// TestWallClockStepsDoNotCount checks that steps of the wall clock do not affect the clock, and that the kernel is not asked without them.
 func TestWallClockStepsDoNotCount(t *testing.T) {
 	fh := newFakeHost()
 	ck := clock.New(fh.read, fh.sinceBoot)
@@ -85,7 +86,7 @@
 	}
 	ck.Now()
 	if fh.bootReads != 2 {
-		t.Errorf("the kernel was asked %d times, want at the start and once for the move", fh.bootReads)
+		t.Errorf("the kernel was asked %d times, want twice: at the start and for the change of the wall clock", fh.bootReads)
 	}
 }
 
--- a/tcp/conn.go
+++ b/tcp/conn.go
@@ -12,27 +12,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// Times after which a connection counts as dead. Peers answer at the level of TCP within milliseconds even where their answers are slow,
-// so a slow store raises no false alarm.
+// Timeouts after which a connection counts as dead. A peer's kernel acknowledges TCP segments within milliseconds even if its responses are
+// slow, so a slow store causes no false alarms.
 const (
-	// probeAfter is how long a connection may be without traffic before it is probed, probeEvery the pause between two probes.
+	// keepAliveIdle is how long a connection may be without traffic before it is probed, keepAliveInterval the interval between two probes.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
-	// probeMost is how many probes may stay unanswered: a connection that nothing uses is dead after some three seconds.
+	// keepAliveProbes is how many probes may remain unanswered. An idle connection is thus detected as dead after about three seconds.
 	keepAliveProbes = 2
-	// unackedMost is how long what was written may stay without an acknowledgement.
+	// userTimeout is how long written data may remain unacknowledged.
 	userTimeout = 3 * time.Second
 )
 
 var (
 	keepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes}
-	// start is the origin of a steady clock that goes on while the process stands still.
+	// processStart is the origin of a monotonic clock that also advances while the process or the machine is suspended.
 	processStart = clock.Now()
 )
 
 func sinceStart() time.Duration { return clock.Now().Sub(processStart) }
 
-// setUserTimeout bounds how long bytes may stay unacknowledged.
+// setUserTimeout sets TCP_USER_TIMEOUT on a socket.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var setErr error
 	err := raw.Control(func(fd uintptr) {
@@ -44,23 +44,23 @@
 	return setErr
 }
 
-// conn is a connection that writes nothing once the time of its call is over.
+// conn is a connection that writes nothing after the deadline of its current call.
 type conn struct {
 	net.Conn
 	tr      *Transport
 	address string
-	// until is the end of the call's time by the steady clock, 0 for none; heard is when something was read last.
+	// deadline is the current call's deadline, 0 for none. lastReadAt is when data was last read. Both are durations since processStart.
 	deadline, lastReadAt atomic.Int64
-	// kind names the newest call for the meter.
+	// kind is the kind of the current call, for the meter.
 	kind atomic.Pointer[string]
-	// quiet is the newest call's, nil if it has a fixed time.
+	// idleCtx is the current call's context, nil if the call has no idle timeout.
 	idleCtx atomic.Pointer[idleContext]
-	// answered is set once the answer of the newest call has begun.
+	// answered is set when the response to the current call has begun.
 	answered  atomic.Bool
 	closeOnce sync.Once
 }
 
-// take gives the connection to a call.
+// assign assigns the connection to a call.
 func (cn *conn) assign(ctx context.Context) {
 	if cn == nil {
 		return
@@ -75,10 +75,10 @@
 	cn.deadline.Store(deadlineNanos)
 }
 
-// unused reports whether no call waits for an answer on the connection.
+// idle reports whether no call waits for a response on the connection.
 func (cn *conn) idle() bool { return cn.answered.Load() }
 
-// Write sends bytes of a call, unless its time is over.
+// Write writes data of the current call. It returns ErrDeadlinePassed after the call's deadline.
 func (cn *conn) Write(raw []byte) (int, error) {
 	if deadline := cn.deadline.Load(); deadline != 0 && int64(sinceStart()) > deadline {
 		return 0, ErrDeadlinePassed
@@ -88,7 +88,7 @@
 	return count, err
 }
 
-// Read takes bytes of an answer.
+// Read reads data of a response.
 func (cn *conn) Read(buf []byte) (int, error) {
 	count, err := cn.Conn.Read(buf)
 	if count > 0 {
@@ -102,7 +102,7 @@
 	return count, err
 }
 
-// Close resets the connection.
+// Close closes the connection with a reset.
 func (cn *conn) Close() error {
 	cn.closeOnce.Do(func() { cn.tr.remove(cn) })
 	return cn.Conn.Close()
--- a/tcp/idletimeout.go
+++ b/tcp/idletimeout.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// quietMost bounds a call that goes on receiving, in multiples of the time for which it may receive nothing: 500 KB take 2.1 s on a link of
-// 250 KB/s that nothing else uses.
+// maxIdleTimeouts limits the total duration of a call that keeps receiving data, in multiples of its idle timeout. 500 KB take 2.1 s on an
+// otherwise unused link of 250 KB/s.
 const maxIdleTimeouts = 6
 
 type idleContextKey struct{}
 
-// quiet is a context that ends once nothing has been received for a while. It implements context.Context.
+// idleContext is a context that ends when no data has been received for the idle timeout. It implements context.Context.
 type idleContext struct {
 	context.Context
 	timeout  time.Duration
@@ -23,8 +23,8 @@
 	err      error
 }
 
-// WithIdleTimeout returns a context for a call that is given up once nothing of its answer has come for the span, instead of at a fixed time: a
-// large answer on a narrow link takes long, and asking for it again would take as long once more.
+// WithIdleTimeout returns a context for a call that is cancelled when no data of its response has arrived for the timeout, instead of at a fixed
+// deadline. A large response takes long on a slow link, and a retry would take just as long.
 func WithIdleTimeout(ctx context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
 	ic := &idleContext{Context: ctx, timeout: timeout, deadline: time.Now().Add(maxIdleTimeouts * timeout), done: make(chan struct{})}
 	ic.timer = time.AfterFunc(timeout, func() { ic.finish(context.DeadlineExceeded) })
@@ -35,7 +35,7 @@
 	}
 }
 
-// end ends the context.
+// finish ends the context with the given error, unless it has already ended.
 func (ic *idleContext) finish(err error) {
 	ic.timer.Stop()
 	ic.mu.Lock()
@@ -46,7 +46,7 @@
 	}
 }
 
-// heard notes that something was received.
+// extend restarts the idle timeout after data was received, up to the maximum duration of the call.
 func (ic *idleContext) extend() {
 	remaining := min(ic.timeout, time.Until(ic.deadline))
 	ic.mu.Lock()
--- a/tcp/idletimeout_test.go
+++ b/tcp/idletimeout_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// TestCallGoesOnWhileItsAnswerComes: a large answer over a narrow link takes several times as long as the call may hear nothing.
+// TestCallContinuesWhileResponseArrives checks that a large response over a slow link may take several times the idle timeout.
 func TestCallContinuesWhileResponseArrives(t *testing.T) {
 	const span, pieces = 300 * time.Millisecond, 10
 	hang := make(chan struct{})
@@ -46,7 +46,7 @@
 		t.Errorf("%d bytes, %v", got, err)
 	}
 	if _, err := read("/hang"); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("an answer that stands still ends with %v", err)
+		t.Errorf("a stalled response ended with %v", err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	child, done := WithIdleTimeout(ctx, time.Hour)
@@ -54,6 +54,6 @@
 	cancel()
 	<-child.Done()
 	if !errors.Is(child.Err(), context.Canceled) {
-		t.Errorf("ended with its parent by %v", child.Err())
+		t.Errorf("ended with its parent, error %v", child.Err())
 	}
 }
--- a/tcp/meter.go
+++ b/tcp/meter.go
@@ -5,17 +5,17 @@
 	"net/http"
 )
 
-// Meter is told how many bytes calls moved, by the kind of call. It is called while a connection is written or read, so it must be quick.
+// Meter counts the bytes that calls transfer, by the kind of call. It is called on every read and write of a connection, so it must be fast.
 type Meter interface {
 	Transferred(kind string, out, in int)
 }
 
-// WithMeter has a meter told of all bytes; kind names a call.
+// WithMeter counts all bytes on a meter. callKind returns the kind of a call.
 func WithMeter(mt Meter, callKind func(*http.Request) string) Option {
 	return func(op *options) { op.meter, op.callKind = mt, callKind }
 }
 
-// Listen opens an address for connections whose bytes a meter is told of, all as of one kind.
+// Listen listens on an address. The bytes of its connections are counted on the meter under the given kind.
 func Listen(address string, mt Meter, kind string) (net.Listener, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -44,21 +44,21 @@
 	ml meteredListener
 }
 
-// Write sends bytes.
+// Write implements net.Conn.
 func (mc meteredConn) Write(raw []byte) (int, error) {
 	count, err := mc.Conn.Write(raw)
 	mc.ml.meter.Transferred(mc.ml.kind, count, 0)
 	return count, err
 }
 
-// Read takes bytes.
+// Read implements net.Conn.
 func (mc meteredConn) Read(into []byte) (int, error) {
 	count, err := mc.Conn.Read(into)
 	mc.ml.meter.Transferred(mc.ml.kind, 0, count)
 	return count, err
 }
 
-// moved tells the meter of bytes of the connection's newest call.
+// countBytes counts transferred bytes on the meter under the kind of the current call.
 func (cn *conn) countBytes(out, in int) {
 	if mt := cn.tr.opts.meter; mt != nil {
 		if kind := cn.kind.Load(); kind != nil {
--- a/tcp/options.go
+++ b/tcp/options.go
@@ -13,24 +13,24 @@
 type options struct {
 	dialTimeout, idleTimeout           time.Duration
 	maxConnections, maxIdleConnections int
-	// meter is told of bytes by the kind of call; nil if nobody is.
+	// meter counts bytes by the kind of call; nil for none.
 	meter    Meter
 	callKind func(*http.Request) string
-	// greet is called with each new connection before its first call; nil for none.
+	// handshake is called with each new connection before its first call; nil for none.
 	handshake HandshakeFunc
 }
 
-// HandshakeFunc speaks on a new connection before its first call, for which the connection was opened and whose values the context has. An error
-// closes the connection; the call ends with it and is not sent.
+// HandshakeFunc performs a handshake on a new connection before its first call. The context carries the values of that call's context.
+// An error closes the connection; the call is not sent and returns the error.
 type HandshakeFunc func(ctx context.Context, cn net.Conn) error
 
 // Defaults of the options.
 const (
-	// defaultDial bounds opening a connection; halls are some milliseconds apart.
+	// defaultDialTimeout limits opening a connection. The latency between data halls is a few milliseconds.
 	defaultDialTimeout = time.Second
-	// defaultIdle is how long an unused connection is kept.
+	// defaultIdleTimeout is how long an idle connection is kept open.
 	defaultIdleTimeout = 90 * time.Second
-	// defaultIdleConnections is how many unused connections to an address are kept.
+	// defaultMaxIdleConnections is how many idle connections to an address are kept open.
 	defaultMaxIdleConnections = 2
 )
 
@@ -42,19 +42,19 @@
 	return op
 }
 
-// DialTimeout bounds opening a connection.
+// DialTimeout limits the time to open a connection.
 func DialTimeout(timeout time.Duration) Option { return func(op *options) { op.dialTimeout = timeout } }
 
-// IdleTimeout is how long an unused connection is kept.
+// IdleTimeout sets how long an idle connection is kept open.
 func IdleTimeout(timeout time.Duration) Option { return func(op *options) { op.idleTimeout = timeout } }
 
-// MaxConnections is how many connections to an address may be open at once.
+// MaxConnections limits the number of open connections to an address.
 func MaxConnections(count int) Option {
 	return func(op *options) { op.maxConnections, op.maxIdleConnections = count, count }
 }
 
-// MaxIdleConnections is how many unused connections to an address are kept.
+// MaxIdleConnections limits the number of idle connections to an address.
 func MaxIdleConnections(count int) Option { return func(op *options) { op.maxIdleConnections = count } }
 
-// Handshake has each new connection greeted, within the time that opening it may take.
+// Handshake performs a handshake on each new connection. It is limited by the dial timeout.
 func Handshake(handshake HandshakeFunc) Option { return func(op *options) { op.handshake = handshake } }
--- a/tcp/tcp.go
+++ b/tcp/tcp.go
@@ -1,4 +1,4 @@
-// Package tcp makes clients whose calls cannot arrive after they were given up, and that notice silent connections.
+// Package tcp provides HTTP clients whose requests are never delivered after the call has ended, and that detect dead connections.
 package tcp
 
 import (
@@ -11,20 +11,20 @@
 	"time"
 )
 
-// ErrDeadlinePassed says that the time of a call was over before a byte of it was written.
-var ErrDeadlinePassed = errors.New("the time of the call was over before it was written")
+// ErrDeadlinePassed reports that the deadline of a call passed before the request was written.
+var ErrDeadlinePassed = errors.New("deadline passed before the request was written")
 
-// Transport carries calls. A call that ends without a whole answer resets its connection, so that bytes which the network still holds
-// are thrown away and not delivered later. It implements http.RoundTripper.
+// Transport sends requests over TCP. A call that ends without a complete response resets its connection, so that data which is still buffered
+// or in flight is discarded instead of being delivered later. It implements http.RoundTripper.
 type Transport struct {
 	opts  options
 	inner *http.Transport
 	mu    sync.Mutex // guards open
-	// open holds the connections by address.
+	// conns holds the open connections by address.
 	conns map[string]map[*conn]bool
 }
 
-// NewClient returns a client over a transport of its own.
+// NewClient returns a client with its own transport.
 func NewClient(opts ...Option) *http.Client { return &http.Client{Transport: NewTransport(opts...)} }
 
 // NewTransport returns a transport.
@@ -37,8 +37,8 @@
 	return tr
 }
 
-// RoundTrip carries one call. Nothing of it is written after its context's deadline, even if the process stood still meanwhile. Where it
-// was given up without an answer, unused connections to the same address that have been as silent are closed: they may be as dead.
+// RoundTrip performs one call. Nothing is written after the deadline of its context, even if the process was suspended in the meantime. If the
+// call times out, idle connections to the same address that have received nothing since it began are closed as well, as they may also be dead.
 func (tr *Transport) RoundTrip(rq *http.Request) (*http.Response, error) {
 	startedAt := sinceStart()
 	var used *conn
@@ -59,10 +59,10 @@
 	return rp, err
 }
 
-// CloseIdleConnections closes the connections that no call uses.
+// CloseIdleConnections closes the idle connections.
 func (tr *Transport) CloseIdleConnections() { tr.inner.CloseIdleConnections() }
 
-// dial opens a connection.
+// dial opens a connection and performs the handshake.
 func (tr *Transport) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	dl := &net.Dialer{Timeout: tr.opts.dialTimeout, KeepAliveConfig: keepAliveConfig, Control: setUserTimeout}
 	inner, err := dl.DialContext(ctx, network, address)
@@ -70,7 +70,7 @@
 		return nil, err
 	}
 	if tc, ok := inner.(*net.TCPConn); ok {
-		// Closing resets: what was not delivered by then never is.
+		// Closing the connection resets it, so that undelivered data is discarded.
 		if err := tc.SetLinger(0); err != nil {
 			inner.Close()
 			return nil, err
@@ -91,7 +91,7 @@
 	return cn, nil
 }
 
-// greet greets a new connection.
+// handshake performs the handshake on a new connection, if one is configured.
 func (tr *Transport) handshake(ctx context.Context, cn *conn) error {
 	if tr.opts.handshake == nil {
 		return nil
@@ -105,7 +105,7 @@
 	return cn.SetDeadline(time.Time{})
 }
 
-// forget takes a connection that is closed out of the list.
+// remove removes a closed connection from the list of open connections.
 func (tr *Transport) remove(cn *conn) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -115,7 +115,7 @@
 	}
 }
 
-// dropSilent closes the connections to an address that nothing uses and on which nothing was heard since a call began that failed.
+// closeStale closes the idle connections to an address on which nothing has been read since the timed-out call began.
 func (tr *Transport) closeStale(timedOut *conn, since time.Duration) {
 	tr.mu.Lock()
 	var stale []*conn
--- a/tcp/tcp_test.go
+++ b/tcp/tcp_test.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	// shortWait ends calls that cannot succeed, longWait those that must.
+	// shortTimeout is for calls that cannot succeed, longTimeout for calls that must.
 	shortTimeout = 300 * time.Millisecond
 	longTimeout  = 60 * time.Second
 )
 
-// get calls an address and returns the error.
+// get sends a GET request and returns its error.
 func get(client *http.Client, url string, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -40,10 +40,10 @@
 	return err
 }
 
-// TestCallThatIsGivenUpDoesNotArrive: the peer reads only after the call was given up, as behind a cut that heals. What the network
-// still held by then is thrown away.
+// TestAbandonedCallIsNotDelivered covers a peer that reads only after the call has timed out, as after a temporary network partition.
+// Data that is still buffered by then must be discarded.
 func TestAbandonedCallIsNotDelivered(t *testing.T) {
-	// The body fits into this side's buffer, not into the peer's.
+	// The body fits into the sender's socket buffer, but not into the peer's.
 	const size, window = 256 << 10, 4 << 10
 	lc := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
@@ -76,15 +76,15 @@
 		t.Fatal(err)
 	}
 	if _, err := NewClient().Do(rq); !errors.Is(err, context.DeadlineExceeded) {
-		t.Fatalf("error %v, want that the time is over", err)
+		t.Fatalf("error %v, want context.DeadlineExceeded", err)
 	}
 	close(resumeRead)
 	if count := <-arrived; count >= size {
-		t.Fatalf("all %d bytes arrived after the call was given up", count)
+		t.Fatalf("all %d bytes arrived after the call had timed out", count)
 	}
 }
 
-// TestNothingIsWrittenAfterTheDeadline: the process stood still between the choice of the connection and the first byte.
+// TestNothingIsWrittenAfterTheDeadline covers a process that is suspended between the choice of the connection and the first write.
 func TestNothingIsWrittenAfterTheDeadline(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer theirs.Close()
@@ -94,12 +94,12 @@
 	cn.assign(ctx)
 	arrived := make(chan []byte, 1)
 	go func() {
-		// What arrives before the other side closes.
+		// Read everything that arrives before the other side closes.
 		raw, _ := io.ReadAll(theirs)
 		arrived <- raw
 	}()
 	if _, err := cn.Write([]byte("order")); !errors.Is(err, ErrDeadlinePassed) {
-		t.Errorf("error %v, want ErrLate", err)
+		t.Errorf("error %v, want ErrDeadlinePassed", err)
 	}
 	cn.Close()
 	if raw := <-arrived; len(raw) > 0 {
@@ -107,7 +107,7 @@
 	}
 }
 
-// silencer forwards connections to a server until it falls silent for those that are open; new ones work.
+// stallingProxy forwards connections to a server. After stall, it drops all data of the connections that are open; new connections work.
 type stallingProxy struct {
 	ln      net.Listener
 	server  string
@@ -148,7 +148,7 @@
 	}
 }
 
-// pump copies one way, and throws away what comes once the connection is silent.
+// forward copies data in one direction and discards it once the connection is stalled.
 func forward(to, from net.Conn, stalled *atomic.Bool) {
 	defer to.Close()
 	buf := make([]byte, 4096)
@@ -174,7 +174,8 @@
 	}
 }
 
-// TestOneCallTellsThatUnusedConnectionsAreSilent: many open connections fall silent at once; one call is lost, not one for each.
+// TestTimeoutClosesStaleIdleConnections covers many open connections that stall at the same time: only one call may time out, not one for each
+// connection.
 func TestTimeoutClosesStaleIdleConnections(t *testing.T) {
 	const connections = 6
 	gate := make(chan struct{})
@@ -203,17 +204,18 @@
 	wg.Wait()
 	proxy.stall()
 	if err := get(client, url, shortTimeout); !errors.Is(err, context.DeadlineExceeded) {
-		t.Fatalf("error %v on a silent connection", err)
+		t.Fatalf("error %v on a stalled connection", err)
 	}
 	if err := get(client, url, longTimeout); err != nil {
-		t.Fatalf("the next call met another silent connection: %v", err)
+		t.Fatalf("the next call used another stalled connection: %v", err)
 	}
 	if proxy.opened != connections+1 {
 		t.Fatalf("%d connections were opened, want %d", proxy.opened, connections+1)
 	}
 }
 
-// TestWaitingCallIsLeftAlone: another call to a slow peer is given up; one that still waits for its answer gets it.
+// TestTimeoutLeavesWaitingCallOpen checks that a call that waits for its response still receives it after another call to the same slow peer
+// has timed out.
 func TestTimeoutLeavesWaitingCallOpen(t *testing.T) {
 	release := make(chan struct{})
 	waiting := make(chan struct{}, 2)
@@ -227,15 +229,15 @@
 	go func() { answer <- get(client, server.URL, longTimeout) }()
 	<-waiting
 	if err := get(client, server.URL, shortTimeout); !errors.Is(err, context.DeadlineExceeded) {
-		t.Fatalf("error %v, want that the time is over", err)
+		t.Fatalf("error %v, want context.DeadlineExceeded", err)
 	}
 	close(release)
 	if err := <-answer; err != nil {
-		t.Fatalf("the waiting call was cut: %v", err)
+		t.Fatalf("the waiting call failed: %v", err)
 	}
 }
 
-// TestConnectionsAreProbed: the bounds within which the system notices that a connection is dead are in force.
+// TestKeepAliveOptionsAreSet checks the socket options with which the kernel detects dead connections.
 func TestKeepAliveOptionsAreSet(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	defer server.Close()
