--- a/operator/draft.go
+++ b/operator/draft.go
@@ -79,20 +79,20 @@
 }
 
 // addWave adds one wave with as many of the first targets as the budgets, the strategy and the capacity for their sessions allow.
-// If no target qualifies, the wave takes the first target of each service and waits until its sessions end: sessions that were moved now
-// would have to move again.
+// If no target qualifies, the wave takes the first target of each service and waits until its sessions end, since sessions that
+// move now would have to move again.
 func (dr *draft) addWave() {
-	taken, rest := dr.selectTargets(dr.reserveSessionCapacity)
+	selected, rest := dr.selectTargets(dr.reserveSessionCapacity)
 	wv := Wave{}
-	if len(taken) == 0 {
-		taken, rest = dr.selectTargets(dr.onePerService())
+	if len(selected) == 0 {
+		selected, rest = dr.selectTargets(dr.onePerService())
 		wv.AwaitSessionEnd = true
 	}
-	if len(taken) == 0 {
+	if len(selected) == 0 {
 		// The budgets do not allow any target now. The executor waits until they do.
-		taken, rest = dr.pending[:1], dr.pending[1:]
+		selected, rest = dr.pending[:1], dr.pending[1:]
 	}
-	for _, in := range taken {
+	for _, in := range selected {
 		wv.Instances = append(wv.Instances, in.ID)
 		dr.finish(in)
 	}
@@ -101,20 +101,20 @@
 }
 
 // selectTargets selects targets, up to the parallelism of the strategy, that the budgets and the additional rule allow.
-func (dr *draft) selectTargets(allowed func(*table.Instance) bool) (taken, rest []*table.Instance) {
+func (dr *draft) selectTargets(allowed func(*table.Instance) bool) (selected, rest []*table.Instance) {
 	out := map[table.ServiceID]int{}
 	for ix, in := range dr.pending {
-		if len(taken) >= dr.strategy.Parallel && dr.ft.usable(in) {
-			return taken, append(rest, dr.pending[ix:]...)
+		if len(selected) >= dr.strategy.Parallel && dr.ft.usable(in) {
+			return selected, append(rest, dr.pending[ix:]...)
 		}
 		if !dr.withinBudgets(in, out) || !allowed(in) {
 			rest = append(rest, in)
 			continue
 		}
 		dr.countOut(in, out)
-		taken = append(taken, in)
+		selected = append(selected, in)
 	}
-	return taken, rest
+	return selected, rest
 }
 
 // onePerService returns a rule that allows the first instance of each service that it is called with.
@@ -133,7 +133,8 @@
 	}
 }
 
-// finish accounts for an instance that has left the wave: it can take sessions again, or it is removed from its services permanently.
+// finish updates the counts for an instance after its wave. A rebooted instance can take sessions again; others may leave their services
+// permanently.
 func (dr *draft) finish(in *table.Instance) {
 	switch {
 	case dr.kind == KindReboot:
--- a/operator/executor.go
+++ b/operator/executor.go
@@ -188,8 +188,8 @@
 func (ex *Executor) recordDown(ctx context.Context, pn *Plan, tv *tickView) error {
 	sn := ex.cache.Snapshot()
 	ft := tv.fleet(sn)
-	for _, touch := range pn.BudgetImpacts {
-		sv := sn.Services[touch.Service]
+	for _, impact := range pn.BudgetImpacts {
+		sv := sn.Services[impact.Service]
 		if sv == nil {
 			continue
 		}
--- a/operator/fakeplatform_test.go
+++ b/operator/fakeplatform_test.go
@@ -45,7 +45,7 @@
 	return &fakePlatform{t: t, rnd: rnd, rows: map[table.RowKey]table.Row{}, actionsDone: map[string]bool{}, down: map[table.InstanceID]bool{}, upAt: map[table.InstanceID]time.Time{}, usage: map[table.InstanceID]map[table.ServiceID]int{}, reboots: map[string]int{}, movedTo: map[table.PlanID]map[table.Pin]bool{}, failedAt: map[table.InstanceID]time.Time{}, entries: []table.InstanceID{"e1", "e2", "e3"}}
 }
 
-func (fp *fakePlatform) violate(format string, args ...any) {
+func (fp *fakePlatform) recordViolation(format string, args ...any) {
 	fp.violations = append(fp.violations, fmt.Sprintf(format, args...))
 }
 
@@ -117,14 +117,14 @@
 		return 0, &table.ConflictError{Rows: conflicts}
 	}
 	fp.commits++
-	before := fp.fleet()
+	before := fp.fleetLocked()
 	fp.version++
 	for _, wt := range tx.Writes {
 		if !wt.Check {
 			fp.rows[table.RowKey{Table: wt.Table, Key: wt.Key}] = table.Row{Table: wt.Table, Key: wt.Key, Version: fp.version, Value: wt.Value}
 		}
 	}
-	fp.checkCommit(before, fp.fleet())
+	fp.checkCommit(before, fp.fleetLocked())
 	for _, wt := range tx.Writes {
 		if wt.Table == table.TableMove {
 			fp.moveSessions(wt)
@@ -136,8 +136,8 @@
 	return fp.version, nil
 }
 
-// fleet returns the current fleet according to the rows and the actual failures. The caller holds the lock.
-func (fp *fakePlatform) fleet() *operator.Fleet {
+// fleetLocked returns the current fleet according to the rows and the actual failures. The caller holds the lock.
+func (fp *fakePlatform) fleetLocked() *operator.Fleet {
 	sn, _ := table.EmptySnapshot().Merge(slices.Collect(maps.Values(fp.rows)))
 	return operator.NewFleet(sn.WithMembers(fp.members()), nil)
 }
@@ -150,19 +150,19 @@
 	return fp.down[id] && time.Since(fp.failedAt[id]) > maxDetectionDelay
 }
 
-// lockedFleet acquires the lock and returns the current fleet.
-func (fp *fakePlatform) lockedFleet() *operator.Fleet {
+// currentFleet acquires the lock and returns the current fleet.
+func (fp *fakePlatform) currentFleet() *operator.Fleet {
 	fp.mu.Lock()
 	defer fp.mu.Unlock()
-	return fp.fleet()
+	return fp.fleetLocked()
 }
 
 // checkCommit checks that no commit takes an instance out of service beyond a budget, and that no instance goes directly from one plan to
 // another.
 func (fp *fakePlatform) checkCommit(before, after *operator.Fleet) {
 	for _, in := range after.Instances {
-		was := before.Instance(in.ID)
-		if was == nil || was.State != table.InstanceServing || in.State != table.InstanceLeaving {
+		previous := before.Instance(in.ID)
+		if previous == nil || previous.State != table.InstanceServing || in.State != table.InstanceLeaving {
 			continue
 		}
 		for _, id := range in.Services {
@@ -174,11 +174,11 @@
 				}
 			}
 			if usable < sv.Asked-sv.Budget && !after.Down[in.ID] {
-				fp.violate("%v: %s left %s with %d usable of %d asked, budget %d; disrupted %v, seen down %v, down %v since %v", time.Now().Format(time.TimeOnly), in.ID, id, usable, sv.Asked, sv.Budget, sv.Disrupted, sv.Down, after.Down, fp.failedAt)
+				fp.recordViolation("%v: %s left %s with %d usable of %d asked, budget %d; disrupted %v, seen down %v, down %v since %v", time.Now().Format(time.TimeOnly), in.ID, id, usable, sv.Asked, sv.Budget, sv.Disrupted, sv.Down, after.Down, fp.failedAt)
 			}
 		}
-		if was.Hold != nil && in.Hold != nil && was.Hold.Plan != in.Hold.Plan {
-			fp.violate("%s went from plan %s to plan %s", in.ID, was.Hold.Plan, in.Hold.Plan)
+		if previous.Hold != nil && in.Hold != nil && previous.Hold.Plan != in.Hold.Plan {
+			fp.recordViolation("%s went from plan %s to plan %s", in.ID, previous.Hold.Plan, in.Hold.Plan)
 		}
 	}
 }
@@ -187,10 +187,10 @@
 func (fp *fakePlatform) moveSessions(wt table.Write) {
 	mv, err := table.Decode[table.Move](table.Row{Value: wt.Value})
 	if err != nil {
-		fp.violate("move row: %v", err)
+		fp.recordViolation("move row: %v", err)
 		return
 	}
-	plan := fp.fleet().Instance(mv.Instance).Hold.Plan
+	plan := fp.fleetLocked().Instance(mv.Instance).Hold.Plan
 	if fp.movedTo[plan] == nil {
 		fp.movedTo[plan] = map[table.Pin]bool{}
 	}
@@ -199,11 +199,11 @@
 			continue
 		}
 		if fp.movedTo[plan][mv.Pin] {
-			fp.violate("plan %s moves sessions of %s a second time", plan, mv.Instance)
+			fp.recordViolation("plan %s moves sessions of %s a second time", plan, mv.Instance)
 		}
 		pins := mv.Successors[service]
 		if len(pins) == 0 {
-			fp.violate("%d sessions of %s have no successor", sessions, mv.Instance)
+			fp.recordViolation("%d sessions of %s have no successor", sessions, mv.Instance)
 			continue
 		}
 		pn := pins[fp.rnd.IntN(len(pins))]
@@ -225,27 +225,27 @@
 }
 
 // Act performs an action once per idempotency key and checks that only instances that have left are stopped.
-func (fp *fakePlatform) Act(_ context.Context, id table.InstanceID, ac table.Action, step string) error {
+func (fp *fakePlatform) Act(_ context.Context, id table.InstanceID, ac table.Action, key string) error {
 	time.Sleep(time.Millisecond)
 	fp.mu.Lock()
 	defer fp.mu.Unlock()
-	if fp.actionsDone[step] {
+	if fp.actionsDone[key] {
 		return nil
 	}
-	fp.actionsDone[step] = true
+	fp.actionsDone[key] = true
 	if ac != table.ActionReboot && ac != table.ActionStop {
 		return nil
 	}
-	in := fp.fleet().Instance(id)
+	in := fp.fleetLocked().Instance(id)
 	if in.State != table.InstanceLeaving {
-		fp.violate("%s was stopped while %s", id, in.State)
+		fp.recordViolation("%s was stopped while %s", id, in.State)
 	}
-	for _, vw := range fp.watchers {
-		if seen := vw.Snapshot().Instances[id]; seen.State == table.InstanceServing {
-			fp.violate("%s was stopped while an entry instance saw it serving", id)
+	for _, watcher := range fp.watchers {
+		if view := watcher.Snapshot().Instances[id]; view.State == table.InstanceServing {
+			fp.recordViolation("%s was stopped while an entry instance saw it serving", id)
 		}
 	}
-	fp.reboots[step]++
+	fp.reboots[key]++
 	fp.upAt[id] = time.Now().Add(30 * time.Second)
 	// A reboot ends the remaining sessions.
 	fp.usage[id] = map[table.ServiceID]int{}
--- a/operator/random_test.go
+++ b/operator/random_test.go
@@ -41,8 +41,8 @@
 		seed := *randomSeed + uint64(number)
 		rc := &randomCase{t: t, seed: seed, rnd: rand.New(rand.NewPCG(seed, 7))}
 		synctest.Test(t, func(t *testing.T) { rc.run() })
-		for _, breach := range rc.fp.violations {
-			t.Errorf("case %d: %s", seed, breach)
+		for _, violation := range rc.fp.violations {
+			t.Errorf("case %d: %s", seed, violation)
 		}
 		for _, pn := range rc.finalPlans() {
 			ended[pn.Status]++
@@ -66,10 +66,10 @@
 	for range 3 {
 		rc.startExecutor(ctx, rc.fp.startWatcher(ctx, time.Duration(100+rc.rnd.IntN(2000))*time.Millisecond))
 	}
-	dv := table.NewWatcher(rc.fp)
-	go dv.Run(ctx)
+	watcher := table.NewWatcher(rc.fp)
+	go watcher.Run(ctx)
 	planner := operator.Planner{Weights: operator.Weights{Moves: rc.rnd.Float64() * 10, Buffer: rc.rnd.Float64() * 10, Time: rc.rnd.Float64() * 10}, Timing: operator.Timing{MeanSessionDuration: time.Hour, RebootDuration: time.Minute, CloseDurations: []time.Duration{0, 10 * time.Minute}}}
-	rc.manager = operator.NewManager(rc.fp, rc.fp, dv, func() operator.Planner { return planner }, time.Now)
+	rc.manager = operator.NewManager(rc.fp, rc.fp, watcher, func() operator.Planner { return planner }, time.Now)
 	time.Sleep(5 * time.Second)
 	for range 2 + rc.rnd.IntN(3) {
 		rc.propose(ctx)
@@ -109,7 +109,7 @@
 		rc.fp.put(table.TableService, string(id), table.Service{ID: id, Slots: 8, Connections: 64, Asked: size, Budget: 1 + rc.rnd.IntN(3)})
 	}
 	shared := 0
-	for _, in := range rc.fp.lockedFleet().Instances {
+	for _, in := range rc.fp.currentFleet().Instances {
 		if slices.Contains(in.Services, "shared") {
 			shared++
 		}
@@ -137,7 +137,7 @@
 }
 
 func (rc *randomCase) propose(ctx context.Context) {
-	instances := rc.fp.lockedFleet().Instances
+	instances := rc.fp.currentFleet().Instances
 	it := operator.Intent{Kind: operator.KindReboot, Why: "random"}
 	switch rc.rnd.IntN(3) {
 	case 0:
@@ -161,7 +161,7 @@
 
 // injectEvent fails an instance, recovers all instances, or lets an operator propose or change a plan.
 func (rc *randomCase) injectEvent(ctx context.Context) {
-	instances := rc.fp.lockedFleet().Instances
+	instances := rc.fp.currentFleet().Instances
 	id := instances[rc.rnd.IntN(len(instances))].ID
 	switch rc.rnd.IntN(6) {
 	case 0:
@@ -195,7 +195,7 @@
 	rc.fp.mu.Lock()
 	rc.fp.lostAnswerShare = 0
 	clear(rc.fp.usage)
-	services := rc.fp.fleet().Services
+	services := rc.fp.fleetLocked().Services
 	rc.fp.mu.Unlock()
 	// Instances that were drained or moved permanently use up the budgets, so the target counts are set to 0.
 	for id, sv := range services {
@@ -244,22 +244,22 @@
 func (rc *randomCase) check() {
 	if !rc.allEnded() {
 		for _, pn := range rc.finalPlans() {
-			rc.fp.violate("plan %s is still %s", pn.ID, pn.Status)
+			rc.fp.recordViolation("plan %s is still %s", pn.ID, pn.Status)
 		}
 		for _, rw := range allRows(rc.fp) {
 			if rw.Table == table.TableLease {
-				rc.fp.violate("lease %s", rw.Value)
+				rc.fp.recordViolation("lease %s", rw.Value)
 			}
 		}
 	}
-	for _, in := range rc.fp.lockedFleet().Instances {
+	for _, in := range rc.fp.currentFleet().Instances {
 		if in.Hold != nil {
-			rc.fp.violate("%s is still held by %s", in.ID, in.Hold.Plan)
+			rc.fp.recordViolation("%s is still held by %s", in.ID, in.Hold.Plan)
 		}
 	}
-	for step, count := range rc.fp.reboots {
+	for key, count := range rc.fp.reboots {
 		if count != 1 {
-			rc.fp.violate("%s was carried out %d times", step, count)
+			rc.fp.recordViolation("%s was carried out %d times", key, count)
 		}
 	}
 }
--- a/operator/step.go
+++ b/operator/step.go
@@ -22,7 +22,7 @@
 	StepClose Step = "close"
 	// StepLeave stops all new work, if the budgets allow it.
 	StepLeave Step = "leave"
-	// StepDrain makes the platform tell the worker to refuse new work.
+	// StepDrain makes the platform instruct the worker to refuse new work.
 	StepDrain Step = "drain"
 	// StepStop makes the platform stop or reboot the instance, once it has no open requests.
 	StepStop Step = "stop"
--- a/operator/waves_test.go
+++ b/operator/waves_test.go
@@ -30,16 +30,16 @@
 
 // sessionSimulation simulates the sessions of a fleet. It stores for each session how often it has moved.
 type sessionSimulation struct {
-	ft     *Fleet
-	rnd    *rand.Rand
-	timing Timing
-	at     map[table.InstanceID][]int
+	ft         *Fleet
+	rnd        *rand.Rand
+	timing     Timing
+	moveCounts map[table.InstanceID][]int
 }
 
-func newSessionSimulation(ft *Fleet, pace Timing) *sessionSimulation {
-	sim := &sessionSimulation{ft: ft, rnd: rand.New(rand.NewPCG(3, 4)), timing: pace, at: map[table.InstanceID][]int{}}
+func newSessionSimulation(ft *Fleet, timing Timing) *sessionSimulation {
+	sim := &sessionSimulation{ft: ft, rnd: rand.New(rand.NewPCG(3, 4)), timing: timing, moveCounts: map[table.InstanceID][]int{}}
 	for _, in := range ft.Instances {
-		sim.at[in.ID] = make([]int, ft.sessionCount(in.ID))
+		sim.moveCounts[in.ID] = make([]int, ft.sessionCount(in.ID))
 	}
 	return sim
 }
@@ -49,13 +49,13 @@
 	endProbability := 1 - math.Exp(-elapsed.Seconds()/sim.timing.MeanSessionDuration.Seconds())
 	for _, in := range sim.ft.Instances {
 		var remaining []int
-		for _, moves := range sim.at[in.ID] {
+		for _, moves := range sim.moveCounts[in.ID] {
 			if sim.rnd.Float64() >= endProbability {
 				remaining = append(remaining, moves)
 			}
 		}
-		ended := len(sim.at[in.ID]) - len(remaining)
-		sim.at[in.ID] = remaining
+		ended := len(sim.moveCounts[in.ID]) - len(remaining)
+		sim.moveCounts[in.ID] = remaining
 		for range ended {
 			sim.assign(in, 0, func(other *table.Instance) bool { return !slices.Contains(wave, other.ID) })
 		}
@@ -74,14 +74,14 @@
 		return false
 	}
 	to := candidates[sim.rnd.IntN(len(candidates))]
-	sim.at[to] = append(sim.at[to], moves)
+	sim.moveCounts[to] = append(sim.moveCounts[to], moves)
 	return true
 }
 
 // runMaintenance executes the waves one after the other with the real decisions on budgets and successors. The instances of failAt fail
 // during the wave of that number; each is back two waves later.
-func runMaintenance(ft *Fleet, pn *Plan, pace Timing, unconstrained bool, failAt map[int]table.InstanceID) rollout {
-	sim := newSessionSimulation(ft, pace)
+func runMaintenance(ft *Fleet, pn *Plan, timing Timing, unconstrained bool, failAt map[int]table.InstanceID) rollout {
+	sim := newSessionSimulation(ft, timing)
 	ro := rollout{}
 	recoverAt := map[int]table.InstanceID{}
 	pending := slices.Clone(pn.Waves)
@@ -110,10 +110,10 @@
 
 // failInstance reassigns the sessions of a failed instance. These moves are not counted, since the plan does not cause them.
 func (sim *sessionSimulation) failInstance(in *table.Instance) {
-	for _, moves := range sim.at[in.ID] {
+	for _, moves := range sim.moveCounts[in.ID] {
 		sim.assign(in, moves, func(other *table.Instance) bool { return other.ID != in.ID })
 	}
-	sim.at[in.ID] = nil
+	sim.moveCounts[in.ID] = nil
 }
 
 // admitWave returns the instances that the budgets allow. The baselines ignore the budgets and take all.
@@ -139,7 +139,7 @@
 	}
 	wait := pn.Strategy.closeDuration()
 	if wv.AwaitSessionEnd {
-		wait = sim.drainNaturally(wv)
+		wait = sim.endSessions(wv)
 	}
 	sim.advance(wv.Instances, wait)
 	for _, id := range wv.Instances {
@@ -160,16 +160,16 @@
 	}
 }
 
-// drainNaturally ends the sessions of a wave without moving them and returns the expected time that this takes.
-func (sim *sessionSimulation) drainNaturally(wv Wave) time.Duration {
+// endSessions ends the sessions of a wave without moving them and returns the expected time that this takes.
+func (sim *sessionSimulation) endSessions(wv Wave) time.Duration {
 	maxSessions := 0
 	for _, id := range wv.Instances {
-		maxSessions = max(maxSessions, len(sim.at[id]))
+		maxSessions = max(maxSessions, len(sim.moveCounts[id]))
 	}
 	pl := Planner{Timing: sim.timing}
 	wait := pl.timeUntilEmpty(maxSessions)
 	for _, id := range wv.Instances {
-		sim.at[id] = nil
+		sim.moveCounts[id] = nil
 	}
 	return wait
 }
@@ -177,8 +177,8 @@
 // moveSessions moves the sessions of one instance according to the real rule on successors, or to any usable instance for the baselines.
 func (sim *sessionSimulation) moveSessions(ro *rollout, pn *Plan, wv Wave, id table.InstanceID, unconstrained bool) {
 	in := sim.ft.Instance(id)
-	sessions := sim.at[id]
-	sim.at[id] = nil
+	sessions := sim.moveCounts[id]
+	sim.moveCounts[id] = nil
 	for _, moves := range sessions {
 		ro.moves++
 		if moves > 0 {
@@ -318,14 +318,14 @@
 
 // movesBound returns a lower bound of the sessions that must move with the plan's close duration: those expected to remain on instances
 // that do not wait for the end of all sessions.
-func movesBound(ft *Fleet, pn *Plan, pace Timing) float64 {
+func movesBound(ft *Fleet, pn *Plan, timing Timing) float64 {
 	bound := 0.0
 	for _, wv := range pn.Waves {
 		if wv.AwaitSessionEnd {
 			continue
 		}
 		for _, id := range wv.Instances {
-			bound += float64(ft.sessionCount(id)) * math.Exp(-pn.Strategy.closeDuration().Seconds()/pace.MeanSessionDuration.Seconds())
+			bound += float64(ft.sessionCount(id)) * math.Exp(-pn.Strategy.closeDuration().Seconds()/timing.MeanSessionDuration.Seconds())
 		}
 	}
 	return bound
