--- a/serve.go
+++ b/serve.go
@@ -186,7 +186,7 @@
 		Name: st.Name, Hall: st.Hall, Address: st.PeerAddress, Seeds: st.Seeds, Power: st.CPUShare,
 		Store: platform.NewStore(st.StoreAddress, platform.WithMeter(bytes)), SinglePartTx: st.SinglePartTx, Workers: platform.NewWorkers(platform.WithMeter(bytes)), Machines: platform.NewMachines(st.MachinesAddress), Format: platform.Format{},
 		Cell: cell.Options{
-			LeaseDuration: min(cs.Lease, st.LeaseMax), RenewalWindow: cs.RenewFor, RegistrationMaxAge: st.RegistrationMaxAge, PollInterval: cs.LookGap, MaxStopTime: st.MaxStopTime, EarlyStart: st.EarlyStart, RemoteFactor: st.RemoteFactor,
+			LeaseDuration: min(cs.Lease, st.MaxLease), RenewalWindow: cs.RenewFor, RegistrationMaxAge: st.RegistrationMaxAge, PollInterval: cs.LookGap, MaxStopTime: st.MaxStopTime, EarlyStart: st.EarlyStart, RemoteFactor: st.RemoteFactor,
 			Retention: st.Retention + cell.DefaultRetention/5,
 		},
 		Sizes: sizes, Log: lg, Registry: registry, Traffic: bytes,
--- a/tcp/conn.go
+++ b/tcp/conn.go
@@ -55,9 +55,9 @@
 	kind atomic.Pointer[string]
 	// idleCtx is the current call's context, nil if the call has no idle timeout.
 	idleCtx atomic.Pointer[idleContext]
-	// answered is set when the response to the current call has begun.
-	answered  atomic.Bool
-	closeOnce sync.Once
+	// responseStarted is set when the response to the current call has begun.
+	responseStarted atomic.Bool
+	closeOnce       sync.Once
 }
 
 // assign assigns the connection to a call.
@@ -71,19 +71,19 @@
 	}
 	idleCtx, _ := ctx.Value(idleContextKey{}).(*idleContext)
 	cn.idleCtx.Store(idleCtx)
-	cn.answered.Store(false)
+	cn.responseStarted.Store(false)
 	cn.deadline.Store(deadlineNanos)
 }
 
 // idle reports whether no call waits for a response on the connection.
-func (cn *conn) idle() bool { return cn.answered.Load() }
+func (cn *conn) idle() bool { return cn.responseStarted.Load() }
 
 // Write writes data of the current call. It returns ErrDeadlinePassed after the call's deadline.
-func (cn *conn) Write(raw []byte) (int, error) {
+func (cn *conn) Write(data []byte) (int, error) {
 	if deadline := cn.deadline.Load(); deadline != 0 && int64(sinceStart()) > deadline {
 		return 0, ErrDeadlinePassed
 	}
-	count, err := cn.Conn.Write(raw)
+	count, err := cn.Conn.Write(data)
 	cn.countBytes(count, 0)
 	return count, err
 }
@@ -97,7 +97,7 @@
 			idleCtx.extend()
 		}
 		cn.lastReadAt.Store(int64(sinceStart()))
-		cn.answered.Store(true)
+		cn.responseStarted.Store(true)
 	}
 	return count, err
 }
--- a/tcp/idletimeout_test.go
+++ b/tcp/idletimeout_test.go
@@ -12,13 +12,13 @@
 
 // TestCallContinuesWhileResponseArrives checks that a large response over a slow link may take several times the idle timeout.
 func TestCallContinuesWhileResponseArrives(t *testing.T) {
-	const span, pieces = 300 * time.Millisecond, 10
+	const timeout, chunks = 300 * time.Millisecond, 10
 	hang := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(wr http.ResponseWriter, rq *http.Request) {
-		for range pieces {
+		for range chunks {
 			_, _ = wr.Write(make([]byte, 100))
 			wr.(http.Flusher).Flush()
-			time.Sleep(span / 3)
+			time.Sleep(timeout / 3)
 		}
 		if rq.URL.Path == "/hang" {
 			<-hang
@@ -28,7 +28,7 @@
 	defer close(hang)
 	client := NewClient()
 	read := func(path string) (int, error) {
-		ctx, cancel := WithIdleTimeout(t.Context(), span)
+		ctx, cancel := WithIdleTimeout(t.Context(), timeout)
 		defer cancel()
 		rq, err := http.NewRequestWithContext(ctx, http.MethodGet, srv.URL+path, nil)
 		if err != nil {
@@ -42,7 +42,7 @@
 		raw, err := io.ReadAll(rp.Body)
 		return len(raw), err
 	}
-	if got, err := read("/"); got != 100*pieces || err != nil {
+	if got, err := read("/"); got != 100*chunks || err != nil {
 		t.Errorf("%d bytes, %v", got, err)
 	}
 	if _, err := read("/hang"); !errors.Is(err, context.DeadlineExceeded) {
--- a/tcp/meter.go
+++ b/tcp/meter.go
@@ -45,15 +45,15 @@
 }
 
 // Write implements net.Conn.
-func (mc meteredConn) Write(raw []byte) (int, error) {
-	count, err := mc.Conn.Write(raw)
+func (mc meteredConn) Write(data []byte) (int, error) {
+	count, err := mc.Conn.Write(data)
 	mc.ml.meter.Transferred(mc.ml.kind, count, 0)
 	return count, err
 }
 
 // Read implements net.Conn.
-func (mc meteredConn) Read(into []byte) (int, error) {
-	count, err := mc.Conn.Read(into)
+func (mc meteredConn) Read(buf []byte) (int, error) {
+	count, err := mc.Conn.Read(buf)
 	mc.ml.meter.Transferred(mc.ml.kind, 0, count)
 	return count, err
 }
--- a/tcp/tcp.go
+++ b/tcp/tcp.go
@@ -19,7 +19,7 @@
 type Transport struct {
 	opts  options
 	inner *http.Transport
-	mu    sync.Mutex // guards open
+	mu    sync.Mutex // guards conns
 	// conns holds the open connections by address.
 	conns map[string]map[*conn]bool
 }
--- a/tcp/tcp_test.go
+++ b/tcp/tcp_test.go
@@ -44,10 +44,10 @@
 // Data that is still buffered by then must be discarded.
 func TestAbandonedCallIsNotDelivered(t *testing.T) {
 	// The body fits into the sender's socket buffer, but not into the peer's.
-	const size, window = 256 << 10, 4 << 10
+	const size, receiveBuffer = 256 << 10, 4 << 10
 	lc := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
-			if err := unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, window); err != nil {
+			if err := unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, receiveBuffer); err != nil {
 				t.Error(err)
 			}
 		})
@@ -225,14 +225,14 @@
 	}))
 	defer server.Close()
 	client := NewClient(MaxConnections(2))
-	answer := make(chan error, 1)
-	go func() { answer <- get(client, server.URL, longTimeout) }()
+	result := make(chan error, 1)
+	go func() { result <- get(client, server.URL, longTimeout) }()
 	<-waiting
 	if err := get(client, server.URL, shortTimeout); !errors.Is(err, context.DeadlineExceeded) {
 		t.Fatalf("error %v, want context.DeadlineExceeded", err)
 	}
 	close(release)
-	if err := <-answer; err != nil {
+	if err := <-result; err != nil {
 		t.Fatalf("the waiting call failed: %v", err)
 	}
 }
