--- a/entry.go
+++ b/entry.go
@@ -147,7 +147,7 @@
 		Entry: table.InstanceID(st.Entry.ID), Incarnation: en.incarnation, MaxRequestDuration: st.Caller.LongestRequest, Log: lg,
 	})
 	en.placer = worker.NewPlacer(en.platform, worker.NewClient(en.platform), en.watcher,
-		worker.WithEntry(table.InstanceID(st.Entry.ID), en.incarnation), worker.WithLog(lg), worker.WithReserve(urgentReserve), worker.WithTaskLease(st.Jobs.TaskLease))
+		worker.WithEntry(table.InstanceID(st.Entry.ID), en.incarnation), worker.WithLog(lg), worker.WithUrgentReserve(urgentReserve), worker.WithTaskLease(st.Jobs.TaskLease))
 	en.operators = operator.NewServer(en.watcher, en.router, en.platform, desk, en.peers,
 		operator.WithEntry(table.InstanceID(st.Entry.ID), en.incarnation, table.HallID(st.Entry.Hall)),
 		operator.WithOperators(st.Operators), operator.WithRegistry(en.registry), operator.WithLog(lg))
--- a/proof/jobs_test.go
+++ b/proof/jobs_test.go
@@ -158,8 +158,8 @@
 	if err := dk.SubmitJobs(ctx, append(all, giant)...); err != nil {
 		t.Fatal(err)
 	}
-	for _, jb := range fl.awaitJobs(fl.entries[1], worker.JobFitsNowhere, 1) {
-		if jb.State == worker.JobFitsNowhere && jb.ID != "giant" {
+	for _, jb := range fl.awaitJobs(fl.entries[1], worker.JobUnschedulable, 1) {
+		if jb.State == worker.JobUnschedulable && jb.ID != "giant" {
 			t.Errorf("%s fits nowhere", jb.ID)
 		}
 	}
--- a/worker/place.go
+++ b/worker/place.go
@@ -9,18 +9,18 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// View is a worker as placement sees it.
-type View struct {
-	ID    table.InstanceID
-	Total Size
-	Slots int
-	// Usable says that it may get tasks: it serves, is listed and no plan closes it.
-	Usable bool
-	// Taken and Busy are what running jobs were granted.
-	Taken Size
-	Busy  int
-	// Alone says that a job under which workers were lost has it to itself, so that a further loss takes no other with it.
-	Alone bool
+// WorkerView is a worker as placement sees it.
+type WorkerView struct {
+	ID       table.InstanceID
+	Capacity Size
+	Slots    int
+	// Schedulable says that it may get tasks: it serves, is listed and no plan closes it.
+	Schedulable bool
+	// Allocated and Busy are what running jobs were granted.
+	Allocated Size
+	UsedSlots int
+	// Exclusive says that a job under which workers were lost has it to itself, so that a further loss takes no other with it.
+	Exclusive bool
 }
 
 // Placement puts a job on a worker.
@@ -30,67 +30,69 @@
 	Granted  Size
 }
 
-// Placing is all that a round of placement is made from.
-type Placing struct {
+// PlacementInput is all that a round of placement is made from.
+type PlacementInput struct {
 	Queue   []*Job
-	Workers []*View
+	Workers []*WorkerView
 	// Quotas is the slots of each team; a team without one has none.
 	Quotas map[TeamID]int
-	// Used is the slots that each team has now.
-	Used map[TeamID]int
-	// Reserve is the slots of the fleet that only urgent jobs may take.
-	Reserve int
-	Learner *Learner
-	Judge   *Judge
-	Now     time.Time
+	// UsedSlots is the slots that each team has now.
+	UsedSlots map[TeamID]int
+	// UrgentReserve is the slots of the fleet that only urgent jobs may take.
+	UrgentReserve int
+	Estimator     *SizeEstimator
+	Failures      *FailureTracker
+	Now           time.Time
 }
 
-// Outcome is what a round decided.
-type Outcome struct {
+// PlacementResult is what a round decided.
+type PlacementResult struct {
 	Placements []Placement
-	// Hopeless holds the jobs that no worker could ever run.
-	Hopeless []*Job
+	// Unschedulable holds the jobs that no worker could ever run.
+	Unschedulable []*Job
 }
 
 // Place decides on every queued job once; one that cannot go now holds up no other.
-func Place(pc Placing) Outcome {
-	var oc Outcome
-	free := freeSlots(pc)
-	for _, jb := range order(pc) {
-		need := pc.Learner.Correct(jb.Kind, jb.Declared)
-		if !fitsAny(pc.Workers, need) {
-			oc.Hopeless = append(oc.Hopeless, jb)
+func Place(pi PlacementInput) PlacementResult {
+	var pr PlacementResult
+	free := freeSlots(pi)
+	for _, jb := range sortQueue(pi) {
+		need := pi.Estimator.Estimate(jb.Kind, jb.Declared)
+		if !fitsAnyWorker(pi.Workers, need) {
+			pr.Unschedulable = append(pr.Unschedulable, jb)
 			continue
 		}
-		if !jb.Urgent && (pc.Used[jb.Team] >= pc.Quotas[jb.Team] || free <= pc.Reserve) {
+		if !jb.Urgent && (pi.UsedSlots[jb.Team] >= pi.Quotas[jb.Team] || free <= pi.UrgentReserve) {
 			continue
 		}
-		wk := best(pc, jb, need)
+		wk := bestFit(pi, jb, need)
 		if wk == nil {
 			continue
 		}
-		wk.take(jb, need)
-		pc.Used[jb.Team]++
+		wk.allocate(jb, need)
+		pi.UsedSlots[jb.Team]++
 		free--
-		oc.Placements = append(oc.Placements, Placement{Job: jb, Instance: wk.ID, Granted: need})
+		pr.Placements = append(pr.Placements, Placement{Job: jb, Instance: wk.ID, Granted: need})
 	}
-	return oc
+	return pr
 }
 
-// take puts a job on the worker.
-func (vw *View) take(jb *Job, size Size) {
-	vw.Taken, vw.Busy = vw.Taken.plus(size), vw.Busy+1
-	vw.Alone = vw.Alone || len(jb.LostOn) > 0
+// allocate puts a job on the worker.
+func (vw *WorkerView) allocate(jb *Job, size Size) {
+	vw.Allocated, vw.UsedSlots = vw.Allocated.add(size), vw.UsedSlots+1
+	vw.Exclusive = vw.Exclusive || len(jb.LostOn) > 0
 }
 
-// alone reports whether a job that has to be by itself, or one that must not disturb such a one, cannot go to the worker.
-func (vw *View) alone(jb *Job) bool { return vw.Alone || len(jb.LostOn) > 0 && vw.Busy > 0 }
+// excludes reports whether a job that has to be by itself, or one that must not disturb such a one, cannot go to the worker.
+func (vw *WorkerView) excludes(jb *Job) bool {
+	return vw.Exclusive || len(jb.LostOn) > 0 && vw.UsedSlots > 0
+}
 
 // order returns the queue: urgent first, then the teams that use the least of their quotas, then by age.
-func order(pc Placing) []*Job {
-	queue := slices.Clone(pc.Queue)
+func sortQueue(pi PlacementInput) []*Job {
+	queue := slices.Clone(pi.Queue)
 	share := func(tm TeamID) float64 {
-		return float64(pc.Used[tm]) / float64(max(1, pc.Quotas[tm]))
+		return float64(pi.UsedSlots[tm]) / float64(max(1, pi.Quotas[tm]))
 	}
 	slices.SortStableFunc(queue, func(aj, bj *Job) int {
 		if aj.Urgent != bj.Urgent {
@@ -99,11 +101,11 @@
 			}
 			return 1
 		}
-		if by := cmp.Compare(share(aj.Team), share(bj.Team)); by != 0 {
-			return by
+		if diff := cmp.Compare(share(aj.Team), share(bj.Team)); diff != 0 {
+			return diff
 		}
-		if by := aj.SubmittedAt.Compare(bj.SubmittedAt); by != 0 {
-			return by
+		if diff := aj.SubmittedAt.Compare(bj.SubmittedAt); diff != 0 {
+			return diff
 		}
 		return strings.Compare(string(aj.ID), string(bj.ID))
 	})
@@ -111,47 +113,47 @@
 }
 
 // freeSlots counts the slots that usable workers have left; those of a quarantined one are no reserve for urgent jobs.
-func freeSlots(pc Placing) int {
+func freeSlots(pi PlacementInput) int {
 	free := 0
-	for _, wk := range pc.Workers {
-		if wk.Usable && !pc.Judge.Quarantined(wk.ID, pc.Now) {
-			free += max(0, wk.Slots-wk.Busy)
+	for _, wk := range pi.Workers {
+		if wk.Schedulable && !pi.Failures.Quarantined(wk.ID, pi.Now) {
+			free += max(0, wk.Slots-wk.UsedSlots)
 		}
 	}
 	return free
 }
 
 // fitsAny reports whether any worker of the fleet could run a job when empty, be it up or down.
-func fitsAny(workers []*View, need Size) bool {
-	return slices.ContainsFunc(workers, func(wk *View) bool { return need.fits(wk.Total) })
+func fitsAnyWorker(workers []*WorkerView, need Size) bool {
+	return slices.ContainsFunc(workers, func(wk *WorkerView) bool { return need.fitsIn(wk.Capacity) })
 }
 
 // best returns the worker on which the least is left over, so that large jobs still find room; nil if none fits.
-func best(pc Placing, jb *Job, need Size) *View {
-	var chosen *View
-	least := 0.0
-	for _, wk := range pc.Workers {
-		if !wk.Usable || wk.Busy >= wk.Slots || pc.Judge.Quarantined(wk.ID, pc.Now) || slices.Contains(jb.FailedOn, wk.ID) || wk.alone(jb) {
+func bestFit(pi PlacementInput, jb *Job, need Size) *WorkerView {
+	var chosen *WorkerView
+	lowest := 0.0
+	for _, wk := range pi.Workers {
+		if !wk.Schedulable || wk.UsedSlots >= wk.Slots || pi.Failures.Quarantined(wk.ID, pi.Now) || slices.Contains(jb.FailedOn, wk.ID) || wk.excludes(jb) {
 			continue
 		}
-		free := wk.Total.minus(wk.Taken)
-		if !need.fits(free) {
+		free := wk.Capacity.sub(wk.Allocated)
+		if !need.fitsIn(free) {
 			continue
 		}
-		if left := leftOver(free.minus(need), wk.Total); chosen == nil || left < least {
-			chosen, least = wk, left
+		if remaining := freeShare(free.sub(need), wk.Capacity); chosen == nil || remaining < lowest {
+			chosen, lowest = wk, remaining
 		}
 	}
 	return chosen
 }
 
 // leftOver weighs what would stay free, as a share of the worker; an accelerator that is not needed weighs most.
-func leftOver(left, total Size) float64 {
-	return float64(left.CPUMillis)/float64(max(1, total.CPUMillis)) + float64(left.MemoryMB)/float64(max(1, total.MemoryMB)) + float64(left.Accelerators)
+func freeShare(remaining, total Size) float64 {
+	return float64(remaining.CPUMillis)/float64(max(1, total.CPUMillis)) + float64(remaining.MemoryMB)/float64(max(1, total.MemoryMB)) + float64(remaining.Accelerators)
 }
 
 // cancelled reports whether a job is given up by any of the cancellations.
-func cancelled(jb *Job, cancellations []Cancellation) bool {
+func matchesAny(jb *Job, cancellations []Cancellation) bool {
 	return slices.ContainsFunc(cancellations, func(cn Cancellation) bool {
 		return cn.Team == jb.Team && (cn.Kind == "" || cn.Kind == jb.Kind) && (len(cn.Jobs) == 0 || slices.Contains(cn.Jobs, jb.ID)) && !jb.SubmittedAt.After(cn.At)
 	})
--- a/worker/placer.go
+++ b/worker/placer.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	defaultPlaceEvery = 250 * time.Millisecond
-	defaultPlaceLease = 4 * time.Second
-	defaultTaskLease  = 5 * time.Minute
-	// groupRows is how many rows change in one transaction, so that waves of jobs take few writes.
-	groupRows  = 50
-	placeAgain = 5 * time.Second
-	leaseKey   = "placer"
+	defaultPlaceInterval = 250 * time.Millisecond
+	defaultLeaseDuration = 4 * time.Second
+	defaultTaskLease     = 5 * time.Minute
+	// batchSize is how many rows change in one transaction, so that waves of jobs take few writes.
+	batchSize    = 50
+	writeTimeout = 5 * time.Second
+	leaseKey     = "placer"
 	// jobRetention is how long after its submission an ended job can be looked up.
 	jobRetention = 48 * time.Hour
 )
@@ -37,32 +37,32 @@
 	Slots int    `json:"slots"`
 }
 
-// placeLease is the row that lets one entry instance place; every placement checks its version.
-type placeLease struct {
+// placerLease is the row that lets one entry instance place; every placement checks its version.
+type placerLease struct {
 	Holder      table.InstanceID  `json:"holder"`
 	Incarnation table.Incarnation `json:"incarnation"`
 	Until       time.Time         `json:"until"`
 }
 
-// Snapshots returns the newest snapshot of the fleet.
-type Snapshots interface {
+// SnapshotSource returns the newest snapshot of the fleet.
+type SnapshotSource interface {
 	Snapshot() *table.Snapshot
 }
 
 // Options holds what a placer can be built with.
 type Options struct {
-	Entry       table.InstanceID
-	Incarnation table.Incarnation
-	Every       time.Duration
-	Lease       time.Duration
-	TaskLease   time.Duration
-	// Reserve is the slots that only urgent jobs may take.
-	Reserve int
-	// Total is the size of every worker.
-	Total Size
-	Slots int
-	Log   *event.Logger
-	Now   func() time.Time
+	Entry         table.InstanceID
+	Incarnation   table.Incarnation
+	Interval      time.Duration
+	LeaseDuration time.Duration
+	TaskLease     time.Duration
+	// UrgentReserve is the slots that only urgent jobs may take.
+	UrgentReserve int
+	// WorkerSize is the size of every worker.
+	WorkerSize  Size
+	WorkerSlots int
+	Log         *event.Logger
+	Now         func() time.Time
 }
 
 // Option changes one of the options.
@@ -82,71 +82,71 @@
 // WithClock replaces the clock.
 func WithClock(now func() time.Time) Option { return func(op *Options) { op.Now = now } }
 
-// WithReserve sets the slots that only urgent jobs may take.
-func WithReserve(slots int) Option { return func(op *Options) { op.Reserve = slots } }
+// WithUrgentReserve sets the slots that only urgent jobs may take.
+func WithUrgentReserve(slots int) Option { return func(op *Options) { op.UrgentReserve = slots } }
 
-// WithWorkers sets the size and slots of a worker.
-func WithWorkers(total Size, slots int) Option {
-	return func(op *Options) { op.Total, op.Slots = total, slots }
+// WithWorkerSize sets the size and slots of a worker.
+func WithWorkerSize(total Size, slots int) Option {
+	return func(op *Options) { op.WorkerSize, op.WorkerSlots = total, slots }
 }
 
 // Placer places jobs while it holds the lease; any number may run.
 type Placer struct {
-	opts    Options
-	table   table.Table
-	workers Workers
-	fleet   Snapshots
-	mu      sync.Mutex // guards what follows
-	seen    table.Version
-	jobs    map[JobID]*Job
-	cancels map[string]Cancellation
-	quotas  map[TeamID]int
-	// told holds the attempts that their workers have been told of by this placer; the others are told again in each round.
-	told map[JobID]Attempt
-	// vain counts the starts in a row that had no answer.
-	vain    map[JobID]int
-	learner *Learner
-	judge   *Judge
-	// lease is the version of the lease row under which this placer works; 0 without a lease.
-	lease table.Version
-	until time.Time
-	// before is called before each commit and side effect, for tests that freeze the placer there.
-	before func()
+	opts        Options
+	table       table.Table
+	workers     Workers
+	snapshots   SnapshotSource
+	mu          sync.Mutex // guards what follows
+	seenVersion table.Version
+	jobs        map[JobID]*Job
+	cancels     map[string]Cancellation
+	quotas      map[TeamID]int
+	// acknowledged holds the attempts that their workers have been acknowledged of by this placer; the others are acknowledged again in each round.
+	acknowledged map[JobID]Attempt
+	// failedStarts counts the starts in a row that had no answer.
+	failedStarts map[JobID]int
+	estimator    *SizeEstimator
+	failures     *FailureTracker
+	// leaseVersion is the version of the leaseVersion row under which this placer works; 0 without a leaseVersion.
+	leaseVersion table.Version
+	leaseUntil   time.Time
+	// testHook is called testHook each commit and side effect, for tests that freeze the placer there.
+	testHook func()
 }
 
 // NewPlacer returns a placer.
-func NewPlacer(table table.Table, workers Workers, fleet Snapshots, options ...Option) *Placer {
-	opts := Options{Every: defaultPlaceEvery, Lease: defaultPlaceLease, TaskLease: defaultTaskLease, Total: Size{CPUMillis: 16000, MemoryMB: 32 << 10}, Slots: 8, Log: event.Nop(), Now: time.Now}
+func NewPlacer(table table.Table, workers Workers, fleet SnapshotSource, options ...Option) *Placer {
+	opts := Options{Interval: defaultPlaceInterval, LeaseDuration: defaultLeaseDuration, TaskLease: defaultTaskLease, WorkerSize: Size{CPUMillis: 16000, MemoryMB: 32 << 10}, WorkerSlots: 8, Log: event.Nop(), Now: time.Now}
 	for _, option := range options {
 		option(&opts)
 	}
-	pl := &Placer{opts: opts, table: table, workers: workers, fleet: fleet, before: func() {}}
+	pl := &Placer{opts: opts, table: table, workers: workers, snapshots: fleet, testHook: func() {}}
 	pl.reset()
 	return pl
 }
 
-// SetBefore sets a function that is called before each commit and side effect, for tests.
-func (pl *Placer) SetBefore(before func()) { pl.before = before }
+// SetTestHook sets a function that is called before each commit and side effect, for tests.
+func (pl *Placer) SetTestHook(hook func()) { pl.testHook = hook }
 
 // reset forgets all jobs; what was learned of kinds and workers goes too, since another placed in between.
 func (pl *Placer) reset() {
-	pl.seen, pl.lease = 0, 0
+	pl.seenVersion, pl.leaseVersion = 0, 0
 	pl.jobs, pl.cancels, pl.quotas = map[JobID]*Job{}, map[string]Cancellation{}, map[TeamID]int{}
-	pl.told, pl.vain = map[JobID]Attempt{}, map[JobID]int{}
-	pl.learner, pl.judge = NewLearner(), NewJudge()
+	pl.acknowledged, pl.failedStarts = map[JobID]Attempt{}, map[JobID]int{}
+	pl.estimator, pl.failures = NewSizeEstimator(), NewFailureTracker()
 }
 
 // Run places until the context ends.
 func (pl *Placer) Run(ctx context.Context) {
-	table.Every(ctx, pl.opts.Every, pl.Tick)
+	table.Every(ctx, pl.opts.Interval, pl.Tick)
 }
 
 // Tick does one round: lease, changes, reports, cancellations, placement.
 func (pl *Placer) Tick(ctx context.Context) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	err := pl.round(ctx)
-	if err != nil && !errors.Is(err, ErrLapsed) {
+	err := pl.runRound(ctx)
+	if err != nil && !errors.Is(err, ErrLeaseLost) {
 		pl.opts.Log.Emit(event.PlacementFailed, zap.Error(err))
 	}
 	if err != nil {
@@ -155,25 +155,25 @@
 	}
 }
 
-func (pl *Placer) round(ctx context.Context) error {
-	held, err := pl.hold(ctx)
+func (pl *Placer) runRound(ctx context.Context) error {
+	held, err := pl.acquireLease(ctx)
 	if err != nil || !held {
 		return err
 	}
-	if err := pl.read(ctx); err != nil {
+	if err := pl.readChanges(ctx); err != nil {
 		return err
 	}
-	if err := pl.forget(ctx); err != nil {
+	if err := pl.deleteExpiredJobs(ctx); err != nil {
 		return err
 	}
-	if !pl.open() {
+	if !pl.hasActiveJobs() {
 		return nil
 	}
 	reports, err := pl.workers.Reports(ctx)
 	if err != nil {
 		return eris.Wrap(err, "reports")
 	}
-	for _, step := range []func(context.Context, []Report) error{pl.settle, pl.cancel, pl.renew, pl.place} {
+	for _, step := range []func(context.Context, []Report) error{pl.applyReports, pl.applyCancellations, pl.renewLeases, pl.placeQueued} {
 		if err := step(ctx, reports); err != nil {
 			return err
 		}
@@ -182,17 +182,17 @@
 }
 
 // forget deletes a group of jobs that ended long ago; their ends stay in the audit trail no longer than in the table.
-func (pl *Placer) forget(ctx context.Context) error {
-	writes := []table.Write{{Table: table.TableLease, Key: leaseKey, IfVersion: pl.lease, Check: true}}
+func (pl *Placer) deleteExpiredJobs(ctx context.Context) error {
+	writes := []table.Write{{Table: table.TableLease, Key: leaseKey, IfVersion: pl.leaseVersion, Check: true}}
 	for _, jb := range pl.jobs {
-		if jb.State.ended() && pl.opts.Now().Sub(jb.SubmittedAt) > jobRetention && len(writes) <= groupRows {
+		if jb.State.terminal() && pl.opts.Now().Sub(jb.SubmittedAt) > jobRetention && len(writes) <= batchSize {
 			writes = append(writes, table.Write{Table: TableJob, Key: string(jb.ID), IfVersion: jb.version, Delete: true})
 		}
 	}
 	if len(writes) == 1 {
 		return nil
 	}
-	pl.before()
+	pl.testHook()
 	if _, err := pl.table.Commit(ctx, table.Tx{Writes: writes}); err != nil {
 		return eris.Wrap(err, "delete ended jobs")
 	}
@@ -203,9 +203,9 @@
 }
 
 // open reports whether any job wants something.
-func (pl *Placer) open() bool {
+func (pl *Placer) hasActiveJobs() bool {
 	for _, jb := range pl.jobs {
-		if !jb.State.ended() {
+		if !jb.State.terminal() {
 			return true
 		}
 	}
@@ -213,12 +213,12 @@
 }
 
 // hold takes or renews the lease and reports whether this placer has it.
-func (pl *Placer) hold(ctx context.Context) (bool, error) {
+func (pl *Placer) acquireLease(ctx context.Context) (bool, error) {
 	now := pl.opts.Now()
-	if pl.lease != 0 && pl.until.Sub(now) > pl.opts.Lease/2 {
+	if pl.leaseVersion != 0 && pl.leaseUntil.Sub(now) > pl.opts.LeaseDuration/2 {
 		return true, nil
 	}
-	if pl.lease == 0 && pl.othersLease(now) {
+	if pl.leaseVersion == 0 && pl.heldByOther(now) {
 		return false, nil
 	}
 	rw, err := pl.table.Get(ctx, table.TableLease, leaseKey)
@@ -226,64 +226,64 @@
 		return false, eris.Wrap(err, "read lease")
 	}
 	if err == nil {
-		lease, decodeErr := table.Decode[placeLease](rw)
-		mine := lease.Holder == pl.opts.Entry && lease.Incarnation == pl.opts.Incarnation && rw.Version == pl.lease
+		lease, decodeErr := table.Decode[placerLease](rw)
+		mine := lease.Holder == pl.opts.Entry && lease.Incarnation == pl.opts.Incarnation && rw.Version == pl.leaseVersion
 		if decodeErr == nil && !mine && now.Before(lease.Until) {
-			pl.lease = 0
+			pl.leaseVersion = 0
 			return false, nil
 		}
 	}
-	if rw.Version != pl.lease {
+	if rw.Version != pl.leaseVersion {
 		pl.reset()
 	}
 	return pl.writeLease(ctx, rw.Version, now)
 }
 
 // othersLease reports whether the snapshot shows that another holds the lease, so that waiting costs no read.
-func (pl *Placer) othersLease(now time.Time) bool {
-	rw, known := pl.fleet.Snapshot().Rows[table.RowKey{Table: table.TableLease, Key: leaseKey}]
+func (pl *Placer) heldByOther(now time.Time) bool {
+	rw, known := pl.snapshots.Snapshot().Rows[table.RowKey{Table: table.TableLease, Key: leaseKey}]
 	if !known {
 		return false
 	}
-	lease, err := table.Decode[placeLease](rw)
+	lease, err := table.Decode[placerLease](rw)
 	return err == nil && now.Before(lease.Until)
 }
 
-func (pl *Placer) writeLease(ctx context.Context, over table.Version, now time.Time) (bool, error) {
-	until := now.Add(pl.opts.Lease)
-	raw, err := table.Encode(placeLease{Holder: pl.opts.Entry, Incarnation: pl.opts.Incarnation, Until: until})
+func (pl *Placer) writeLease(ctx context.Context, ifVersion table.Version, now time.Time) (bool, error) {
+	until := now.Add(pl.opts.LeaseDuration)
+	raw, err := table.Encode(placerLease{Holder: pl.opts.Entry, Incarnation: pl.opts.Incarnation, Until: until})
 	if err != nil {
 		return false, err
 	}
-	pl.before()
-	version, err := pl.table.Commit(ctx, table.Tx{Writes: []table.Write{{Table: table.TableLease, Key: leaseKey, IfVersion: over, Value: raw}}})
+	pl.testHook()
+	version, err := pl.table.Commit(ctx, table.Tx{Writes: []table.Write{{Table: table.TableLease, Key: leaseKey, IfVersion: ifVersion, Value: raw}}})
 	var conflict *table.ConflictError
 	if errors.As(err, &conflict) {
-		pl.lease = 0
+		pl.leaseVersion = 0
 		return false, nil
 	}
 	if err != nil {
 		return false, eris.Wrap(err, "write lease")
 	}
-	pl.lease, pl.until = version, until
+	pl.leaseVersion, pl.leaseUntil = version, until
 	return true, nil
 }
 
 // read takes the changes of jobs, cancellations and quotas.
-func (pl *Placer) read(ctx context.Context) error {
-	cs, err := pl.table.Changes(ctx, pl.seen, []table.TableName{TableJob, TableCancel, TableQuota})
+func (pl *Placer) readChanges(ctx context.Context) error {
+	cs, err := pl.table.Changes(ctx, pl.seenVersion, []table.TableName{TableJob, TableCancel, TableQuota})
 	if err != nil {
 		return eris.Wrap(err, "read jobs")
 	}
 	for _, rw := range cs.Rows {
-		pl.take(rw)
+		pl.applyRow(rw)
 	}
-	pl.seen = max(pl.seen, cs.Version)
+	pl.seenVersion = max(pl.seenVersion, cs.Version)
 	return nil
 }
 
 // take merges one row; a row that cannot be read is left out until it is mended.
-func (pl *Placer) take(rw table.Row) {
+func (pl *Placer) applyRow(rw table.Row) {
 	switch rw.Table {
 	case TableJob:
 		jb, err := table.Decode[Job](rw)
--- a/worker/steps.go
+++ b/worker/steps.go
@@ -12,61 +12,61 @@
 )
 
 const (
-	// lostMost is how many workers may be lost under a job, one after the other, before it is given up. Each takes two leases to notice.
-	lostMost = 3
-	// vainMost is how often a worker that does not answer is asked for an attempt. What came of it shows at the lease's end.
-	vainMost = 2
-	// repeatsMost is how often in all a job is started again on a worker that does not know of its attempt: it may be what ended the worker.
-	repeatsMost = 2
+	// maxWorkerLosses is how many workers may be lost under a job, one after the other, before it is given up. Each takes two leases to notice.
+	maxWorkerLosses = 3
+	// maxFailedStarts is how often a worker that does not answer is asked for an attempt. What came of it shows at the lease's end.
+	maxFailedStarts = 2
+	// maxRestarts is how often in all a job is started again on a worker that does not know of its attempt: it may be what ended the worker.
+	maxRestarts = 2
 )
 
 // settle takes the ends of tasks over into their jobs.
-func (pl *Placer) settle(ctx context.Context, reports []Report) error {
+func (pl *Placer) applyReports(ctx context.Context, reports []Report) error {
 	var changed []*Job
 	for _, rp := range reports {
 		jb := pl.jobs[rp.Job]
 		if jb == nil || jb.State != JobRunning || jb.Attempt != rp.Attempt {
 			continue
 		}
-		if next := pl.ended(jb, rp); next != nil {
+		if next := pl.afterReport(jb, rp); next != nil {
 			changed = append(changed, next)
 		}
 	}
 	for _, jb := range pl.jobs {
 		if jb.State == JobRunning && pl.opts.Now().After(jb.LeaseUntil.Add(pl.opts.TaskLease)) {
 			// Its worker stopped it by itself when the lease ran out, and the margin covers clocks that differ.
-			changed = append(changed, lostWith(jb))
+			changed = append(changed, afterWorkerLoss(jb))
 		}
 	}
-	return pl.write(ctx, changed)
+	return pl.writeJobs(ctx, changed)
 }
 
-// lostWith returns a job after the loss of its worker: a worker that it crashed lists no end, so that losses are what bounds its placements.
-func lostWith(jb *Job) *Job {
+// afterWorkerLoss returns a job after the loss of its worker: a worker that it crashed lists no end, so that losses are what bounds its placements.
+func afterWorkerLoss(jb *Job) *Job {
 	next := *jb
 	next.LostOn = append(slices.Clone(jb.LostOn), jb.Instance)
 	next.State, next.Instance = JobQueued, ""
-	if len(next.LostOn) >= lostMost {
+	if len(next.LostOn) >= maxWorkerLosses {
 		next.State, next.Why = JobFailed, "its workers were lost under it, one after the other"
 	}
 	return &next
 }
 
 // ended returns the job after its task's end; nil while it runs.
-func (pl *Placer) ended(jb *Job, rp Report) *Job {
+func (pl *Placer) afterReport(jb *Job, rp Report) *Job {
 	next := *jb
 	switch rp.State {
 	case TaskDone:
-		pl.learner.Observe(jb.Kind, jb.Declared, rp.Used)
-		pl.judge.Succeed(rp.Instance)
+		pl.estimator.Observe(jb.Kind, jb.Declared, rp.Used)
+		pl.failures.RecordSuccess(rp.Instance)
 		next.State = JobDone
 	case TaskFailed:
-		if pl.judge.Fail(rp.Instance, jb.ID, pl.opts.Now()) {
+		if pl.failures.RecordFailure(rp.Instance, jb.ID, pl.opts.Now()) {
 			pl.opts.Log.Emit(event.WorkerQuarantined, zap.String("worker", string(rp.Instance)))
 		}
 		next.FailedOn = append(slices.Clone(jb.FailedOn), rp.Instance)
 		next.State, next.Instance = JobQueued, ""
-		if pl.judge.BadJob(next.FailedOn) {
+		if pl.failures.JobAtFault(next.FailedOn) {
 			next.State, next.Why = JobFailed, "it failed on several workers that run others well"
 		}
 	case TaskStopped:
@@ -78,18 +78,18 @@
 }
 
 // cancel ends the jobs that cancellations name and stops those that run.
-func (pl *Placer) cancel(ctx context.Context, _ []Report) error {
+func (pl *Placer) applyCancellations(ctx context.Context, _ []Report) error {
 	var cancellations []Cancellation
 	for _, cn := range pl.cancels {
 		cancellations = append(cancellations, cn)
 	}
 	var changed []*Job
 	for _, jb := range pl.jobs {
-		if jb.State.ended() || !cancelled(jb, cancellations) {
+		if jb.State.terminal() || !matchesAny(jb, cancellations) {
 			continue
 		}
 		if jb.State == JobRunning {
-			pl.before()
+			pl.testHook()
 			// A stop that is lost ends with the task's lease.
 			_ = pl.workers.Stop(ctx, jb.Instance, jb.ID, jb.Attempt, false)
 		}
@@ -97,13 +97,13 @@
 		next.State, next.Why = JobCancelled, "its team cancelled it"
 		changed = append(changed, &next)
 	}
-	return pl.write(ctx, changed)
+	return pl.writeJobs(ctx, changed)
 }
 
 // renew extends the leases of running tasks, and moves those off workers that a plan is about to stop, after a checkpoint.
-func (pl *Placer) renew(ctx context.Context, _ []Report) error {
+func (pl *Placer) renewLeases(ctx context.Context, _ []Report) error {
 	var changed []*Job
-	sn := pl.fleet.Snapshot()
+	sn := pl.snapshots.Snapshot()
 	for _, jb := range pl.jobs {
 		if jb.State != JobRunning {
 			continue
@@ -111,12 +111,12 @@
 		next := *jb
 		switch in := sn.Instances[jb.Instance]; {
 		case in != nil && (in.Hold != nil || in.State != table.InstanceServing):
-			pl.before()
+			pl.testHook()
 			if err := pl.workers.Stop(ctx, jb.Instance, jb.ID, jb.Attempt, true); err != nil {
 				continue
 			}
 			next.State, next.Instance = JobQueued, ""
-		case pl.told[jb.ID] != jb.Attempt:
+		case pl.acknowledged[jb.ID] != jb.Attempt:
 			// Nobody answered for it. Renewed leases kept the jobs of a lost worker on it for ever.
 			continue
 		case jb.LeaseUntil.Sub(pl.opts.Now()) < pl.opts.TaskLease/2:
@@ -126,118 +126,118 @@
 		}
 		changed = append(changed, &next)
 	}
-	if err := pl.write(ctx, changed); err != nil {
+	if err := pl.writeJobs(ctx, changed); err != nil {
 		return err
 	}
 	for _, jb := range pl.jobs {
 		// A placer before this one may have ended between the table and the worker.
-		if jb.State == JobRunning && pl.told[jb.ID] != jb.Attempt && pl.vain[jb.ID] < vainMost && !slices.Contains(changed, jb) {
+		if jb.State == JobRunning && pl.acknowledged[jb.ID] != jb.Attempt && pl.failedStarts[jb.ID] < maxFailedStarts && !slices.Contains(changed, jb) {
 			changed = append(changed, jb)
 		}
 	}
-	unknown, err := pl.tell(ctx, changed, true)
+	unknown, err := pl.startTasks(ctx, changed, true)
 	if err != nil {
 		return err
 	}
-	return pl.repeat(ctx, unknown)
+	return pl.restartUnknown(ctx, unknown)
 }
 
 // repeat starts attempts again that their workers do not know. That is kept first, so that placers by turns do not repeat it without a bound.
-func (pl *Placer) repeat(ctx context.Context, unknown []*Job) error {
+func (pl *Placer) restartUnknown(ctx context.Context, unknown []*Job) error {
 	var changed []*Job
 	for _, jb := range unknown {
-		if jb.Repeats < repeatsMost {
+		if jb.Restarts < maxRestarts {
 			next := *jb
-			next.Repeats++
+			next.Restarts++
 			changed = append(changed, &next)
 		}
 	}
-	if err := pl.write(ctx, changed); err != nil {
+	if err := pl.writeJobs(ctx, changed); err != nil {
 		return err
 	}
-	_, err := pl.tell(ctx, changed, false)
+	_, err := pl.startTasks(ctx, changed, false)
 	return err
 }
 
 // place puts queued jobs on workers: first in the table, under the lease, and then at the workers.
-func (pl *Placer) place(ctx context.Context, _ []Report) error {
-	oc := Place(pl.placing())
+func (pl *Placer) placeQueued(ctx context.Context, _ []Report) error {
+	pr := Place(pl.placementInput())
 	var changed []*Job
-	for _, pm := range oc.Placements {
+	for _, pm := range pr.Placements {
 		next := *pm.Job
 		next.State, next.Instance, next.Granted = JobRunning, pm.Instance, pm.Granted
 		next.Attempt++
-		delete(pl.vain, next.ID)
+		delete(pl.failedStarts, next.ID)
 		next.LeaseUntil = pl.opts.Now().Add(pl.opts.TaskLease)
 		changed = append(changed, &next)
 	}
-	for _, jb := range oc.Hopeless {
+	for _, jb := range pr.Unschedulable {
 		next := *jb
-		next.State, next.Why = JobFitsNowhere, "no worker is large enough"
+		next.State, next.Why = JobUnschedulable, "no worker is large enough"
 		changed = append(changed, &next)
 	}
-	if err := pl.write(ctx, changed); err != nil {
+	if err := pl.writeJobs(ctx, changed); err != nil {
 		return err
 	}
-	_, err := pl.tell(ctx, changed, false)
+	_, err := pl.startTasks(ctx, changed, false)
 	return err
 }
 
 // placing gathers what a round of placement is made from.
-func (pl *Placer) placing() Placing {
-	pc := Placing{Quotas: pl.quotas, Used: map[TeamID]int{}, Reserve: pl.opts.Reserve, Learner: pl.learner, Judge: pl.judge, Now: pl.opts.Now()}
-	sn := pl.fleet.Snapshot()
-	views := map[table.InstanceID]*View{}
+func (pl *Placer) placementInput() PlacementInput {
+	pi := PlacementInput{Quotas: pl.quotas, UsedSlots: map[TeamID]int{}, UrgentReserve: pl.opts.UrgentReserve, Estimator: pl.estimator, Failures: pl.failures, Now: pl.opts.Now()}
+	sn := pl.snapshots.Snapshot()
+	views := map[table.InstanceID]*WorkerView{}
 	for _, in := range sn.SortedInstances() {
-		wk := &View{ID: in.ID, Total: pl.opts.Total, Slots: pl.opts.Slots, Usable: sn.Serving(in.ID) && !sn.Gone(in.ID) && in.Hold == nil}
+		wk := &WorkerView{ID: in.ID, Capacity: pl.opts.WorkerSize, Slots: pl.opts.WorkerSlots, Schedulable: sn.Serving(in.ID) && !sn.Gone(in.ID) && in.Hold == nil}
 		views[in.ID] = wk
-		pc.Workers = append(pc.Workers, wk)
+		pi.Workers = append(pi.Workers, wk)
 	}
 	for _, jb := range pl.jobs {
 		switch jb.State {
 		case JobQueued:
-			pc.Queue = append(pc.Queue, jb)
+			pi.Queue = append(pi.Queue, jb)
 		case JobRunning:
-			pc.Used[jb.Team]++
+			pi.UsedSlots[jb.Team]++
 			if wk := views[jb.Instance]; wk != nil {
-				wk.take(jb, jb.Granted)
+				wk.allocate(jb, jb.Granted)
 			}
 		}
 	}
-	return pc
+	return pi
 }
 
-// write changes the rows of jobs in groups; each group holds only while the lease row is the placer's.
-func (pl *Placer) write(ctx context.Context, changed []*Job) error {
-	for group := range slices.Chunk(changed, groupRows) {
-		if err := pl.writeGroup(ctx, group); err != nil {
+// write changes the rows of jobs in groups; each batch holds only while the lease row is the placer's.
+func (pl *Placer) writeJobs(ctx context.Context, changed []*Job) error {
+	for batch := range slices.Chunk(changed, batchSize) {
+		if err := pl.writeBatch(ctx, batch); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (pl *Placer) writeGroup(ctx context.Context, group []*Job) error {
-	ctx, cancel := context.WithTimeout(ctx, placeAgain)
+func (pl *Placer) writeBatch(ctx context.Context, batch []*Job) error {
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	writes := []table.Write{{Table: table.TableLease, Key: leaseKey, IfVersion: pl.lease, Check: true}}
-	for _, jb := range group {
+	writes := []table.Write{{Table: table.TableLease, Key: leaseKey, IfVersion: pl.leaseVersion, Check: true}}
+	for _, jb := range batch {
 		raw, err := table.Encode(jb)
 		if err != nil {
 			return err
 		}
 		writes = append(writes, table.Write{Table: TableJob, Key: string(jb.ID), IfVersion: jb.version, Value: raw})
 	}
-	pl.before()
-	version, err := table.CommitOnce(ctx, pl.table, table.Audit{Actor: string(pl.opts.Entry), Action: "jobs", Subject: string(group[0].ID), Why: "placement", At: pl.opts.Now().UTC()}, writes...)
+	pl.testHook()
+	version, err := table.CommitOnce(ctx, pl.table, table.Audit{Actor: string(pl.opts.Entry), Action: "jobs", Subject: string(batch[0].ID), Why: "placement", At: pl.opts.Now().UTC()}, writes...)
 	var conflict *table.ConflictError
 	if errors.As(err, &conflict) {
-		return eris.Wrap(ErrLapsed, conflict.Error())
+		return eris.Wrap(ErrLeaseLost, conflict.Error())
 	}
 	if err != nil {
 		return eris.Wrap(err, "write jobs")
 	}
-	for _, jb := range group {
+	for _, jb := range batch {
 		jb.version = version
 		pl.jobs[jb.ID] = jb
 	}
@@ -246,29 +246,29 @@
 
 // tell tells workers of tasks that are theirs by the table, to start them or only to renew their leases; one that cannot be told is asked in the
 // next round. It returns the jobs that were to be renewed and that their workers do not know.
-func (pl *Placer) tell(ctx context.Context, changed []*Job, renew bool) (unknown []*Job, err error) {
+func (pl *Placer) startTasks(ctx context.Context, changed []*Job, renew bool) (unknown []*Job, err error) {
 	for _, jb := range changed {
 		if jb.State != JobRunning {
 			continue
 		}
-		pl.before()
+		pl.testHook()
 		if !pl.opts.Now().Before(jb.LeaseUntil) {
-			return nil, ErrLapsed
+			return nil, ErrLeaseLost
 		}
 		err := pl.workers.Start(ctx, Task{Job: jb.ID, Attempt: jb.Attempt, Instance: jb.Instance, Granted: jb.Granted, LeaseUntil: jb.LeaseUntil, Renew: renew})
 		if errors.Is(err, table.ErrNoTask) {
-			delete(pl.told, jb.ID)
+			delete(pl.acknowledged, jb.ID)
 			unknown = append(unknown, jb)
 			continue
 		}
 		if err != nil {
 			pl.opts.Log.Emit(event.PlacementFailed, zap.String("job", string(jb.ID)), zap.Error(err))
-			delete(pl.told, jb.ID)
-			pl.vain[jb.ID]++
+			delete(pl.acknowledged, jb.ID)
+			pl.failedStarts[jb.ID]++
 			continue
 		}
-		pl.told[jb.ID] = jb.Attempt
-		delete(pl.vain, jb.ID)
+		pl.acknowledged[jb.ID] = jb.Attempt
+		delete(pl.failedStarts, jb.ID)
 	}
 	return unknown, nil
 }
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -33,12 +33,12 @@
 	JobFailed JobState = "failed"
 	// JobCancelled means that its team gave it up.
 	JobCancelled JobState = "cancelled"
-	// JobFitsNowhere means that no worker of the fleet is large enough, even when empty.
-	JobFitsNowhere JobState = "fitsNowhere"
+	// JobUnschedulable means that no worker of the fleet is large enough, even when empty.
+	JobUnschedulable JobState = "fitsNowhere"
 )
 
-// ended reports whether nothing will be done for the job any more.
-func (js JobState) ended() bool {
+// terminal reports whether nothing will be done for the job any more.
+func (js JobState) terminal() bool {
 	return js != JobQueued && js != JobRunning
 }
 
@@ -51,16 +51,16 @@
 	Accelerators int `json:"accelerators,omitempty"`
 }
 
-// fits reports whether one size is within another.
-func (sz Size) fits(in Size) bool {
+// fitsIn reports whether one size is within another.
+func (sz Size) fitsIn(in Size) bool {
 	return sz.CPUMillis <= in.CPUMillis && sz.MemoryMB <= in.MemoryMB && sz.Accelerators <= in.Accelerators
 }
 
-func (sz Size) plus(other Size) Size {
+func (sz Size) add(other Size) Size {
 	return Size{sz.CPUMillis + other.CPUMillis, sz.MemoryMB + other.MemoryMB, sz.Accelerators + other.Accelerators}
 }
 
-func (sz Size) minus(other Size) Size {
+func (sz Size) sub(other Size) Size {
 	return Size{sz.CPUMillis - other.CPUMillis, sz.MemoryMB - other.MemoryMB, sz.Accelerators - other.Accelerators}
 }
 
@@ -84,8 +84,8 @@
 	FailedOn []table.InstanceID `json:"failedOn,omitempty"`
 	// LostOn lists those that were not heard of until its lease was over.
 	LostOn []table.InstanceID `json:"lostOn,omitempty"`
-	// Repeats is how often a worker was told again to start it that did not know of it.
-	Repeats int `json:"repeats,omitempty"`
+	// Restarts is how often a worker was told again to start it that did not know of it.
+	Restarts int `json:"repeats,omitempty"`
 	// Why explains an end other than done.
 	Why string `json:"why,omitempty"`
 	// version is that of the row which the job was decoded from.
@@ -150,6 +150,6 @@
 
 // Errors of placement.
 var (
-	// ErrLapsed says that the placer's lease is another's by now.
-	ErrLapsed = errors.New("the lease to place is another's")
+	// ErrLeaseLost says that the placer's lease is another's by now.
+	ErrLeaseLost = errors.New("the lease to place is another's")
 )
