--- a/caller/claim.go
+++ b/caller/claim.go
@@ -130,7 +130,7 @@
 func (cs *claims) resultOf(ctx context.Context, key Key, nonce Nonce, answer *endpoint.Answer) (*ClaimResult, error) {
 	result := &ClaimResult{Status: answer.Status, Header: answer.Header}
 	switch {
-	case answer.Rest != nil:
+	case answer.Stream != nil:
 		result.NotKept = true
 	case len(answer.Body) <= inlineBytes:
 		result.Body = answer.Body
--- a/caller/code.go
+++ b/caller/code.go
@@ -75,9 +75,9 @@
 	{endpoint.ErrSessionMoving, CodeSessionMoving, http.StatusServiceUnavailable},
 	{endpoint.ErrRefused, CodeRefused, http.StatusServiceUnavailable},
 	{endpoint.ErrDeadline, CodeTimeout, http.StatusGatewayTimeout},
-	{endpoint.ErrBroken, CodeBroken, http.StatusBadGateway},
-	{endpoint.ErrForeign, CodeBroken, http.StatusBadGateway},
-	{endpoint.ErrNotWhole, CodeBroken, http.StatusBadGateway},
+	{endpoint.ErrConnectionBroken, CodeBroken, http.StatusBadGateway},
+	{endpoint.ErrAttemptMismatch, CodeBroken, http.StatusBadGateway},
+	{endpoint.ErrUnknownLength, CodeBroken, http.StatusBadGateway},
 }
 
 // verdictOf returns the code and status for a cause.
--- a/caller/collect.go
+++ b/caller/collect.go
@@ -58,7 +58,7 @@
 	case ClaimReleased:
 		return Word{Outcome: endpoint.OutcomeNotRun, Cause: errNoAnswer}
 	case ClaimLost:
-		return Word{Outcome: endpoint.OutcomeUnknown, Cause: endpoint.ErrBroken}
+		return Word{Outcome: endpoint.OutcomeUnknown, Cause: endpoint.ErrConnectionBroken}
 	}
 	word, err := sv.askOwner(ctx, key, cl)
 	if err != nil {
--- a/caller/fakes_test.go
+++ b/caller/fakes_test.go
@@ -32,7 +32,7 @@
 	fr.mu.Lock()
 	fr.runs[call.RequestID]++
 	fr.mu.Unlock()
-	return endpoint.Result{Outcome: endpoint.OutcomeAnswered, Ends: []endpoint.End{endpoint.Answered}, Answer: &endpoint.Answer{Status: http.StatusOK, Header: http.Header{}, Body: []byte("done")}}
+	return endpoint.Result{Outcome: endpoint.OutcomeAnswered, AttemptOutcomes: []endpoint.AttemptOutcome{endpoint.Answered}, Answer: &endpoint.Answer{Status: http.StatusOK, Header: http.Header{}, Body: []byte("done")}}
 }
 
 // fakeSnapshots always has a platform.
--- a/caller/intake.go
+++ b/caller/intake.go
@@ -196,15 +196,15 @@
 	if size < 0 || size > int64(sv.opts.BodyBytes) {
 		size = int64(sv.opts.BodyBytes)
 	}
-	if !sv.opts.Buffers.Take(size) {
+	if !sv.opts.Buffers.Reserve(size) {
 		throwAway(rq.Body)
 		return nil, release, &fault{status: http.StatusServiceUnavailable, code: CodeOverloaded, findings: []string{errBusy.Error()}}
 	}
 	body, err := io.ReadAll(io.LimitReader(rq.Body, int64(sv.opts.BodyBytes)+1))
 	if err == nil && len(body) <= sv.opts.BodyBytes {
-		return body, func() { sv.opts.Buffers.Give(size) }, nil
+		return body, func() { sv.opts.Buffers.Release(size) }, nil
 	}
-	sv.opts.Buffers.Give(size)
+	sv.opts.Buffers.Release(size)
 	if err == nil {
 		throwAway(rq.Body)
 		return nil, release, &fault{status: http.StatusRequestEntityTooLarge, code: CodeTooLarge, findings: []string{fmt.Sprintf("the body must be at most %d bytes", sv.opts.BodyBytes)}}
--- a/caller/once.go
+++ b/caller/once.go
@@ -119,7 +119,7 @@
 
 // copyForStore returns the answer as the claim's result needs it, apart from the one that is being delivered.
 func copyForStore(answer *endpoint.Answer) *endpoint.Answer {
-	return &endpoint.Answer{Status: answer.Status, Header: answer.Header.Clone(), Body: answer.Body, Rest: answer.Rest}
+	return &endpoint.Answer{Status: answer.Status, Header: answer.Header.Clone(), Body: answer.Body, Stream: answer.Stream}
 }
 
 // late puts the end of an attempt that outlived its caller on the claim.
@@ -203,7 +203,7 @@
 	case ClaimAnswered:
 		return sv.keptWord(ctx, cl), false
 	case ClaimLost:
-		return Word{Outcome: endpoint.OutcomeUnknown, Cause: endpoint.ErrBroken}, false
+		return Word{Outcome: endpoint.OutcomeUnknown, Cause: endpoint.ErrConnectionBroken}, false
 	}
 	return sv.awaitOwner(ctx, req, cl)
 }
--- a/caller/record.go
+++ b/caller/record.go
@@ -136,7 +136,7 @@
 
 // keep stores an answer that is complete.
 func (rc *record) keep(answer *endpoint.Answer) {
-	if answer == nil || answer.Rest != nil {
+	if answer == nil || answer.Stream != nil {
 		return
 	}
 	rc.answer = &endpoint.Answer{Status: answer.Status, Header: answer.Header, Body: answer.Body}
--- a/caller/server.go
+++ b/caller/server.go
@@ -120,7 +120,7 @@
 
 // lead runs the request and tells the followers.
 func (sv *Server) lead(ctx context.Context, req *Request, fl *flight) Word {
-	word := Word{Outcome: endpoint.OutcomeUnknown, Cause: endpoint.ErrBroken}
+	word := Word{Outcome: endpoint.OutcomeUnknown, Cause: endpoint.ErrConnectionBroken}
 	// The followers must hear an end even if the run panics.
 	defer func() { sv.records.finish(req.Key(), fl, word) }()
 	word = sv.run(ctx, req)
@@ -138,7 +138,7 @@
 	case <-ctx.Done():
 		return Word{Outcome: endpoint.OutcomeUnknown, Cause: ctx.Err()}
 	}
-	if fl.word.Answer != nil && fl.word.Answer.Rest != nil {
+	if fl.word.Answer != nil && fl.word.Answer.Stream != nil {
 		return Word{Outcome: endpoint.OutcomeUnknown, Cause: errNotKept}
 	}
 	return fl.word
@@ -217,7 +217,7 @@
 func (sv *Server) wordOf(req *Request, rs endpoint.Result) Word {
 	word := Word{Outcome: rs.Outcome, Answer: rs.Answer, Cause: rs.Err, RetryAfter: rs.RetryAfter, Pending: rs.Pending}
 	if rs.Answer == nil {
-		word.Outcome = endpoint.Fold(req.prior(), rs.Ends)
+		word.Outcome = endpoint.Fold(req.prior(), rs.AttemptOutcomes)
 	}
 	word.Session = sv.sessionToken(req, rs)
 	return word
@@ -225,7 +225,7 @@
 
 // sessionToken returns the token to go on with, bound to the endpoint that the request went to.
 func (sv *Server) sessionToken(req *Request, rs endpoint.Result) string {
-	if req.Session == nil || rs.Endpoint == "" || len(rs.Ends) == 0 {
+	if req.Session == nil || rs.Endpoint == "" || len(rs.AttemptOutcomes) == 0 {
 		return ""
 	}
 	ss := *req.Session
@@ -300,18 +300,18 @@
 	defer answer.Release()
 	// A caller that reads slowly must not hold memory for ever; a failure only means that there is no connection to bound.
 	_ = http.NewResponseController(wr).SetWriteDeadline(time.Now().Add(sv.opts.LongestRequest))
-	if answer.Rest == nil && req.Method != http.MethodHead {
+	if answer.Stream == nil && req.Method != http.MethodHead {
 		wr.Header().Set("Content-Length", strconv.Itoa(len(answer.Body)))
 	}
 	wr.WriteHeader(answer.Status)
-	if _, err := wr.Write(answer.Body); err != nil && answer.Rest == nil {
+	if _, err := wr.Write(answer.Body); err != nil && answer.Stream == nil {
 		return
 	}
-	if answer.Rest == nil {
+	if answer.Stream == nil {
 		return
 	}
-	defer func() { _ = answer.Rest.Close() }()
-	if _, err := io.CopyBuffer(onlyWriter{wr}, answer.Rest, make([]byte, copyBytes)); err != nil {
+	defer func() { _ = answer.Stream.Close() }()
+	if _, err := io.CopyBuffer(onlyWriter{wr}, answer.Stream, make([]byte, copyBytes)); err != nil {
 		sv.opts.Log.Emit(event.AnswerBroken, zap.String("requestId", string(req.ID)), zap.Error(err))
 		panic(http.ErrAbortHandler)
 	}
--- a/caller/ticket.go
+++ b/caller/ticket.go
@@ -216,10 +216,10 @@
 
 // wholeWord reads an answer that streams to its end, so that it can be passed on.
 func wholeWord(word Word) Word {
-	if word.Answer == nil || word.Answer.Rest == nil {
+	if word.Answer == nil || word.Answer.Stream == nil {
 		return word
 	}
-	rest := word.Answer.Rest
+	rest := word.Answer.Stream
 	defer func() { _ = rest.Close() }()
 	body, err := io.ReadAll(io.LimitReader(rest, forwardBytes+1))
 	if err != nil || len(body) > forwardBytes {
--- a/endpoint/acquire.go
+++ b/endpoint/acquire.go
@@ -8,104 +8,104 @@
 )
 
 const (
-	// pickAgain is how often a waiting request looks by itself, for changes that wake nobody.
-	pickAgain = 25 * time.Millisecond
-	// maxLoads is the number of endpoints for which a pick needs no allocation.
-	maxLoads = 32
-	// leastRetryAfter is the shortest time that callers are told to stay away.
-	leastRetryAfter = 50 * time.Millisecond
-	// sessionMoveWait is how long a request waits for the successor of its session's endpoint.
-	sessionMoveWait = time.Second
-	// deviations times the mean deviation above the mean is where nearly all latencies lie below.
-	deviations = 4
-	// queueShare is the part of a request's spare time that it may stand in the queue.
-	queueShare = 0.5
+	// pickRetryInterval is how often a waiting request looks by itself, for changes that wake nobody.
+	pickRetryInterval = 25 * time.Millisecond
+	// maxStackLoads is the number of endpoints for which a pick needs no allocation.
+	maxStackLoads = 32
+	// minRetryAfter is the shortest time that callers are told to stay away.
+	minRetryAfter = 50 * time.Millisecond
+	// sessionMoveTimeout is how long a request waits for the successor of its session's endpoint.
+	sessionMoveTimeout = time.Second
+	// tailDeviations times the mean deviation above the mean is where nearly all latencies lie below.
+	tailDeviations = 4
+	// maxQueueTimeShare is the part of a request's spare time that it may stand in the queue.
+	maxQueueTimeShare = 0.5
 )
 
-// place is one acquired slot of an endpoint.
-type place struct {
-	st    *state
+// slot is one acquired slot of an endpoint.
+type slot struct {
+	st    *endpointState
 	ro    *route
 	epoch table.Epoch
-	trial bool
+	probe bool
 }
 
 // release frees the slot and wakes a waiter.
-func (pl place) release() {
-	pl.st.limit.release()
-	pl.ro.queue.released(pl.st.id)
+func (sl slot) release() {
+	sl.st.limit.release()
+	sl.ro.queue.wakeNext(sl.st.id)
 }
 
 // acquire waits for a slot until the deadline and refuses at once when none can come free in time.
-func (rt *Router) acquire(ctx context.Context, call *Call, tried []table.InstanceID) (place, error) {
+func (rt *Router) acquire(ctx context.Context, call *Call, tried []table.InstanceID) (slot, error) {
 	ro := rt.routes.Load().services[call.Service]
 	if ro == nil {
-		return place{}, ErrUnknownService
+		return slot{}, ErrUnknownService
 	}
 	if ro.queue.length.Load() == 0 || call.Pin != nil {
-		if pl, err := rt.tryAcquire(call, tried); err != ErrOverload && err != ErrSessionMoving {
-			return pl, err
+		if sl, err := rt.tryAcquire(call, tried); err != ErrOverload && err != ErrSessionMoving {
+			return sl, err
 		}
 	}
-	if rt.hopeless(ro, call) {
-		return place{}, ErrOverload
+	if rt.shouldReject(ro, call) {
+		return slot{}, ErrOverload
 	}
-	return rt.wait(ctx, ro, call, tried)
+	return rt.waitForSlot(ctx, ro, call, tried)
 }
 
 // tryAcquire picks an endpoint and takes a slot of it; ErrOverload says that waiting may help.
-func (rt *Router) tryAcquire(call *Call, tried []table.InstanceID) (place, error) {
+func (rt *Router) tryAcquire(call *Call, tried []table.InstanceID) (slot, error) {
 	tb := rt.routes.Load()
 	ro := tb.services[call.Service]
 	if ro == nil {
-		return place{}, ErrUnknownService
+		return slot{}, ErrUnknownService
 	}
 	if call.Pin != nil {
 		return rt.acquirePinned(tb, ro, call)
 	}
 	now := rt.opts.Now()
-	var loadArray [maxLoads]Load
-	var stateArray [maxLoads]*state
+	var loadArray [maxStackLoads]Load
+	var stateArray [maxStackLoads]*endpointState
 	loads, states := loadArray[:0], stateArray[:0]
-	for _, st := range ro.states {
-		if st.mayGetWork(now) && !(call.NewSession && st.instance.Load().Closing()) {
-			loads = append(loads, rt.load(st, ro.share, now, tried))
+	for _, st := range ro.endpoints {
+		if st.routable(now) && !(call.NewSession && st.instance.Load().Closing()) {
+			loads = append(loads, rt.loadOf(st, ro.share, now, tried))
 			states = append(states, st)
 		}
 	}
 	if len(loads) == 0 {
-		return place{}, ErrNoEndpoint
+		return slot{}, ErrNoEndpoint
 	}
-	return rt.take(ro, loads, states, call.Repeatable)
+	return rt.acquirePicked(ro, loads, states, call.Repeatable)
 }
 
-// take acquires the picked endpoint; a pick that others overtook is made again.
-func (rt *Router) take(ro *route, loads []Load, states []*state, repeatable bool) (place, error) {
+// acquirePicked acquires the picked endpoint; a pick that others overtook is made again.
+func (rt *Router) acquirePicked(ro *route, loads []Load, states []*endpointState, repeatable bool) (slot, error) {
 	for range len(loads) {
-		choice := Pick(loads, repeatable, rt.eject.Load().ShareMax, rt.opts.Random)
+		choice := Pick(loads, repeatable, rt.ejectPolicy.Load().MaxShare, rt.opts.Random)
 		if choice.Index < 0 {
-			return place{}, ErrOverload
+			return slot{}, ErrOverload
 		}
 		st := states[choice.Index]
-		if choice.Trial && !st.health.beginTrial() {
-			loads[choice.Index].Standing = StandingEjected
+		if choice.Probe && !st.health.startProbe() {
+			loads[choice.Index].Health = StatusEjected
 			continue
 		}
-		if st.limit.acquire(ro.share) && rt.stillMay(st) {
-			return place{st: st, ro: ro, epoch: st.instance.Load().Epoch, trial: choice.Trial}, nil
+		if st.limit.acquire(ro.share) && rt.confirmRoutable(st) {
+			return slot{st: st, ro: ro, epoch: st.instance.Load().Epoch, probe: choice.Probe}, nil
 		}
-		if choice.Trial {
-			st.health.abandonTrial()
+		if choice.Probe {
+			st.health.cancelProbe()
 		}
 		loads[choice.Index].InFlight = loads[choice.Index].Limit
 	}
-	return place{}, ErrOverload
+	return slot{}, ErrOverload
 }
 
-// stillMay looks again after a place was taken, and gives it back if the endpoint began to leave in between.
+// confirmRoutable looks again after a place was taken, and gives it back if the endpoint began to leave in between.
 // Whoever acknowledges the leaving first stops new work and then counts the places, so one of the two sees the other.
-func (rt *Router) stillMay(st *state) bool {
-	if st.mayGetWork(rt.opts.Now()) {
+func (rt *Router) confirmRoutable(st *endpointState) bool {
+	if st.routable(rt.opts.Now()) {
 		return true
 	}
 	st.limit.release()
@@ -113,35 +113,35 @@
 }
 
 // acquirePinned takes a slot of the session's endpoint.
-func (rt *Router) acquirePinned(tb *routeTable, ro *route, call *Call) (place, error) {
+func (rt *Router) acquirePinned(tb *routeTable, ro *route, call *Call) (slot, error) {
 	id, err := call.Pin(tb.snapshot)
 	if err != nil {
-		return place{}, err
+		return slot{}, err
 	}
-	st := tb.states[id]
+	st := tb.endpoints[id]
 	if st == nil {
-		return place{}, ErrSessionMoving
+		return slot{}, ErrSessionMoving
 	}
-	if rt.gone(tb.snapshot, st) {
+	if rt.sessionsMustMove(tb.snapshot, st) {
 		if rt.OnGone != nil {
 			rt.OnGone(*st.instance.Load())
 		}
-		return place{}, ErrSessionMoving
+		return slot{}, ErrSessionMoving
 	}
-	if !st.mayGetWork(rt.opts.Now()) {
-		return place{}, ErrSessionMoving
+	if !st.routable(rt.opts.Now()) {
+		return slot{}, ErrSessionMoving
 	}
 	if !st.limit.acquire(ro.share) {
-		return place{}, ErrOverload
+		return slot{}, ErrOverload
 	}
-	if !rt.stillMay(st) {
-		return place{}, ErrSessionMoving
+	if !rt.confirmRoutable(st) {
+		return slot{}, ErrSessionMoving
 	}
-	return place{st: st, ro: ro, epoch: st.instance.Load().Epoch}, nil
+	return slot{st: st, ro: ro, epoch: st.instance.Load().Epoch}, nil
 }
 
-// gone reports whether an endpoint's sessions need a successor: the membership drops it, or it has refused connections for long.
-func (rt *Router) gone(sn *table.Snapshot, st *state) bool {
+// sessionsMustMove reports whether an endpoint's sessions need a successor: the membership drops it, or it has refused connections for long.
+func (rt *Router) sessionsMustMove(sn *table.Snapshot, st *endpointState) bool {
 	if sn.Gone(st.id) || sn.Members[st.id].State == table.MemberLeaving {
 		return true
 	}
@@ -149,50 +149,50 @@
 	return since != 0 && rt.opts.Now().Sub(time.Unix(0, since)) >= rt.opts.GoneAfter
 }
 
-// hopeless reports whether the queue is full or too long for the time that is left.
-func (rt *Router) hopeless(ro *route, call *Call) bool {
+// shouldReject reports whether the queue is full or too long for the time that is left.
+func (rt *Router) shouldReject(ro *route, call *Call) bool {
 	waiting := int(ro.queue.length.Load())
 	if waiting >= rt.opts.QueueLength {
 		return true
 	}
-	pc := rt.pace(ro)
-	left := call.Deadline.Sub(rt.opts.Now())
-	return pc.wait(waiting+1) > time.Duration(queueShare*float64(left-pc.needed()))
+	ss := rt.serviceStats(ro)
+	remaining := call.Deadline.Sub(rt.opts.Now())
+	return ss.queueWait(waiting+1) > time.Duration(maxQueueTimeShare*float64(remaining-ss.tailLatency()))
 }
 
-// pace is how fast the endpoints of a service work.
-type pace struct {
+// serviceStats is how fast the endpoints of a service work.
+type serviceStats struct {
 	slots int
-	// mean and deviation describe the time from sending to the answer; 0 while unknown.
-	mean      time.Duration
-	deviation time.Duration
+	// meanLatency and deviation describe the time from sending to the answer; 0 while unknown.
+	meanLatency time.Duration
+	deviation   time.Duration
 }
 
-// wait returns how long the last of so many waiting requests waits for a slot.
-func (pc pace) wait(waiting int) time.Duration {
-	if pc.slots == 0 {
+// queueWait returns how long the last of so many waiting requests waits for a slot.
+func (ss serviceStats) queueWait(waiting int) time.Duration {
+	if ss.slots == 0 {
 		return 0
 	}
-	return time.Duration(float64(pc.mean) * float64(waiting) / float64(pc.slots))
+	return time.Duration(float64(ss.meanLatency) * float64(waiting) / float64(ss.slots))
 }
 
-// needed returns the time in which nearly all requests are answered once they are sent.
-func (pc pace) needed() time.Duration {
-	return pc.mean + deviations*pc.deviation
+// tailLatency returns the time in which nearly all requests are answered once they are sent.
+func (ss serviceStats) tailLatency() time.Duration {
+	return ss.meanLatency + tailDeviations*ss.deviation
 }
 
-// pace returns how fast the endpoints that may get work answer.
-func (rt *Router) pace(ro *route) pace {
-	var pc pace
+// serviceStats returns how fast the endpoints that may get work answer.
+func (rt *Router) serviceStats(ro *route) serviceStats {
+	var ss serviceStats
 	var mean, deviation float64
 	known := 0
 	now := rt.opts.Now()
-	for _, st := range ro.states {
-		if !st.mayGetWork(now) {
+	for _, st := range ro.endpoints {
+		if !st.routable(now) {
 			continue
 		}
-		if st.health.standing(now) == StandingOpen {
-			pc.slots += st.limit.value(ro.share)
+		if st.health.status(now) == StatusHealthy {
+			ss.slots += st.limit.value(ro.share)
 		}
 		if vl := st.health.latency.value(); vl > 0 {
 			mean += vl
@@ -201,10 +201,10 @@
 		}
 	}
 	if known > 0 {
-		pc.mean = time.Duration(mean / float64(known))
-		pc.deviation = time.Duration(deviation / float64(known))
+		ss.meanLatency = time.Duration(mean / float64(known))
+		ss.deviation = time.Duration(deviation / float64(known))
 	}
-	return pc
+	return ss
 }
 
 // retryAfter returns when coming back helps, spread so that callers do not come back together.
@@ -213,56 +213,56 @@
 	if ro == nil {
 		return 0
 	}
-	pc := rt.pace(ro)
-	wait := max(pc.wait(int(ro.queue.length.Load())+1)+pc.mean, leastRetryAfter)
+	ss := rt.serviceStats(ro)
+	wait := max(ss.queueWait(int(ro.queue.length.Load())+1)+ss.meanLatency, minRetryAfter)
 	return wait + time.Duration(rt.opts.Random(int(wait)))
 }
 
-// wait stands in the queue until there is a slot, the deadline passes or the caller is gone.
-func (rt *Router) wait(ctx context.Context, ro *route, call *Call, tried []table.InstanceID) (place, error) {
+// waitForSlot stands in the queue until there is a slot, the deadline passes or the caller is gone.
+func (rt *Router) waitForSlot(ctx context.Context, ro *route, call *Call, tried []table.InstanceID) (slot, error) {
 	wt := &waiter{wake: make(chan struct{}, 1)}
 	if call.Pin != nil {
 		if id, err := call.Pin(rt.Snapshot()); err == nil {
 			wt.pin = id
-			rt.countQueued(id, 1)
-			defer rt.countQueued(id, -1)
+			rt.addQueued(id, 1)
+			defer rt.addQueued(id, -1)
 		}
 	}
-	if !ro.queue.join(wt, rt.opts.QueueLength) {
-		return place{}, ErrOverload
+	if !ro.queue.add(wt, rt.opts.QueueLength) {
+		return slot{}, ErrOverload
 	}
-	defer ro.queue.leave(wt)
-	again := time.NewTicker(pickAgain)
-	defer again.Stop()
-	began := rt.opts.Now()
+	defer ro.queue.remove(wt)
+	ticker := time.NewTicker(pickRetryInterval)
+	defer ticker.Stop()
+	started := rt.opts.Now()
 	for {
-		pl, err := rt.tryAcquire(call, tried)
+		sl, err := rt.tryAcquire(call, tried)
 		if err != ErrOverload && err != ErrSessionMoving {
-			return pl, err
+			return sl, err
 		}
-		if rt.tooLate(ro, call, err, began) {
-			return place{}, err
+		if rt.shouldStopWaiting(ro, call, err, started) {
+			return slot{}, err
 		}
 		select {
 		case <-wt.wake:
-		case <-again.C:
+		case <-ticker.C:
 		case <-ctx.Done():
-			return place{}, ctx.Err()
+			return slot{}, ctx.Err()
 		}
 	}
 }
 
-// tooLate reports whether a waiting request can no longer be served in time, so that it is refused now and not at its deadline.
-func (rt *Router) tooLate(ro *route, call *Call, err error, began time.Time) bool {
+// shouldStopWaiting reports whether a waiting request can no longer be served in time, so that it is refused now and not at its deadline.
+func (rt *Router) shouldStopWaiting(ro *route, call *Call, err error, started time.Time) bool {
 	now := rt.opts.Now()
-	if err == ErrSessionMoving && now.Sub(began) >= sessionMoveWait {
+	if err == ErrSessionMoving && now.Sub(started) >= sessionMoveTimeout {
 		return true
 	}
-	return call.Deadline.Sub(now) <= rt.pace(ro).needed()
+	return call.Deadline.Sub(now) <= rt.serviceStats(ro).tailLatency()
 }
 
-func (rt *Router) countQueued(id table.InstanceID, delta int32) {
-	if st := rt.routes.Load().states[id]; st != nil {
+func (rt *Router) addQueued(id table.InstanceID, delta int32) {
+	if st := rt.routes.Load().endpoints[id]; st != nil {
 		st.queued.Add(delta)
 	}
 }
--- a/endpoint/alloc_test.go
+++ b/endpoint/alloc_test.go
@@ -12,8 +12,8 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// canned answers every request on a connection with the attempt id that it carries, without allocating.
-func canned(conn net.Conn) {
+// serveFixedAnswer answers every request on a connection with the attempt id that it carries, without allocating.
+func serveFixedAnswer(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	buf := make([]byte, 4096)
 	out := make([]byte, 0, 4096)
@@ -40,8 +40,8 @@
 	}
 }
 
-// cannedRouter returns a router whose one endpoint answers without allocating.
-func cannedRouter(tb testing.TB) *endpoint.Router {
+// newFixedAnswerRouter returns a router whose one endpoint answers without allocating.
+func newFixedAnswerRouter(tb testing.TB) *endpoint.Router {
 	tb.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,12 +54,12 @@
 			if err != nil {
 				return
 			}
-			go canned(conn)
+			go serveFixedAnswer(conn)
 		}
 	}()
-	rows := rowsOf(tb, []any{
-		table.Service{ID: bedService, Slots: 8, Connections: 64, Echo: true},
-		table.Instance{ID: "w1", Hall: "hall1", Address: ln.Addr().String(), State: table.InstanceServing, Epoch: 1, Services: []table.ServiceID{bedService}},
+	rows := encodeRows(tb, []any{
+		table.Service{ID: testService, Slots: 8, Connections: 64, Echo: true},
+		table.Instance{ID: "w1", Hall: "hall1", Address: ln.Addr().String(), State: table.InstanceServing, Epoch: 1, Services: []table.ServiceID{testService}},
 	})
 	sn, _ := table.EmptySnapshot().Merge(rows)
 	rt := endpoint.NewRouter(endpoint.WithHall("hall1"))
@@ -67,8 +67,8 @@
 	return rt
 }
 
-func serveOnce(tb testing.TB, rt *endpoint.Router) {
-	rs := rt.Do(context.Background(), call(10*time.Second))
+func doOnce(tb testing.TB, rt *endpoint.Router) {
+	rs := rt.Do(context.Background(), newCall(10*time.Second))
 	if rs.Outcome != endpoint.OutcomeAnswered || string(rs.Answer.Body) != "done" || rs.Answer.Status != http.StatusOK {
 		tb.Fatalf("%+v", rs)
 	}
@@ -82,8 +82,8 @@
 	if raceEnabled {
 		t.Skip("the race detector allocates")
 	}
-	rt := cannedRouter(t)
-	got := testing.AllocsPerRun(500, func() { serveOnce(t, rt) })
+	rt := newFixedAnswerRouter(t)
+	got := testing.AllocsPerRun(500, func() { doOnce(t, rt) })
 	t.Logf("%.0f allocations", got)
 	if got > maxAllocations {
 		t.Errorf("%.0f allocations a request, want at most %d", got, maxAllocations)
@@ -91,9 +91,9 @@
 }
 
 func BenchmarkProxiedRequest(b *testing.B) {
-	rt := cannedRouter(b)
+	rt := newFixedAnswerRouter(b)
 	b.ReportAllocs()
 	for b.Loop() {
-		serveOnce(b, rt)
+		doOnce(b, rt)
 	}
 }
--- a/endpoint/attempt.go
+++ b/endpoint/attempt.go
@@ -21,72 +21,72 @@
 	"go.uber.org/zap"
 )
 
-// ended is the end of one attempt.
-type ended struct {
-	end    End
-	answer *Answer
-	err    error
-	pl     place
-	took   time.Duration
+// attemptResult is the end of one attempt.
+type attemptResult struct {
+	outcome  AttemptOutcome
+	answer   *Answer
+	err      error
+	slot     slot
+	duration time.Duration
 }
 
-// hopHeaders belong to one connection and are not passed on.
-var hopHeaders = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect"}
+// hopByHopHeaders belong to one connection and are not passed on.
+var hopByHopHeaders = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect"}
 
-// dropHopHeaders removes what belongs to one connection, and what the connection's own header names.
-func dropHopHeaders(hd http.Header) {
+// removeHopByHopHeaders removes what belongs to one connection, and what the connection's own header names.
+func removeHopByHopHeaders(hd http.Header) {
 	for _, value := range hd.Values("Connection") {
 		for _, name := range strings.Split(value, ",") {
 			hd.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		hd.Del(name)
 	}
 }
 
-// onceBody hides what net/http needs to send a request a second time by itself.
-type onceBody struct {
+// singleUseBody hides what net/http needs to send a request a second time by itself.
+type singleUseBody struct {
 	io.Reader
 }
 
 // Close does nothing; the bytes belong to the call.
-func (onceBody) Close() error { return nil }
+func (singleUseBody) Close() error { return nil }
 
 // attempt sends the call once and waits for its end; the slot is released when the answer has been read.
-func (rt *Router) attempt(ctx context.Context, cancel context.CancelFunc, pl place, call *Call) ended {
+func (rt *Router) attempt(ctx context.Context, cancel context.CancelFunc, sl slot, call *Call) attemptResult {
 	rt.Attempts.Add(1)
-	began := rt.opts.Now()
-	id := attemptID()
+	started := rt.opts.Now()
+	id := newAttemptID()
 	var sent atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }}
-	rq, err := rt.request(httptrace.WithClientTrace(ctx, trace), pl, call, id)
+	rq, err := rt.newRequest(httptrace.WithClientTrace(ctx, trace), sl, call, id)
 	if err != nil {
-		return ended{end: NotSent, err: err, pl: pl}
+		return attemptResult{outcome: NotSent, err: err, slot: sl}
 	}
-	rp, err := rt.via(pl, call).RoundTrip(rq)
-	ed := ended{pl: pl}
+	rp, err := rt.transportFor(sl, call).RoundTrip(rq)
+	ar := attemptResult{slot: sl}
 	switch {
 	case err != nil && !sent.Load():
-		ed.end, ed.err = NotSent, eris.Wrap(err, "connect")
+		ar.outcome, ar.err = NotSent, eris.Wrap(err, "connect")
 	case err != nil:
-		ed.end, ed.err = PerhapsRun, eris.Wrapf(ErrBroken, "%v", err)
+		ar.outcome, ar.err = MaybeRun, eris.Wrapf(ErrConnectionBroken, "%v", err)
 	default:
-		ed = rt.receive(cancel, pl, id, rp)
+		ar = rt.receive(cancel, sl, id, rp)
 	}
-	ed.took = rt.opts.Now().Sub(began)
-	return ed
+	ar.duration = rt.opts.Now().Sub(started)
+	return ar
 }
 
-// via returns the transport: connections are used again only where answers name their attempt and nothing forbids a second sending.
-func (rt *Router) via(pl place, call *Call) http.RoundTripper {
-	if call.Repeatable && pl.ro.service.Echo {
-		return pl.st.pooled
+// transportFor returns the transport: connections are used again only where answers name their attempt and nothing forbids a second sending.
+func (rt *Router) transportFor(sl slot, call *Call) http.RoundTripper {
+	if call.Repeatable && sl.ro.service.Echo {
+		return sl.st.pooled
 	}
-	return rt.fresh
+	return rt.unpooled
 }
 
-func attemptID() string {
+func newAttemptID() string {
 	var raw [8]byte
 	number := rand.Uint64()
 	for ix := range raw {
@@ -95,16 +95,16 @@
 	return hex.EncodeToString(raw[:])
 }
 
-func (rt *Router) request(ctx context.Context, pl place, call *Call, id string) (*http.Request, error) {
+func (rt *Router) newRequest(ctx context.Context, sl slot, call *Call, id string) (*http.Request, error) {
 	target, err := url.ParseRequestURI(call.Target)
 	if err != nil {
 		return nil, eris.Wrap(err, "parse target")
 	}
-	target.Scheme, target.Host = "http", pl.st.address
+	target.Scheme, target.Host = "http", sl.st.address
 	rq := &http.Request{Method: call.Method, URL: target, Host: call.Host, Header: call.Header.Clone(), Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1}
 	rq.ContentLength = int64(len(call.Body))
-	rq.Body = onceBody{bytes.NewReader(call.Body)}
-	dropHopHeaders(rq.Header)
+	rq.Body = singleUseBody{bytes.NewReader(call.Body)}
+	removeHopByHopHeaders(rq.Header)
 	rq.Header[HeaderAttempt] = []string{id}
 	rq.Header[HeaderRequestID] = []string{call.RequestID}
 	rq.Header[HeaderDeadline] = []string{strconv.FormatInt(call.Deadline.UnixMilli(), 10)}
@@ -115,34 +115,34 @@
 }
 
 // receive judges the header of an answer and reads its body.
-func (rt *Router) receive(cancel context.CancelFunc, pl place, id string, rp *http.Response) ended {
-	if rt.foreign(pl, id, rp) {
+func (rt *Router) receive(cancel context.CancelFunc, sl slot, id string, rp *http.Response) attemptResult {
+	if rt.attemptMismatch(sl, id, rp) {
 		cancel()
-		rt.opts.Log.Emit(event.AnswerForeign, zap.String("endpoint", string(pl.st.id)))
-		return ended{end: PerhapsRun, err: ErrForeign, pl: pl}
+		rt.opts.Log.Emit(event.AnswerForeign, zap.String("endpoint", string(sl.st.id)))
+		return attemptResult{outcome: MaybeRun, err: ErrAttemptMismatch, slot: sl}
 	}
-	if word := rp.Header.Get(HeaderNotRun); word != "" && rp.StatusCode == http.StatusServiceUnavailable {
+	if reason := rp.Header.Get(HeaderNotRun); reason != "" && rp.StatusCode == http.StatusServiceUnavailable {
 		drain(rp)
-		return ended{end: Refused, err: eris.Wrap(ErrRefused, word), pl: pl}
+		return attemptResult{outcome: Refused, err: eris.Wrap(ErrRefused, reason), slot: sl}
 	}
-	if !lengthKnown(rp) {
+	if !bodyDelimited(rp) {
 		cancel()
-		return ended{end: PerhapsRun, err: ErrNotWhole, pl: pl}
+		return attemptResult{outcome: MaybeRun, err: ErrUnknownLength, slot: sl}
 	}
-	return rt.read(cancel, pl, rp)
+	return rt.readAnswer(cancel, sl, rp)
 }
 
-// foreign reports whether an answer belongs to another attempt on the same connection.
-func (rt *Router) foreign(pl place, id string, rp *http.Response) bool {
+// attemptMismatch reports whether an answer belongs to another attempt on the same connection.
+func (rt *Router) attemptMismatch(sl slot, id string, rp *http.Response) bool {
 	echoed := rp.Header.Get(HeaderAttempt)
 	if echoed == "" {
-		return pl.ro.service.Echo
+		return sl.ro.service.Echo
 	}
 	return echoed != id
 }
 
-// lengthKnown reports whether the end of the body can be told from a broken connection.
-func lengthKnown(rp *http.Response) bool {
+// bodyDelimited reports whether the end of the body can be told from a broken connection.
+func bodyDelimited(rp *http.Response) bool {
 	if rp.StatusCode == http.StatusSwitchingProtocols {
 		return false
 	}
@@ -151,36 +151,36 @@
 
 // drain reads the little that a refusal holds, so that the connection can be used again.
 func drain(rp *http.Response) {
-	const most = 4 << 10
+	const maxBytes = 4 << 10
 	// What cannot be read only costs the connection.
-	_, _ = io.Copy(io.Discard, io.LimitReader(rp.Body, most))
+	_, _ = io.Copy(io.Discard, io.LimitReader(rp.Body, maxBytes))
 	_ = rp.Body.Close()
 }
 
-// read holds the body back until it is whole, or hands it over as a stream when it is too large for the buffers.
-func (rt *Router) read(cancel context.CancelFunc, pl place, rp *http.Response) ended {
-	answer := &Answer{Status: rp.StatusCode, Header: passedOn(rp.Header)}
+// readAnswer holds the body back until it is whole, or hands it over as a stream when it is too large for the buffers.
+func (rt *Router) readAnswer(cancel context.CancelFunc, sl slot, rp *http.Response) attemptResult {
+	answer := &Answer{Status: rp.StatusCode, Header: forwardedHeaders(rp.Header)}
 	length := bodyLength(rp)
-	reserved := rt.reserve(length)
+	reserved := rt.reserveBuffer(length)
 	if reserved < 0 {
-		answer.Rest = &Rest{body: rp.Body, cancel: cancel, release: pl.release}
-		return ended{end: Answered, answer: answer, pl: pl}
+		answer.Stream = &AnswerStream{body: rp.Body, cancel: cancel, release: sl.release}
+		return attemptResult{outcome: Answered, answer: answer, slot: sl}
 	}
-	answer.release = func() { rt.opts.Buffers.Give(reserved) }
-	body, err := readUpTo(rp.Body, length, rt.opts.AnswerBytes)
+	answer.release = func() { rt.opts.Buffers.Release(reserved) }
+	body, err := readLimited(rp.Body, length, rt.opts.MaxBufferedAnswer)
 	if err != nil {
 		answer.Release()
 		cancel()
-		return ended{end: PerhapsRun, err: eris.Wrapf(ErrBroken, "answer: %v", err), pl: pl}
+		return attemptResult{outcome: MaybeRun, err: eris.Wrapf(ErrConnectionBroken, "answer: %v", err), slot: sl}
 	}
 	answer.Body = body
-	if len(body) > rt.opts.AnswerBytes {
-		answer.Rest = &Rest{body: rp.Body, cancel: cancel, release: pl.release}
-		return ended{end: Answered, answer: answer, pl: pl}
+	if len(body) > rt.opts.MaxBufferedAnswer {
+		answer.Stream = &AnswerStream{body: rp.Body, cancel: cancel, release: sl.release}
+		return attemptResult{outcome: Answered, answer: answer, slot: sl}
 	}
 	// The body was read to its end, so closing it cannot lose anything.
 	_ = rp.Body.Close()
-	return ended{end: Answered, answer: answer, pl: pl}
+	return attemptResult{outcome: Answered, answer: answer, slot: sl}
 }
 
 // bodyLength returns the length of the body that follows, negative if it is not known; what a header says of an answer to HEAD is not one.
@@ -191,23 +191,23 @@
 	return rp.ContentLength
 }
 
-// reserve takes memory for an answer of a length, or of an unknown one; it returns -1 when the answer must stream.
-func (rt *Router) reserve(length int64) int64 {
-	if length > int64(rt.opts.AnswerBytes) {
+// reserveBuffer takes memory for an answer of a length, or of an unknown one; it returns -1 when the answer must stream.
+func (rt *Router) reserveBuffer(length int64) int64 {
+	if length > int64(rt.opts.MaxBufferedAnswer) {
 		return -1
 	}
 	if length < 0 {
-		length = int64(rt.opts.AnswerBytes) + 1
+		length = int64(rt.opts.MaxBufferedAnswer) + 1
 	}
-	if !rt.opts.Buffers.Take(length) {
+	if !rt.opts.Buffers.Reserve(length) {
 		return -1
 	}
 	return length
 }
 
-// passedOn returns the headers of an answer that callers see.
-func passedOn(hd http.Header) http.Header {
-	dropHopHeaders(hd)
+// forwardedHeaders returns the headers of an answer that callers see.
+func forwardedHeaders(hd http.Header) http.Header {
+	removeHopByHopHeaders(hd)
 	for name := range hd {
 		if strings.HasPrefix(name, headerPrefix) {
 			hd.Del(name)
@@ -223,18 +223,18 @@
 	}
 }
 
-// readUpTo reads a body whole, or one byte more than most.
-func readUpTo(body io.Reader, length int64, most int) ([]byte, error) {
-	if length >= 0 && length <= int64(most) {
+// readLimited reads a body whole, or one byte more than most.
+func readLimited(body io.Reader, length int64, maxLength int) ([]byte, error) {
+	if length >= 0 && length <= int64(maxLength) {
 		buf := make([]byte, length)
 		_, err := io.ReadFull(body, buf)
 		return buf, err
 	}
-	return io.ReadAll(io.LimitReader(body, int64(most)+1))
+	return io.ReadAll(io.LimitReader(body, int64(maxLength)+1))
 }
 
-// Rest is the part of an answer that is still to come.
-type Rest struct {
+// AnswerStream is the part of an answer that is still to come.
+type AnswerStream struct {
 	body    io.ReadCloser
 	cancel  context.CancelFunc
 	release func()
@@ -242,63 +242,63 @@
 }
 
 // Read reads on; any error but io.EOF means that the answer is not whole.
-func (rs *Rest) Read(buf []byte) (int, error) {
-	return rs.body.Read(buf)
+func (as *AnswerStream) Read(buf []byte) (int, error) {
+	return as.body.Read(buf)
 }
 
 // Close ends the attempt and frees its slot.
-func (rs *Rest) Close() error {
-	if rs.closed.Swap(true) {
+func (as *AnswerStream) Close() error {
+	if as.closed.Swap(true) {
 		return nil
 	}
-	err := rs.body.Close()
-	rs.cancel()
-	rs.release()
+	err := as.body.Close()
+	as.cancel()
+	as.release()
 	return err
 }
 
-// learn feeds the end of an attempt to what is known of the endpoint; an attempt that this side ended says nothing.
-func (rt *Router) learn(ed ended, canceled bool) {
-	st, now := ed.pl.st, rt.opts.Now()
-	if canceled && ed.end != Answered {
-		st.health.abandonTrial()
+// recordResult feeds the end of an attempt to what is known of the endpoint; an attempt that this side ended says nothing.
+func (rt *Router) recordResult(ar attemptResult, canceled bool) {
+	st, now := ar.slot.st, rt.opts.Now()
+	if canceled && ar.outcome != Answered {
+		st.health.cancelProbe()
 		return
 	}
-	if ed.end == NotSent && errors.Is(ed.err, syscall.ECONNREFUSED) {
+	if ar.outcome == NotSent && errors.Is(ar.err, syscall.ECONNREFUSED) {
 		st.refusedSince.CompareAndSwap(0, now.UnixNano())
-	} else if ed.end != NotSent {
+	} else if ar.outcome != NotSent {
 		st.refusedSince.Store(0)
 	}
 	switch {
-	case ed.end == Refused:
-		rt.learnRefusal(ed)
-	case ed.end == Answered && ed.answer.Status < http.StatusInternalServerError:
-		st.limit.grow(ed.pl.ro.share)
-		if st.health.succeed(ed.took) {
+	case ar.outcome == Refused:
+		rt.recordRefusal(ar)
+	case ar.outcome == Answered && ar.answer.Status < http.StatusInternalServerError:
+		st.limit.grow(ar.slot.ro.share)
+		if st.health.recordSuccess(ar.duration) {
 			rt.opts.Log.Emit(event.EndpointReturned, zap.String("endpoint", string(st.id)))
 		}
 	default:
-		rt.learnFailure(st, ed.err)
+		rt.recordFailure(st, ar.err)
 	}
 }
 
-func (rt *Router) learnFailure(st *state, cause error) {
-	if st.health.fail(rt.opts.Now(), *rt.eject.Load()) {
+func (rt *Router) recordFailure(st *endpointState, cause error) {
+	if st.health.recordFailure(rt.opts.Now(), *rt.ejectPolicy.Load()) {
 		rt.opts.Log.Emit(event.EndpointEjected, zap.String("endpoint", string(st.id)), zap.NamedError("cause", cause))
 	}
 }
 
-func (rt *Router) learnRefusal(ed ended) {
-	st := ed.pl.st
-	st.health.abandonTrial()
-	if !refusedAs(ed.err, RefusedLeaving) {
-		st.limit.shrink(ed.pl.ro.share)
+func (rt *Router) recordRefusal(ar attemptResult) {
+	st := ar.slot.st
+	st.health.cancelProbe()
+	if !refusedWith(ar.err, RefusedLeaving) {
+		st.limit.shrink(ar.slot.ro.share)
 		return
 	}
-	rt.Leave(st.id)
+	rt.MarkLeaving(st.id)
 }
 
-// refusedAs reports whether the endpoint's word was this one.
-func refusedAs(err error, word string) bool {
-	return errors.Is(err, ErrRefused) && len(err.Error()) >= len(word) && err.Error()[:len(word)] == word
+// refusedWith reports whether the endpoint's word was this one.
+func refusedWith(err error, reason string) bool {
+	return errors.Is(err, ErrRefused) && len(err.Error()) >= len(reason) && err.Error()[:len(reason)] == reason
 }
--- a/endpoint/buffers.go
+++ b/endpoint/buffers.go
@@ -4,31 +4,31 @@
 
 // Buffers bounds the memory that bodies and answers take together.
 type Buffers struct {
-	left atomic.Int64
+	available atomic.Int64
 }
 
 // NewBuffers returns buffers of so many bytes.
 func NewBuffers(size int) *Buffers {
 	bf := &Buffers{}
-	bf.left.Store(int64(size))
+	bf.available.Store(int64(size))
 	return bf
 }
 
-// Take reserves bytes and reports whether there were enough.
-func (bf *Buffers) Take(size int64) bool {
-	if bf.left.Add(-size) >= 0 {
+// Reserve reserves bytes and reports whether there were enough.
+func (bf *Buffers) Reserve(size int64) bool {
+	if bf.available.Add(-size) >= 0 {
 		return true
 	}
-	bf.left.Add(size)
+	bf.available.Add(size)
 	return false
 }
 
-// Give returns bytes that were reserved.
-func (bf *Buffers) Give(size int64) {
-	bf.left.Add(size)
+// Release returns bytes that were reserved.
+func (bf *Buffers) Release(size int64) {
+	bf.available.Add(size)
 }
 
-// Left returns the bytes that can still be reserved.
-func (bf *Buffers) Left() int64 {
-	return bf.left.Load()
+// Available returns the bytes that can still be reserved.
+func (bf *Buffers) Available() int64 {
+	return bf.available.Load()
 }
--- a/endpoint/deadline_test.go
+++ b/endpoint/deadline_test.go
@@ -14,16 +14,16 @@
 // TestDeadlinePassedBeforeTheFirstByteSendsNothing stands for a process that was frozen while its claim was written.
 func TestDeadlinePassedBeforeTheFirstByteSendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bd := newBed(t, 1, 1, 0)
+		bd := newTestBed(t, 1, 1, 0)
 		rt := bd.router()
-		late := call(time.Second)
+		late := newCall(time.Second)
 		late.BeforeSend = func() error {
 			time.Sleep(2 * time.Second)
 			return nil
 		}
 		rs := rt.Do(context.Background(), late)
-		if rs.Outcome != endpoint.OutcomeNotRun || len(rs.Ends) != 0 {
-			t.Errorf("%s with attempts %v", rs.Outcome, rs.Ends)
+		if rs.Outcome != endpoint.OutcomeNotRun || len(rs.AttemptOutcomes) != 0 {
+			t.Errorf("%s with attempts %v", rs.Outcome, rs.AttemptOutcomes)
 		}
 		if received := bd.endpoints[0].Counts().Received; received != 0 {
 			t.Errorf("the endpoint received %d requests", received)
@@ -32,16 +32,16 @@
 	})
 }
 
-// TestWholeAnswerIsNotForgottenWhenAnotherAttemptHangs: a server error is a whole answer, kept while the request is tried elsewhere.
-func TestWholeAnswerIsNotForgottenWhenAnotherAttemptHangs(t *testing.T) {
+// TestServerErrorIsReturnedWhenAnotherAttemptHangs: a server error is a whole answer, kept while the request is tried elsewhere.
+func TestServerErrorIsReturnedWhenAnotherAttemptHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bd := newBed(t, 2, 1, 0)
+		bd := newTestBed(t, 2, 1, 0)
 		bd.endpoints[0].Switch(standin.EndpointFaults{Status: http.StatusInternalServerError})
 		bd.endpoints[1].Switch(standin.EndpointFaults{WorkMs: 10000})
 		rt := bd.router(endpoint.WithRandom(func(int) int { return 0 }))
-		rs := rt.Do(context.Background(), call(300*time.Millisecond))
+		rs := rt.Do(context.Background(), newCall(300*time.Millisecond))
 		if rs.Outcome != endpoint.OutcomeAnswered || rs.Answer == nil || rs.Answer.Status != http.StatusInternalServerError {
-			t.Errorf("%s with answer %v after %v", rs.Outcome, rs.Answer, rs.Ends)
+			t.Errorf("%s with answer %v after %v", rs.Outcome, rs.Answer, rs.AttemptOutcomes)
 		}
 		time.Sleep(time.Minute)
 		bd.close(rt)
--- a/endpoint/do.go
+++ b/endpoint/do.go
@@ -10,299 +10,299 @@
 )
 
 const (
-	// silenceFactor times the usual latency without an answer counts as a failure.
-	silenceFactor = 4
-	leastSilence  = 30 * time.Millisecond
-	// firstSilence applies while the usual latency is not known.
-	firstSilence = time.Second
+	// hedgeDelayFactor times the usual latency without an answer counts as a failure.
+	hedgeDelayFactor = 4
+	minHedgeDelay    = 30 * time.Millisecond
+	// initialHedgeDelay applies while the usual latency is not known.
+	initialHedgeDelay = time.Second
 )
 
-// run is the state of one call to Do.
-type run struct {
+// execution is the state of one call to Do.
+type execution struct {
 	rt      *Router
 	call    *Call
 	ctx     context.Context
-	results chan ended
-	// open counts attempts whose end has not come in.
-	open    int
-	ends    []End
-	tried   []table.InstanceID
-	cancels []context.CancelFunc
-	// failed is the last complete answer with a server error, passed on when nothing better comes.
-	failed *Answer
-	cause  error
-	last   place
-	ready  bool
+	results chan attemptResult
+	// outstanding counts attempts whose end has not come in.
+	outstanding int
+	outcomes    []AttemptOutcome
+	tried       []table.InstanceID
+	cancels     []context.CancelFunc
+	// serverError is the last complete answer with a server error, passed on when nothing better comes.
+	serverError *Answer
+	cause       error
+	lastSlot    slot
+	prepared    bool
 }
 
 // Do sends the call and returns its end; it returns by the deadline even when an attempt goes on.
 func (rt *Router) Do(ctx context.Context, call *Call) Result {
 	rt.Calls.Add(1)
-	rt.budget.earned()
-	rn := &run{rt: rt, call: call, ctx: ctx, results: make(chan ended, rt.opts.Retry.Most)}
-	if !rn.start() {
-		return rn.giveUp()
+	rt.budget.deposit()
+	ex := &execution{rt: rt, call: call, ctx: ctx, results: make(chan attemptResult, rt.opts.Retry.MaxAttempts)}
+	if !ex.startAttempt() {
+		return ex.giveUp()
 	}
-	return rn.await()
+	return ex.awaitResults()
 }
 
-// start begins another attempt and reports whether it could.
-func (rn *run) start() bool {
-	pl, err := rn.rt.acquire(rn.ctx, rn.call, rn.tried)
+// startAttempt begins another attempt and reports whether it could.
+func (ex *execution) startAttempt() bool {
+	sl, err := ex.rt.acquire(ex.ctx, ex.call, ex.tried)
 	if err != nil {
-		rn.note(err)
+		ex.recordCause(err)
 		return false
 	}
-	if err := rn.beforeSend(); err != nil {
-		rn.drop(pl)
-		rn.note(err)
+	if err := ex.prepare(); err != nil {
+		ex.releaseUnused(sl)
+		ex.recordCause(err)
 		return false
 	}
-	rn.launch(pl)
+	ex.launch(sl)
 	return true
 }
 
-// note keeps the first cause of a failure, which says more than what later attempts met.
-func (rn *run) note(err error) {
-	if rn.cause == nil {
-		rn.cause = err
+// recordCause keeps the first cause of a failure, which says more than what later attempts met.
+func (ex *execution) recordCause(err error) {
+	if ex.cause == nil {
+		ex.cause = err
 	}
 }
 
-// beforeSend runs the call's hook once and then looks at the time, which the hook may have taken.
-func (rn *run) beforeSend() error {
-	if !rn.ready && rn.call.BeforeSend != nil {
-		if err := rn.call.BeforeSend(); err != nil {
+// prepare runs the call's hook once and then looks at the time, which the hook may have taken.
+func (ex *execution) prepare() error {
+	if !ex.prepared && ex.call.BeforeSend != nil {
+		if err := ex.call.BeforeSend(); err != nil {
 			return err
 		}
 	}
-	rn.ready = true
-	if !rn.rt.opts.Now().Before(rn.call.Deadline) {
+	ex.prepared = true
+	if !ex.rt.opts.Now().Before(ex.call.Deadline) {
 		return ErrDeadline
 	}
 	return nil
 }
 
-func (rn *run) drop(pl place) {
-	if pl.trial {
-		pl.st.health.abandonTrial()
+func (ex *execution) releaseUnused(sl slot) {
+	if sl.probe {
+		sl.st.health.cancelProbe()
 	}
-	pl.release()
+	sl.release()
 }
 
 // launch runs one attempt; it outlives the caller's wait but not the longest request time.
-func (rn *run) launch(pl place) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(rn.ctx), rn.rt.opts.LongestRequest)
-	rn.cancels = append(rn.cancels, cancel)
-	rn.tried = append(rn.tried, pl.st.id)
-	rn.last = pl
-	rn.open++
+func (ex *execution) launch(sl slot) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ex.ctx), ex.rt.opts.MaxAttemptDuration)
+	ex.cancels = append(ex.cancels, cancel)
+	ex.tried = append(ex.tried, sl.st.id)
+	ex.lastSlot = sl
+	ex.outstanding++
 	go func() {
-		ed := rn.rt.attempt(ctx, cancel, pl, rn.call)
-		rn.rt.learn(ed, errors.Is(ctx.Err(), context.Canceled))
-		if ed.answer == nil || ed.answer.Rest == nil {
-			pl.release()
+		ar := ex.rt.attempt(ctx, cancel, sl, ex.call)
+		ex.rt.recordResult(ar, errors.Is(ctx.Err(), context.Canceled))
+		if ar.answer == nil || ar.answer.Stream == nil {
+			sl.release()
 			cancel()
 		}
-		rn.results <- ed
+		ex.results <- ar
 	}()
 }
 
-// await handles ends of attempts until one settles the call or the time is over.
-func (rn *run) await() Result {
-	deadline := time.NewTimer(rn.call.Deadline.Sub(rn.rt.opts.Now()))
+// awaitResults handles ends of attempts until one settles the call or the time is over.
+func (ex *execution) awaitResults() Result {
+	deadline := time.NewTimer(ex.call.Deadline.Sub(ex.rt.opts.Now()))
 	defer deadline.Stop()
-	silence := time.NewTimer(rn.silenceDelay())
-	defer silence.Stop()
+	hedge := time.NewTimer(ex.hedgeDelay())
+	defer hedge.Stop()
 	for {
 		select {
-		case ed := <-rn.results:
-			if rn.take(ed) {
-				return rn.finish(ed)
+		case ar := <-ex.results:
+			if ex.settledBy(ar) {
+				return ex.finish(ar)
 			}
-			if rn.open == 0 && !rn.again(ed) {
-				return rn.giveUp()
+			if ex.outstanding == 0 && !ex.retry(ar) {
+				return ex.giveUp()
 			}
-		case <-silence.C:
-			rn.silent()
+		case <-hedge.C:
+			ex.hedge()
 		case <-deadline.C:
-			rn.note(ErrDeadline)
-			return rn.leave()
-		case <-rn.ctx.Done():
-			rn.note(rn.ctx.Err())
-			return rn.leave()
+			ex.recordCause(ErrDeadline)
+			return ex.detach()
+		case <-ex.ctx.Done():
+			ex.recordCause(ex.ctx.Err())
+			return ex.detach()
 		}
 	}
 }
 
-// take notes the end of an attempt and reports whether it settles the call.
-func (rn *run) take(ed ended) bool {
-	rn.open--
-	rn.ends = append(rn.ends, ed.end)
-	rn.last = ed.pl
-	if ed.end != Answered {
-		rn.note(ed.err)
+// settledBy notes the end of an attempt and reports whether it settles the call.
+func (ex *execution) settledBy(ar attemptResult) bool {
+	ex.outstanding--
+	ex.outcomes = append(ex.outcomes, ar.outcome)
+	ex.lastSlot = ar.slot
+	if ar.outcome != Answered {
+		ex.recordCause(ar.err)
 		return false
 	}
-	if ed.answer.Status < http.StatusInternalServerError || !rn.call.Repeatable || ed.answer.Rest != nil {
+	if ar.answer.Status < http.StatusInternalServerError || !ex.call.Repeatable || ar.answer.Stream != nil {
 		return true
 	}
-	discard(rn.failed)
-	rn.failed = ed.answer
-	return !rn.mayStart(true) && rn.open == 0
+	discard(ex.serverError)
+	ex.serverError = ar.answer
+	return !ex.canStart(true) && ex.outstanding == 0
 }
 
-// again starts another attempt after one that failed, as far as its end and the budget allow.
-func (rn *run) again(ed ended) bool {
-	retryable := MayRetry(ed.end, rn.call.Repeatable) || ed.end == Answered
-	if !retryable || !rn.mayStart(false) || !rn.rt.budget.spend() {
+// retry starts another attempt after one that failed, as far as its end and the budget allow.
+func (ex *execution) retry(ar attemptResult) bool {
+	retryable := MayRetry(ar.outcome, ex.call.Repeatable) || ar.outcome == Answered
+	if !retryable || !ex.canStart(false) || !ex.rt.budget.tryWithdraw() {
 		return false
 	}
-	return rn.start()
+	return ex.startAttempt()
 }
 
-// mayStart reports whether the number of attempts and the time allow another one.
-func (rn *run) mayStart(spend bool) bool {
-	if spend && rn.rt.budget.balance.Load() < retryUnit {
+// canStart reports whether the number of attempts and the time allow another one.
+func (ex *execution) canStart(checkBudget bool) bool {
+	if checkBudget && ex.rt.budget.balance.Load() < retryUnit {
 		return false
 	}
-	return len(rn.tried) < rn.rt.opts.Retry.Most && rn.rt.opts.Now().Before(rn.call.Deadline) && rn.ctx.Err() == nil
+	return len(ex.tried) < ex.rt.opts.Retry.MaxAttempts && ex.rt.opts.Now().Before(ex.call.Deadline) && ex.ctx.Err() == nil
 }
 
-// silenceDelay returns after which silence counts against an endpoint and a repeatable request is tried elsewhere.
-func (rn *run) silenceDelay() time.Duration {
-	pc := rn.rt.pace(rn.last.ro)
-	if pc.mean == 0 {
-		return firstSilence
+// hedgeDelay returns after which silence counts against an endpoint and a repeatable request is tried elsewhere.
+func (ex *execution) hedgeDelay() time.Duration {
+	ss := ex.rt.serviceStats(ex.lastSlot.ro)
+	if ss.meanLatency == 0 {
+		return initialHedgeDelay
 	}
-	return max(silenceFactor*pc.mean, pc.needed(), leastSilence)
+	return max(hedgeDelayFactor*ss.meanLatency, ss.tailLatency(), minHedgeDelay)
 }
 
-// silent counts silence against the endpoint and tries a repeatable request elsewhere, without waiting for a slot.
-func (rn *run) silent() {
-	if rn.open == 0 {
+// hedge counts silence against the endpoint and tries a repeatable request elsewhere, without waiting for a slot.
+func (ex *execution) hedge() {
+	if ex.outstanding == 0 {
 		return
 	}
-	rn.rt.learnFailure(rn.last.st, ErrDeadline)
-	if !rn.call.Repeatable || rn.call.Pin != nil || !rn.mayStart(false) {
+	ex.rt.recordFailure(ex.lastSlot.st, ErrDeadline)
+	if !ex.call.Repeatable || ex.call.Pin != nil || !ex.canStart(false) {
 		return
 	}
-	pl, err := rn.rt.tryAcquire(rn.call, rn.tried)
+	sl, err := ex.rt.tryAcquire(ex.call, ex.tried)
 	if err != nil {
 		return
 	}
-	if pl.st == rn.last.st || !rn.rt.budget.spend() {
-		rn.drop(pl)
+	if sl.st == ex.lastSlot.st || !ex.rt.budget.tryWithdraw() {
+		ex.releaseUnused(sl)
 		return
 	}
-	rn.launch(pl)
+	ex.launch(sl)
 }
 
 // finish returns the answer that settled the call and ends what else goes on.
-func (rn *run) finish(ed ended) Result {
-	for _, cancel := range rn.others(ed) {
+func (ex *execution) finish(ar attemptResult) Result {
+	for _, cancel := range ex.losingCancels(ar) {
 		cancel()
 	}
-	rn.discardOpen()
-	if rn.failed != ed.answer {
-		discard(rn.failed)
+	ex.discardOutstanding()
+	if ex.serverError != ar.answer {
+		discard(ex.serverError)
 	}
-	return rn.result(ed.answer)
+	return ex.result(ar.answer)
 }
 
-// others returns the cancels of the attempts that did not win; the winner's stream still needs its own.
-func (rn *run) others(ed ended) []context.CancelFunc {
-	if ed.answer.Rest == nil {
-		return rn.cancels
-	}
-	var others []context.CancelFunc
-	for ix, id := range rn.tried {
-		if id != ed.pl.st.id {
-			others = append(others, rn.cancels[ix])
+// losingCancels returns the cancels of the attempts that did not win; the winner's stream still needs its own.
+func (ex *execution) losingCancels(ar attemptResult) []context.CancelFunc {
+	if ar.answer.Stream == nil {
+		return ex.cancels
+	}
+	var cancels []context.CancelFunc
+	for ix, id := range ex.tried {
+		if id != ar.slot.st.id {
+			cancels = append(cancels, ex.cancels[ix])
 		}
 	}
-	return others
+	return cancels
 }
 
-// discardOpen closes streams of attempts that end after the call was settled.
-func (rn *run) discardOpen() {
-	if rn.open == 0 {
+// discardOutstanding closes streams of attempts that end after the call was settled.
+func (ex *execution) discardOutstanding() {
+	if ex.outstanding == 0 {
 		return
 	}
-	go func(open int) {
-		for range open {
-			discard((<-rn.results).answer)
+	go func(count int) {
+		for range count {
+			discard((<-ex.results).answer)
 		}
-	}(rn.open)
+	}(ex.outstanding)
 }
 
 // discard gives back what an answer holds that nobody will read.
 func discard(answer *Answer) {
 	answer.Release()
-	if answer != nil && answer.Rest != nil {
+	if answer != nil && answer.Stream != nil {
 		// Nobody reads the rest, so what closing says does not matter.
-		_ = answer.Rest.Close()
+		_ = answer.Stream.Close()
 	}
 }
 
 // giveUp returns the end of a call that has no attempt open.
-func (rn *run) giveUp() Result {
-	if rn.failed != nil {
-		return rn.result(rn.failed)
+func (ex *execution) giveUp() Result {
+	if ex.serverError != nil {
+		return ex.result(ex.serverError)
 	}
-	return rn.result(nil)
+	return ex.result(nil)
 }
 
-// leave returns while an attempt goes on; its late answer is kept if anybody may collect it.
-func (rn *run) leave() Result {
-	if rn.open == 0 {
-		return rn.giveUp()
+// detach returns while an attempt goes on; its late answer is kept if anybody may collect it.
+func (ex *execution) detach() Result {
+	if ex.outstanding == 0 {
+		return ex.giveUp()
 	}
-	if rn.failed != nil {
+	if ex.serverError != nil {
 		// A server error is a whole answer too, and better than none.
-		rn.cancelOpen()
-		return rn.result(rn.failed)
+		ex.cancelOutstanding()
+		return ex.result(ex.serverError)
 	}
-	for range rn.open {
-		rn.ends = append(rn.ends, PerhapsRun)
+	for range ex.outstanding {
+		ex.outcomes = append(ex.outcomes, MaybeRun)
 	}
-	if rn.call.OnLate == nil {
-		rn.cancelOpen()
-		return rn.result(nil)
+	if ex.call.OnLate == nil {
+		ex.cancelOutstanding()
+		return ex.result(nil)
 	}
-	go rn.late(rn.open)
-	rs := rn.result(nil)
+	go ex.awaitLate(ex.outstanding)
+	rs := ex.result(nil)
 	rs.Pending = true
 	return rs
 }
 
-// cancelOpen ends the attempts that still run.
-func (rn *run) cancelOpen() {
-	for _, cancel := range rn.cancels {
+// cancelOutstanding ends the attempts that still run.
+func (ex *execution) cancelOutstanding() {
+	for _, cancel := range ex.cancels {
 		cancel()
 	}
-	rn.discardOpen()
+	ex.discardOutstanding()
 }
 
-// late waits for the attempts that outlived the call.
-func (rn *run) late(open int) {
+// awaitLate waits for the attempts that outlived the call.
+func (ex *execution) awaitLate(count int) {
 	var answer *Answer
-	for range open {
-		ed := <-rn.results
-		if ed.end == Answered && ed.answer.Rest == nil {
+	for range count {
+		ar := <-ex.results
+		if ar.outcome == Answered && ar.answer.Stream == nil {
 			discard(answer)
-			answer = ed.answer
+			answer = ar.answer
 			continue
 		}
-		discard(ed.answer)
+		discard(ar.answer)
 	}
-	rn.call.OnLate(answer)
+	ex.call.OnLate(answer)
 }
 
-func (rn *run) result(answer *Answer) Result {
-	rs := Result{Answer: answer, Ends: rn.ends, Err: rn.cause, Outcome: Fold(PriorNone, rn.ends)}
-	if rn.last.st != nil {
-		rs.Endpoint, rs.Epoch = rn.last.st.id, rn.last.epoch
+func (ex *execution) result(answer *Answer) Result {
+	rs := Result{Answer: answer, AttemptOutcomes: ex.outcomes, Err: ex.cause, Outcome: Fold(PriorNone, ex.outcomes)}
+	if ex.lastSlot.st != nil {
+		rs.Endpoint, rs.Epoch = ex.lastSlot.st.id, ex.lastSlot.epoch
 	}
 	if answer != nil {
 		rs.Outcome, rs.Err = OutcomeAnswered, nil
@@ -311,6 +311,6 @@
 	if errors.Is(rs.Err, ErrUnknownService) {
 		return rs
 	}
-	rs.RetryAfter = rn.rt.retryAfter(rn.call.Service)
+	rs.RetryAfter = ex.rt.retryAfter(ex.call.Service)
 	return rs
 }
--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -43,12 +43,12 @@
 	ErrDeadline = errors.New("deadline passed")
 	// ErrSessionMoving says that the session's endpoint is gone and its successor is not agreed yet.
 	ErrSessionMoving = errors.New("session is moving")
-	// ErrBroken says that an attempt broke off.
-	ErrBroken = errors.New("connection to the endpoint broke")
-	// ErrForeign says that an answer belonged to another attempt.
-	ErrForeign = errors.New("answer of another attempt")
-	// ErrNotWhole says that an answer's length cannot be known to be complete.
-	ErrNotWhole = errors.New("answer without a length")
+	// ErrConnectionBroken says that an attempt broke off.
+	ErrConnectionBroken = errors.New("connection to the endpoint broke")
+	// ErrAttemptMismatch says that an answer belonged to another attempt.
+	ErrAttemptMismatch = errors.New("answer of another attempt")
+	// ErrUnknownLength says that an answer's length cannot be known to be complete.
+	ErrUnknownLength = errors.New("answer without a length")
 	// ErrRefused says that the endpoint refused before it started.
 	ErrRefused = errors.New("refused by the endpoint")
 )
@@ -84,8 +84,8 @@
 	Status int
 	Header http.Header
 	Body   []byte
-	// Rest reads what follows Body; nil when Body is all of it. The reader must be closed.
-	Rest *Rest
+	// Stream reads what follows Body; nil when Body is all of it. The reader must be closed.
+	Stream *AnswerStream
 	// release gives the body's memory back.
 	release  func()
 	released atomic.Bool
@@ -93,10 +93,10 @@
 
 // Result is the end of a call.
 type Result struct {
-	Outcome  Outcome
-	Answer   *Answer
-	Ends     []End
-	Endpoint table.InstanceID
+	Outcome         Outcome
+	Answer          *Answer
+	AttemptOutcomes []AttemptOutcome
+	Endpoint        table.InstanceID
 	// Epoch is the endpoint's epoch when it was picked.
 	Epoch table.Epoch
 	// Err is why there is no answer.
--- a/endpoint/health.go
+++ b/endpoint/health.go
@@ -10,100 +10,100 @@
 	// latencyWeight and successWeight are the shares of a new sample in the moving averages.
 	latencyWeight = 0.1
 	successWeight = 0.1
-	// leastSuccess keeps a failing endpoint's score finite.
-	leastSuccess = 0.05
+	// minSuccess keeps a failing endpoint's score finite.
+	minSuccess = 0.05
 	// maxEjectLevel bounds the doubling of the time out.
 	maxEjectLevel = 16
 )
 
-// Standing is whether an endpoint may get a request now.
-type Standing int
+// HealthStatus is whether an endpoint may get a request now.
+type HealthStatus int
 
 // The standings.
 const (
-	// StandingOpen takes any request.
-	StandingOpen Standing = iota
-	// StandingTrial takes one request, which decides.
-	StandingTrial
-	// StandingEjected takes none.
-	StandingEjected
+	// StatusHealthy takes any request.
+	StatusHealthy HealthStatus = iota
+	// StatusProbeDue takes one request, which decides.
+	StatusProbeDue
+	// StatusEjected takes none.
+	StatusEjected
 )
 
 // health judges one endpoint by the ends of its attempts.
 type health struct {
-	success average
-	latency average
+	success movingAverage
+	latency movingAverage
 	// deviation is the mean distance of a latency from the average.
-	deviation average
-	failures  atomic.Int32
-	level     atomic.Int32
-	until     atomic.Int64 // nanoseconds since 1970
-	trialling atomic.Bool
+	deviation    movingAverage
+	failures     atomic.Int32
+	ejectLevel   atomic.Int32
+	ejectedUntil atomic.Int64 // nanoseconds since 1970
+	probing      atomic.Bool
 }
 
-// average is an exponentially weighted moving average that many goroutines add to.
-type average struct {
+// movingAverage is an exponentially weighted moving movingAverage that many goroutines add to.
+type movingAverage struct {
 	bits atomic.Uint64
 }
 
-func (av *average) value() float64 {
-	return math.Float64frombits(av.bits.Load())
+func (ma *movingAverage) value() float64 {
+	return math.Float64frombits(ma.bits.Load())
 }
 
 // add mixes in a sample; the first one is taken whole.
-func (av *average) add(sample, weight float64) {
+func (ma *movingAverage) add(sample, weight float64) {
 	for {
-		before := av.bits.Load()
+		before := ma.bits.Load()
 		next := sample
 		if before != 0 {
 			old := math.Float64frombits(before)
 			next = old + weight*(sample-old)
 		}
-		if av.bits.CompareAndSwap(before, math.Float64bits(next)) {
+		if ma.bits.CompareAndSwap(before, math.Float64bits(next)) {
 			return
 		}
 	}
 }
 
-// standing returns whether the endpoint may be picked at a time.
-func (hl *health) standing(now time.Time) Standing {
-	if hl.level.Load() == 0 {
-		return StandingOpen
+// status returns whether the endpoint may be picked at a time.
+func (hl *health) status(now time.Time) HealthStatus {
+	if hl.ejectLevel.Load() == 0 {
+		return StatusHealthy
 	}
-	if now.UnixNano() < hl.until.Load() || hl.trialling.Load() {
-		return StandingEjected
+	if now.UnixNano() < hl.ejectedUntil.Load() || hl.probing.Load() {
+		return StatusEjected
 	}
-	return StandingTrial
+	return StatusProbeDue
 }
 
-// beginTrial claims the one trial and reports whether it got it.
-func (hl *health) beginTrial() bool {
-	return hl.trialling.CompareAndSwap(false, true)
+// startProbe claims the one trial and reports whether it got it.
+func (hl *health) startProbe() bool {
+	return hl.probing.CompareAndSwap(false, true)
 }
 
-// succeed notes a good answer and reports whether it ended an ejection.
-func (hl *health) succeed(took time.Duration) bool {
+// recordSuccess notes a good answer and reports whether it ended an ejection.
+func (hl *health) recordSuccess(latency time.Duration) bool {
 	hl.success.add(1, successWeight)
-	usual := hl.latency.value()
-	hl.latency.add(float64(took), latencyWeight)
-	if usual > 0 {
-		hl.deviation.add(math.Abs(float64(took)-usual), latencyWeight)
+	average := hl.latency.value()
+	hl.latency.add(float64(latency), latencyWeight)
+	if average > 0 {
+		hl.deviation.add(math.Abs(float64(latency)-average), latencyWeight)
 	}
 	hl.failures.Store(0)
-	hl.trialling.Store(false)
-	return hl.level.Swap(0) > 0
+	hl.probing.Store(false)
+	return hl.ejectLevel.Swap(0) > 0
 }
 
-// fail notes a failed attempt and reports whether it began an ejection.
-func (hl *health) fail(now time.Time, policy EjectPolicy) bool {
-	hl.success.add(leastSuccess, successWeight)
-	level := hl.level.Load()
+// recordFailure notes a failed attempt and reports whether it began an ejection.
+func (hl *health) recordFailure(now time.Time, policy EjectPolicy) bool {
+	hl.success.add(minSuccess, successWeight)
+	level := hl.ejectLevel.Load()
 	if level > 0 {
 		hl.eject(now, level+1, policy)
-		hl.trialling.Store(false)
+		hl.probing.Store(false)
 		return false
 	}
-	if int(hl.failures.Add(1)) < policy.After {
+	if int(hl.failures.Add(1)) < policy.ConsecutiveFailures {
 		return false
 	}
 	return hl.eject(now, 1, policy)
@@ -112,12 +112,12 @@
 // eject takes the endpoint out for a time that doubles with the level.
 func (hl *health) eject(now time.Time, level int32, policy EjectPolicy) bool {
 	level = min(level, maxEjectLevel)
-	out := min(policy.For<<(level-1), policy.ForMax)
-	hl.until.Store(now.Add(out).UnixNano())
-	return hl.level.Swap(level) == 0
+	duration := min(policy.BaseDuration<<(level-1), policy.MaxDuration)
+	hl.ejectedUntil.Store(now.Add(duration).UnixNano())
+	return hl.ejectLevel.Swap(level) == 0
 }
 
-// abandonTrial gives the trial back when its attempt said nothing about the endpoint's health.
-func (hl *health) abandonTrial() {
-	hl.trialling.Store(false)
+// cancelProbe gives the trial back when its attempt said nothing about the endpoint's health.
+func (hl *health) cancelProbe() {
+	hl.probing.Store(false)
 }
--- a/endpoint/leave_test.go
+++ b/endpoint/leave_test.go
@@ -7,9 +7,9 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// TestLeavingBetweenPickAndPlaceIsSeen lets an endpoint begin to leave after it was picked and before its place is taken.
+// TestLeavingBetweenPickAndAcquireIsSeen lets an endpoint begin to leave after it was picked and before its place is taken.
 // An acknowledgement given in between has counted no place, so none may be taken after it.
-func TestLeavingBetweenPickAndPlaceIsSeen(t *testing.T) {
+func TestLeavingBetweenPickAndAcquireIsSeen(t *testing.T) {
 	rowsAt := func(version table.Version, state table.InstanceState) []table.Row {
 		service, err := table.Encode(table.Service{ID: "s", Slots: 8, Connections: 64})
 		if err != nil {
@@ -30,11 +30,11 @@
 		return 0
 	}))
 	rt.Update(serving.WithMembers(members))
-	pl, err := rt.tryAcquire(&Call{Service: "s", Repeatable: true, Deadline: time.Now().Add(time.Second)}, nil)
+	sl, err := rt.tryAcquire(&Call{Service: "s", Repeatable: true, Deadline: time.Now().Add(time.Second)}, nil)
 	if err == nil {
-		t.Errorf("took a place of %s after it began to leave", pl.st.id)
+		t.Errorf("took a place of %s after it began to leave", sl.st.id)
 	}
-	if open, _ := rt.InFlight("w1"); open != 0 {
-		t.Errorf("%d places are still taken", open)
+	if inFlight, _ := rt.InFlight("w1"); inFlight != 0 {
+		t.Errorf("%d places are still taken", inFlight)
 	}
 }
--- a/endpoint/options.go
+++ b/endpoint/options.go
@@ -11,20 +11,20 @@
 
 // Options holds what a router can be built with.
 type Options struct {
-	Hall           string
-	DialTimeout    time.Duration
-	LongestRequest time.Duration
-	AnswerBytes    int
-	Buffers        *Buffers
-	QueueLength    int
-	EntriesMax     int
-	Retry          RetryPolicy
-	Eject          EjectPolicy
-	GoneAfter      time.Duration
-	Log            *event.Logger
-	Dial           DialFunc
-	Now            func() time.Time
-	Random         func(n int) int
+	Hall               string
+	DialTimeout        time.Duration
+	MaxAttemptDuration time.Duration
+	MaxBufferedAnswer  int
+	Buffers            *Buffers
+	QueueLength        int
+	MaxEntries         int
+	Retry              RetryPolicy
+	Eject              EjectPolicy
+	GoneAfter          time.Duration
+	Log                *event.Logger
+	Dial               DialFunc
+	Now                func() time.Time
+	Random             func(n int) int
 }
 
 // DialFunc opens a connection.
@@ -36,38 +36,38 @@
 	Share float64
 	// Burst is how many earned retries can be saved up.
 	Burst int
-	// Most is the largest number of attempts for one request.
-	Most int
+	// MaxAttempts is the largest number of attempts for one request.
+	MaxAttempts int
 }
 
 // EjectPolicy says when an endpoint is taken out of routing.
 type EjectPolicy struct {
-	// After is the number of failures in a row.
-	After int
-	// For is the first time out; it doubles with each failed trial up to ForMax.
-	For    time.Duration
-	ForMax time.Duration
-	// ShareMax is the share of endpoints beyond which ejections are disregarded.
-	ShareMax float64
+	// ConsecutiveFailures is the number of failures in a row.
+	ConsecutiveFailures int
+	// BaseDuration is the first time out; it doubles with each failed trial up to ForMax.
+	BaseDuration time.Duration
+	MaxDuration  time.Duration
+	// MaxShare is the share of endpoints beyond which ejections are disregarded.
+	MaxShare float64
 }
 
 // Option changes one of the options.
 type Option func(*Options)
 
-func defaults() Options {
+func defaultOptions() Options {
 	return Options{
-		DialTimeout:    250 * time.Millisecond,
-		LongestRequest: 30 * time.Second,
-		AnswerBytes:    256 << 10,
-		Buffers:        NewBuffers(12 << 20),
-		QueueLength:    256,
-		EntriesMax:     9,
-		Retry:          RetryPolicy{Share: 0.1, Burst: 20, Most: 3},
-		Eject:          EjectPolicy{After: 5, For: time.Second, ForMax: 10 * time.Second, ShareMax: 0.5},
-		GoneAfter:      3 * time.Second,
-		Log:            event.Nop(),
-		Now:            time.Now,
-		Random:         rand.IntN,
+		DialTimeout:        250 * time.Millisecond,
+		MaxAttemptDuration: 30 * time.Second,
+		MaxBufferedAnswer:  256 << 10,
+		Buffers:            NewBuffers(12 << 20),
+		QueueLength:        256,
+		MaxEntries:         9,
+		Retry:              RetryPolicy{Share: 0.1, Burst: 20, MaxAttempts: 3},
+		Eject:              EjectPolicy{ConsecutiveFailures: 5, BaseDuration: time.Second, MaxDuration: 10 * time.Second, MaxShare: 0.5},
+		GoneAfter:          3 * time.Second,
+		Log:                event.Nop(),
+		Now:                time.Now,
+		Random:             rand.IntN,
 	}
 }
 
@@ -79,13 +79,13 @@
 	return func(op *Options) { op.DialTimeout = timeout }
 }
 
-// WithLongestRequest bounds the time of any attempt.
-func WithLongestRequest(longest time.Duration) Option {
-	return func(op *Options) { op.LongestRequest = longest }
+// WithMaxAttemptDuration bounds the time of any attempt.
+func WithMaxAttemptDuration(longest time.Duration) Option {
+	return func(op *Options) { op.MaxAttemptDuration = longest }
 }
 
-// WithAnswerBytes sets the size above which answers stream.
-func WithAnswerBytes(size int) Option { return func(op *Options) { op.AnswerBytes = size } }
+// WithMaxBufferedAnswer sets the size above which answers stream.
+func WithMaxBufferedAnswer(size int) Option { return func(op *Options) { op.MaxBufferedAnswer = size } }
 
 // WithBuffers sets the memory that answers are held in until they are whole.
 func WithBuffers(bf *Buffers) Option { return func(op *Options) { op.Buffers = bf } }
@@ -93,8 +93,8 @@
 // WithQueueLength bounds the requests of one service that wait.
 func WithQueueLength(length int) Option { return func(op *Options) { op.QueueLength = length } }
 
-// WithEntriesMax sets by how many entry instances an endpoint's connections are shared.
-func WithEntriesMax(entries int) Option { return func(op *Options) { op.EntriesMax = entries } }
+// WithMaxEntries sets by how many entry instances an endpoint's connections are shared.
+func WithMaxEntries(entries int) Option { return func(op *Options) { op.MaxEntries = entries } }
 
 // WithRetry sets the retry policy.
 func WithRetry(policy RetryPolicy) Option { return func(op *Options) { op.Retry = policy } }
--- a/endpoint/outcome.go
+++ b/endpoint/outcome.go
@@ -1,18 +1,18 @@
 package endpoint
 
-// End is how one attempt ended.
-type End int
+// AttemptOutcome is how one attempt ended.
+type AttemptOutcome int
 
 // The ends of an attempt.
 const (
 	// Answered means that a complete answer came back.
-	Answered End = iota
+	Answered AttemptOutcome = iota
 	// NotSent means that no byte can have reached the endpoint.
 	NotSent
 	// Refused means that the endpoint said, by its published word, that it did not start.
 	Refused
-	// PerhapsRun means that bytes went out and no complete answer came back.
-	PerhapsRun
+	// MaybeRun means that bytes went out and no complete answer came back.
+	MaybeRun
 )
 
 // Prior is what is known of earlier tries of the same request through any entry instance.
@@ -39,33 +39,33 @@
 var endNames = [...]string{"answered", "notSent", "refused", "perhapsRun"}
 
 // String returns the name of the end.
-func (ed End) String() string {
-	return endNames[ed]
+func (ao AttemptOutcome) String() string {
+	return endNames[ao]
 }
 
 // Fold returns the final word on a request from the ends of its attempts and what is known of earlier tries.
-func Fold(prior Prior, ends []End) Outcome {
-	perhaps := prior == PriorUnknown
-	for _, ed := range ends {
-		switch ed {
+func Fold(prior Prior, ends []AttemptOutcome) Outcome {
+	maybeRun := prior == PriorUnknown
+	for _, ao := range ends {
+		switch ao {
 		case Answered:
 			return OutcomeAnswered
-		case PerhapsRun:
-			perhaps = true
+		case MaybeRun:
+			maybeRun = true
 		}
 	}
-	if perhaps {
+	if maybeRun {
 		return OutcomeUnknown
 	}
 	return OutcomeNotRun
 }
 
 // MayRetry reports whether another attempt is allowed after one that ended so.
-func MayRetry(ed End, repeatable bool) bool {
-	switch ed {
+func MayRetry(ao AttemptOutcome, repeatable bool) bool {
+	switch ao {
 	case NotSent, Refused:
 		return true
-	case PerhapsRun:
+	case MaybeRun:
 		return repeatable
 	}
 	return false
--- a/endpoint/outcome_test.go
+++ b/endpoint/outcome_test.go
@@ -9,20 +9,20 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-var allEnds = []endpoint.End{endpoint.Answered, endpoint.NotSent, endpoint.Refused, endpoint.PerhapsRun}
+var allAttemptOutcomes = []endpoint.AttemptOutcome{endpoint.Answered, endpoint.NotSent, endpoint.Refused, endpoint.MaybeRun}
 
 // TestFold lists the final word for every combination of prior knowledge and up to two attempts.
 func TestFold(t *testing.T) {
 	datadriven.RunTest(t, "testdata/fold", func(t *testing.T, td *datadriven.TestData) string {
 		prior := map[string]endpoint.Prior{"none": endpoint.PriorNone, "unknown": endpoint.PriorUnknown}[td.CmdArgs[0].Key]
 		var sb strings.Builder
-		line := func(ends ...endpoint.End) {
+		line := func(ends ...endpoint.AttemptOutcome) {
 			fmt.Fprintf(&sb, "%v: %s\n", ends, endpoint.Fold(prior, ends))
 		}
 		line()
-		for _, first := range allEnds {
+		for _, first := range allAttemptOutcomes {
 			line(first)
-			for _, second := range allEnds {
+			for _, second := range allAttemptOutcomes {
 				line(first, second)
 			}
 		}
@@ -32,35 +32,35 @@
 
 // TestFoldRule checks the rule itself over all combinations of up to four attempts.
 func TestFoldRule(t *testing.T) {
-	var try func(ends []endpoint.End)
-	try = func(ends []endpoint.End) {
+	var check func(ends []endpoint.AttemptOutcome)
+	check = func(ends []endpoint.AttemptOutcome) {
 		for _, prior := range []endpoint.Prior{endpoint.PriorNone, endpoint.PriorUnknown} {
-			answered, perhaps := false, prior == endpoint.PriorUnknown
-			for _, ed := range ends {
-				answered = answered || ed == endpoint.Answered
-				perhaps = perhaps || ed == endpoint.PerhapsRun
+			answered, maybeRun := false, prior == endpoint.PriorUnknown
+			for _, ao := range ends {
+				answered = answered || ao == endpoint.Answered
+				maybeRun = maybeRun || ao == endpoint.MaybeRun
 			}
 			got := endpoint.Fold(prior, ends)
 			switch {
 			case answered && got != endpoint.OutcomeAnswered,
-				!answered && perhaps && got != endpoint.OutcomeUnknown,
-				!answered && !perhaps && got != endpoint.OutcomeNotRun:
+				!answered && maybeRun && got != endpoint.OutcomeUnknown,
+				!answered && !maybeRun && got != endpoint.OutcomeNotRun:
 				t.Errorf("prior %v, ends %v: %s", prior, ends, got)
 			}
 		}
 		if len(ends) == 4 {
 			return
 		}
-		for _, ed := range allEnds {
-			try(append(ends[:len(ends):len(ends)], ed))
+		for _, ao := range allAttemptOutcomes {
+			check(append(ends[:len(ends):len(ends)], ao))
 		}
 	}
-	try(nil)
+	check(nil)
 }
 
 func ExampleFold() {
-	fmt.Println(endpoint.Fold(endpoint.PriorNone, []endpoint.End{endpoint.NotSent, endpoint.Refused}))
-	fmt.Println(endpoint.Fold(endpoint.PriorNone, []endpoint.End{endpoint.NotSent, endpoint.PerhapsRun}))
+	fmt.Println(endpoint.Fold(endpoint.PriorNone, []endpoint.AttemptOutcome{endpoint.NotSent, endpoint.Refused}))
+	fmt.Println(endpoint.Fold(endpoint.PriorNone, []endpoint.AttemptOutcome{endpoint.NotSent, endpoint.MaybeRun}))
 	fmt.Println(endpoint.Fold(endpoint.PriorUnknown, nil))
 	// Output:
 	// notRun
--- a/endpoint/pick.go
+++ b/endpoint/pick.go
@@ -9,9 +9,9 @@
 // Load is what a choice between endpoints is made from.
 type Load struct {
 	ID table.InstanceID
-	// Near says that the endpoint is in the entry instance's own hall.
-	Near     bool
-	Standing Standing
+	// SameHall says that the endpoint is in the entry instance's own hall.
+	SameHall bool
+	Health   HealthStatus
 	InFlight int
 	Limit    int
 	// Latency is the average time of good answers; 0 if there was none yet.
@@ -26,8 +26,8 @@
 type Choice struct {
 	// Index is the chosen load's place; negative if none can be had.
 	Index int
-	// Trial says that the choice is the one trial of an ejected endpoint.
-	Trial bool
+	// Probe says that the choice is the one trial of an ejected endpoint.
+	Probe bool
 	// Full says that there are endpoints and all are at their limit.
 	Full bool
 }
@@ -38,7 +38,7 @@
 	if success == 0 {
 		success = 1
 	}
-	success = max(success, leastSuccess)
+	success = max(success, minSuccess)
 	latency := max(float64(ld.Latency), float64(time.Millisecond))
 	return float64(ld.InFlight+1) * latency / (success * success)
 }
@@ -49,16 +49,16 @@
 	if len(loads) == 0 {
 		return Choice{Index: -1}
 	}
-	distrust := distrusted(loads, shareMax)
-	if repeatable && !distrust {
-		if index := dueTrial(loads); index >= 0 {
-			return Choice{Index: index, Trial: true}
+	ignoreEjections := ejectionsUntrusted(loads, shareMax)
+	if repeatable && !ignoreEjections {
+		if index := findDueProbe(loads); index >= 0 {
+			return Choice{Index: index, Probe: true}
 		}
 	}
 	for _, tried := range []bool{false, true} {
-		for _, near := range []bool{true, false} {
-			index := pickAmong(loads, random, func(ld Load) bool {
-				return ld.Near == near && ld.Tried == tried && (distrust || ld.Standing == StandingOpen) && ld.InFlight < ld.Limit
+		for _, sameHall := range []bool{true, false} {
+			index := pickCheaper(loads, random, func(ld Load) bool {
+				return ld.SameHall == sameHall && ld.Tried == tried && (ignoreEjections || ld.Health == StatusHealthy) && ld.InFlight < ld.Limit
 			})
 			if index >= 0 {
 				return Choice{Index: index}
@@ -68,57 +68,57 @@
 	return Choice{Index: -1, Full: true}
 }
 
-// distrusted reports whether so many look bad that the detector is more likely wrong than they.
-func distrusted(loads []Load, shareMax float64) bool {
+// ejectionsUntrusted reports whether so many look bad that the detector is more likely wrong than they.
+func ejectionsUntrusted(loads []Load, shareMax float64) bool {
 	ejected := 0
 	for _, ld := range loads {
-		if ld.Standing != StandingOpen {
+		if ld.Health != StatusHealthy {
 			ejected++
 		}
 	}
 	return ejected == len(loads) || float64(ejected) > shareMax*float64(len(loads))
 }
 
-func dueTrial(loads []Load) int {
+func findDueProbe(loads []Load) int {
 	for index, ld := range loads {
-		if ld.Standing == StandingTrial && !ld.Tried && ld.InFlight < ld.Limit {
+		if ld.Health == StatusProbeDue && !ld.Tried && ld.InFlight < ld.Limit {
 			return index
 		}
 	}
 	return -1
 }
 
-// pickAmong returns the cheaper of two random loads that fit, or -1.
-func pickAmong(loads []Load, random func(n int) int, fits func(Load) bool) int {
+// pickCheaper returns the cheaper of two random loads that fit, or -1.
+func pickCheaper(loads []Load, random func(n int) int, match func(Load) bool) int {
 	count := 0
 	for _, ld := range loads {
-		if fits(ld) {
+		if match(ld) {
 			count++
 		}
 	}
 	if count == 0 {
 		return -1
 	}
-	first := nth(loads, random(count), fits)
+	first := nthMatch(loads, random(count), match)
 	if count == 1 {
 		return first
 	}
-	second := nth(loads, random(count), fits)
+	second := nthMatch(loads, random(count), match)
 	if loads[second].cost() < loads[first].cost() {
 		return second
 	}
 	return first
 }
 
-func nth(loads []Load, number int, fits func(Load) bool) int {
+func nthMatch(loads []Load, skip int, match func(Load) bool) int {
 	for index, ld := range loads {
-		if !fits(ld) {
+		if !match(ld) {
 			continue
 		}
-		if number == 0 {
+		if skip == 0 {
 			return index
 		}
-		number--
+		skip--
 	}
 	return -1
 }
--- a/endpoint/queue.go
+++ b/endpoint/queue.go
@@ -16,44 +16,44 @@
 
 // queue holds the requests of one service that wait, in order of arrival.
 type queue struct {
-	length atomic.Int32 // read without the lock
-	mu     sync.Mutex   // taken only by requests that wait and by releases while some do
-	wts    []*waiter
+	length  atomic.Int32 // read without the lock
+	mu      sync.Mutex   // taken only by requests that wait and by releases while some do
+	waiters []*waiter
 }
 
-// join adds a waiter and reports whether there was room.
-func (qu *queue) join(wt *waiter, most int) bool {
+// add adds a waiter and reports whether there was room.
+func (qu *queue) add(wt *waiter, maxLength int) bool {
 	qu.mu.Lock()
 	defer qu.mu.Unlock()
-	if len(qu.wts) >= most {
+	if len(qu.waiters) >= maxLength {
 		return false
 	}
-	qu.wts = append(qu.wts, wt)
-	qu.length.Store(int32(len(qu.wts)))
+	qu.waiters = append(qu.waiters, wt)
+	qu.length.Store(int32(len(qu.waiters)))
 	return true
 }
 
-// leave removes a waiter that gave up or was served.
-func (qu *queue) leave(wt *waiter) {
+// remove removes a waiter that gave up or was served.
+func (qu *queue) remove(wt *waiter) {
 	qu.mu.Lock()
 	defer qu.mu.Unlock()
-	for ix, other := range qu.wts {
+	for ix, other := range qu.waiters {
 		if other == wt {
-			qu.wts = append(qu.wts[:ix], qu.wts[ix+1:]...)
+			qu.waiters = append(qu.waiters[:ix], qu.waiters[ix+1:]...)
 			break
 		}
 	}
-	qu.length.Store(int32(len(qu.wts)))
+	qu.length.Store(int32(len(qu.waiters)))
 }
 
-// released wakes the first waiter that the endpoint can serve.
-func (qu *queue) released(id table.InstanceID) {
+// wakeNext wakes the first waiter that the endpoint can serve.
+func (qu *queue) wakeNext(id table.InstanceID) {
 	if qu.length.Load() == 0 {
 		return
 	}
 	qu.mu.Lock()
 	defer qu.mu.Unlock()
-	for _, wt := range qu.wts {
+	for _, wt := range qu.waiters {
 		if wt.pin != "" && wt.pin != id {
 			continue
 		}
--- a/endpoint/retry.go
+++ b/endpoint/retry.go
@@ -7,31 +7,31 @@
 
 // retryBudget lets retries be a share of traffic; requests earn and retries spend.
 type retryBudget struct {
-	balance atomic.Int64
-	earn    atomic.Int64
-	most    int64
+	balance           atomic.Int64
+	depositPerRequest atomic.Int64
+	maxBalance        int64
 }
 
 func newRetryBudget(policy RetryPolicy) *retryBudget {
-	rb := &retryBudget{most: int64(policy.Burst) * retryUnit}
-	rb.earn.Store(int64(policy.Share * retryUnit))
-	rb.balance.Store(rb.most)
+	rb := &retryBudget{maxBalance: int64(policy.Burst) * retryUnit}
+	rb.depositPerRequest.Store(int64(policy.Share * retryUnit))
+	rb.balance.Store(rb.maxBalance)
 	return rb
 }
 
-// earned notes one request.
-func (rb *retryBudget) earned() {
+// deposit notes one request.
+func (rb *retryBudget) deposit() {
 	for {
 		before := rb.balance.Load()
-		next := min(before+rb.earn.Load(), rb.most)
+		next := min(before+rb.depositPerRequest.Load(), rb.maxBalance)
 		if before == next || rb.balance.CompareAndSwap(before, next) {
 			return
 		}
 	}
 }
 
-// spend takes one retry and reports whether there was one.
-func (rb *retryBudget) spend() bool {
+// tryWithdraw takes one retry and reports whether there was one.
+func (rb *retryBudget) tryWithdraw() bool {
 	for {
 		before := rb.balance.Load()
 		if before < retryUnit {
--- a/endpoint/router.go
+++ b/endpoint/router.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// leavingFor is how long an endpoint's own word that it leaves is believed without the platform's.
-	leavingFor = 10 * time.Second
+	// leavingHintTTL is how long an endpoint's own word that it leaves is believed without the platform's.
+	leavingHintTTL = 10 * time.Second
 	// idleTimeout is shorter than the usual keep-alive of servers, so that connections are rarely found closed.
 	idleTimeout = 4 * time.Second
 	// maxHeaderBytes bounds the header of an answer.
@@ -24,12 +24,12 @@
 
 // Router sends calls to endpoints.
 type Router struct {
-	opts   Options
-	routes atomic.Pointer[routeTable]
-	mu     sync.Mutex // held while routes are replaced
-	fresh  *http.Transport
-	budget *retryBudget
-	eject  atomic.Pointer[EjectPolicy]
+	opts        Options
+	routes      atomic.Pointer[routeTable]
+	mu          sync.Mutex // held while routes are replaced
+	unpooled    *http.Transport
+	budget      *retryBudget
+	ejectPolicy atomic.Pointer[EjectPolicy]
 	// Attempts counts attempts that were begun.
 	Attempts atomic.Int64
 	// Calls counts calls to Do.
@@ -40,26 +40,26 @@
 
 // routeTable is an immutable view of all routes.
 type routeTable struct {
-	snapshot *table.Snapshot
-	services map[table.ServiceID]*route
-	states   map[table.InstanceID]*state
+	snapshot  *table.Snapshot
+	services  map[table.ServiceID]*route
+	endpoints map[table.InstanceID]*endpointState
 }
 
 // route holds the endpoints of one service and the queue before them.
 type route struct {
-	service table.Service
-	share   Share
-	states  []*state
-	queue   *queue
+	service   table.Service
+	share     Share
+	endpoints []*endpointState
+	queue     *queue
 }
 
-// state is what a router knows of one endpoint; it outlives the tables.
-type state struct {
+// endpointState is what a router knows of one endpoint; it outlives the tables.
+type endpointState struct {
 	id      table.InstanceID
 	address string
 	pooled  *http.Transport
 	health  health
-	limit   limit
+	limit   concurrencyLimit
 	// queued counts the requests that wait for this endpoint alone.
 	queued atomic.Int32
 	// leavingUntil is when the endpoint's own word that it leaves runs out, in nanoseconds since 1970.
@@ -72,7 +72,7 @@
 
 // NewRouter returns a router that knows no endpoint yet.
 func NewRouter(options ...Option) *Router {
-	opts := defaults()
+	opts := defaultOptions()
 	for _, option := range options {
 		option(&opts)
 	}
@@ -80,30 +80,30 @@
 		opts.Dial = (&net.Dialer{Timeout: opts.DialTimeout}).DialContext
 	}
 	rt := &Router{opts: opts, budget: newRetryBudget(opts.Retry)}
-	rt.eject.Store(&opts.Eject)
-	rt.fresh = rt.transport()
-	rt.fresh.DisableKeepAlives = true
-	rt.routes.Store(&routeTable{snapshot: table.EmptySnapshot(), services: map[table.ServiceID]*route{}, states: map[table.InstanceID]*state{}})
+	rt.ejectPolicy.Store(&opts.Eject)
+	rt.unpooled = rt.newTransport()
+	rt.unpooled.DisableKeepAlives = true
+	rt.routes.Store(&routeTable{snapshot: table.EmptySnapshot(), services: map[table.ServiceID]*route{}, endpoints: map[table.InstanceID]*endpointState{}})
 	return rt
 }
 
-func (rt *Router) transport() *http.Transport {
+func (rt *Router) newTransport() *http.Transport {
 	return &http.Transport{
 		DialContext:            rt.opts.Dial,
 		DisableCompression:     true,
-		MaxIdleConnsPerHost:    idleConnections,
+		MaxIdleConnsPerHost:    maxIdleConnections,
 		IdleConnTimeout:        idleTimeout,
-		ResponseHeaderTimeout:  rt.opts.LongestRequest,
+		ResponseHeaderTimeout:  rt.opts.MaxAttemptDuration,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
 }
 
 // SetPolicy changes how many retries are earned and when endpoints are ejected, while calls go on.
 func (rt *Router) SetPolicy(retryShare float64, ejectAfter int, ejectShareMax float64) {
-	rt.budget.earn.Store(int64(retryShare * retryUnit))
+	rt.budget.depositPerRequest.Store(int64(retryShare * retryUnit))
 	policy := rt.opts.Eject
-	policy.After, policy.ShareMax = ejectAfter, ejectShareMax
-	rt.eject.Store(&policy)
+	policy.ConsecutiveFailures, policy.MaxShare = ejectAfter, ejectShareMax
+	rt.ejectPolicy.Store(&policy)
 }
 
 // Snapshot returns the snapshot that the routes were made from.
@@ -115,37 +115,37 @@
 func (rt *Router) Update(sn *table.Snapshot) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
-	before := rt.routes.Load()
-	next := &routeTable{snapshot: sn, services: make(map[table.ServiceID]*route, len(sn.Services)), states: map[table.InstanceID]*state{}}
+	previous := rt.routes.Load()
+	next := &routeTable{snapshot: sn, services: make(map[table.ServiceID]*route, len(sn.Services)), endpoints: map[table.InstanceID]*endpointState{}}
 	for id, in := range sn.Instances {
-		next.states[id] = rt.stateOf(before, in, sn)
+		next.endpoints[id] = rt.buildState(previous, in, sn)
 	}
-	entries := max(1, rt.entriesNear(sn))
+	entries := max(1, rt.localEntries(sn))
 	for id, sv := range sn.Services {
-		next.services[id] = rt.routeOf(before, next, sv, entries)
+		next.services[id] = rt.buildRoute(previous, next, sv, entries)
 	}
 	rt.routes.Store(next)
-	rt.closeDropped(before, next)
+	rt.closeRemoved(previous, next)
 	for _, ro := range next.services {
-		ro.queue.released("")
+		ro.queue.wakeNext("")
 	}
 }
 
-// entriesNear counts the live entry instances that are likely to use the same endpoints.
-func (rt *Router) entriesNear(sn *table.Snapshot) int {
-	near := 0
+// localEntries counts the live entry instances that are likely to use the same endpoints.
+func (rt *Router) localEntries(sn *table.Snapshot) int {
+	count := 0
 	for _, mb := range sn.Entries() {
 		if string(mb.Hall) == rt.opts.Hall && mb.State == table.MemberLive {
-			near++
+			count++
 		}
 	}
-	return near
+	return count
 }
 
-func (rt *Router) stateOf(before *routeTable, in *table.Instance, sn *table.Snapshot) *state {
-	st := before.states[in.ID]
+func (rt *Router) buildState(previous *routeTable, in *table.Instance, sn *table.Snapshot) *endpointState {
+	st := previous.endpoints[in.ID]
 	if st == nil || st.address != in.Address {
-		st = &state{id: in.ID, address: in.Address, pooled: rt.transport()}
+		st = &endpointState{id: in.ID, address: in.Address, pooled: rt.newTransport()}
 	}
 	if last := st.instance.Load(); last != nil && last.Epoch != in.Epoch {
 		st.leavingUntil.Store(0)
@@ -158,37 +158,37 @@
 	return st
 }
 
-func (rt *Router) routeOf(before, next *routeTable, sv *table.ServiceView, entries int) *route {
-	ro := &route{service: sv.Service, share: ShareOf(sv.Slots, sv.Connections, entries, rt.opts.EntriesMax), queue: &queue{}}
-	if last := before.services[sv.ID]; last != nil {
+func (rt *Router) buildRoute(previous, next *routeTable, sv *table.ServiceView, entries int) *route {
+	ro := &route{service: sv.Service, share: NewShare(sv.Slots, sv.Connections, entries, rt.opts.MaxEntries), queue: &queue{}}
+	if last := previous.services[sv.ID]; last != nil {
 		ro.queue = last.queue
 	}
 	for _, in := range sv.Instances {
-		ro.states = append(ro.states, next.states[in.ID])
+		ro.endpoints = append(ro.endpoints, next.endpoints[in.ID])
 	}
 	return ro
 }
 
-func (rt *Router) closeDropped(before, next *routeTable) {
-	for id, st := range before.states {
-		if next.states[id] != st {
+func (rt *Router) closeRemoved(previous, next *routeTable) {
+	for id, st := range previous.endpoints {
+		if next.endpoints[id] != st {
 			st.eligible.Store(false)
 			st.pooled.CloseIdleConnections()
 		}
 	}
 }
 
-// mayGetWork reports whether new work may go to the endpoint at a time.
-func (st *state) mayGetWork(now time.Time) bool {
+// routable reports whether new work may go to the endpoint at a time.
+func (st *endpointState) routable(now time.Time) bool {
 	return st.eligible.Load() && now.UnixNano() >= st.leavingUntil.Load()
 }
 
-// load returns what Pick needs to know.
-func (rt *Router) load(st *state, sh Share, now time.Time, tried []table.InstanceID) Load {
+// loadOf returns what Pick needs to know.
+func (rt *Router) loadOf(st *endpointState, sh Share, now time.Time, tried []table.InstanceID) Load {
 	return Load{
 		ID:       st.id,
-		Near:     string(st.instance.Load().Hall) == rt.opts.Hall,
-		Standing: st.health.standing(now),
+		SameHall: string(st.instance.Load().Hall) == rt.opts.Hall,
+		Health:   st.health.status(now),
 		InFlight: int(st.limit.inFlight.Load()),
 		Limit:    st.limit.value(sh),
 		Latency:  time.Duration(st.health.latency.value()),
@@ -198,27 +198,27 @@
 }
 
 // InFlight returns the open attempts to an endpoint and the requests that wait for it alone.
-func (rt *Router) InFlight(id table.InstanceID) (open, queued int) {
-	st := rt.routes.Load().states[id]
+func (rt *Router) InFlight(id table.InstanceID) (inFlight, queued int) {
+	st := rt.routes.Load().endpoints[id]
 	if st == nil {
 		return 0, 0
 	}
 	return int(st.limit.inFlight.Load()), int(st.queued.Load())
 }
 
-// MayGetWork reports whether this router would give new work to an endpoint.
-func (rt *Router) MayGetWork(id table.InstanceID) bool {
-	st := rt.routes.Load().states[id]
-	return st != nil && st.mayGetWork(rt.opts.Now())
+// Routable reports whether this router would give new work to an endpoint.
+func (rt *Router) Routable(id table.InstanceID) bool {
+	st := rt.routes.Load().endpoints[id]
+	return st != nil && st.routable(rt.opts.Now())
 }
 
-// Leave stops new work to an endpoint on a hint, until the platform says more.
-func (rt *Router) Leave(id table.InstanceID) {
-	st := rt.routes.Load().states[id]
+// MarkLeaving stops new work to an endpoint on a hint, until the platform says more.
+func (rt *Router) MarkLeaving(id table.InstanceID) {
+	st := rt.routes.Load().endpoints[id]
 	if st == nil {
 		return
 	}
-	until := rt.opts.Now().Add(leavingFor).UnixNano()
+	until := rt.opts.Now().Add(leavingHintTTL).UnixNano()
 	if st.leavingUntil.Swap(until) < rt.opts.Now().UnixNano() {
 		rt.opts.Log.Emit(event.EndpointLeaving, zap.String("endpoint", string(id)))
 	}
--- a/endpoint/bed_test.go
+++ b/endpoint/testbed_test.go
@@ -16,8 +16,8 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// bed is routers and endpoints in one process, joined by in-memory connections, so that a test's clock can be a synthetic one.
-type bed struct {
+// testBed is routers and endpoints in one process, joined by in-memory connections, so that a test's clock can be a synthetic one.
+type testBed struct {
 	t         testing.TB
 	listeners map[string]*pipeListener
 	servers   []*http.Server
@@ -49,36 +49,36 @@
 
 func (pl *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-const bedService table.ServiceID = "books"
+const testService table.ServiceID = "books"
 
-// newBed returns a bed with so many endpoints of eight slots, all in one hall, and one live entry instance for each router to come.
-func newBed(t testing.TB, endpoints, entries int, work time.Duration) *bed {
+// newTestBed returns a bed with so many endpoints of eight slots, all in one hall, and one live entry instance for each router to come.
+func newTestBed(t testing.TB, endpoints, entries int, workTime time.Duration) *testBed {
 	t.Helper()
-	bd := &bed{t: t, listeners: map[string]*pipeListener{}, random: seeded()}
-	seed := []any{table.Service{ID: bedService, Slots: 8, Connections: 64, Echo: true, Asked: endpoints, Budget: 1}}
+	bd := &testBed{t: t, listeners: map[string]*pipeListener{}, random: newSeededRandom()}
+	seed := []any{table.Service{ID: testService, Slots: 8, Connections: 64, Echo: true, Asked: endpoints, Budget: 1}}
 	var members []table.Member
 	for ix := range endpoints {
 		id := table.InstanceID(fmt.Sprintf("w%d", ix+1))
 		address := fmt.Sprintf("10.0.0.%d:80", ix+1)
-		ep := standin.NewEndpoint(id, 0, work)
+		ep := standin.NewEndpoint(id, 0, workTime)
 		ln := &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
 		srv := &http.Server{Handler: ep.Handler()}
 		go func() { _ = srv.Serve(ln) }()
 		bd.listeners[address] = ln
 		bd.servers, bd.endpoints = append(bd.servers, srv), append(bd.endpoints, ep)
-		seed = append(seed, table.Instance{ID: id, Hall: "hall1", Address: address, State: table.InstanceServing, Epoch: 1, Services: []table.ServiceID{bedService}})
+		seed = append(seed, table.Instance{ID: id, Hall: "hall1", Address: address, State: table.InstanceServing, Epoch: 1, Services: []table.ServiceID{testService}})
 		members = append(members, table.Member{ID: id, Role: table.RoleWorker, State: table.MemberLive})
 	}
 	for ix := range entries {
 		members = append(members, table.Member{ID: table.InstanceID(fmt.Sprintf("e%d", ix+1)), Role: table.RoleEntry, State: table.MemberLive, Hall: "hall1"})
 	}
-	bd.snapshot, _ = table.EmptySnapshot().Merge(rowsOf(t, seed))
+	bd.snapshot, _ = table.EmptySnapshot().Merge(encodeRows(t, seed))
 	bd.snapshot = bd.snapshot.WithMembers(members)
 	return bd
 }
 
-// seeded returns a random source that gives the same numbers in every run.
-func seeded() func(int) int {
+// newSeededRandom returns a random source that gives the same numbers in every run.
+func newSeededRandom() func(int) int {
 	var mu sync.Mutex
 	rnd := rand.New(rand.NewPCG(1, 2))
 	return func(n int) int {
@@ -88,7 +88,7 @@
 	}
 }
 
-func rowsOf(t testing.TB, values []any) []table.Row {
+func encodeRows(t testing.TB, values []any) []table.Row {
 	t.Helper()
 	var rows []table.Row
 	for ix, value := range values {
@@ -109,7 +109,7 @@
 }
 
 // dial connects in memory.
-func (bd *bed) dial(ctx context.Context, _, address string) (net.Conn, error) {
+func (bd *testBed) dial(ctx context.Context, _, address string) (net.Conn, error) {
 	ln := bd.listeners[address]
 	if ln == nil {
 		return nil, errors.New("no such address")
@@ -126,7 +126,7 @@
 }
 
 // router returns a router that knows the bed's endpoints.
-func (bd *bed) router(options ...endpoint.Option) *endpoint.Router {
+func (bd *testBed) router(options ...endpoint.Option) *endpoint.Router {
 	options = append([]endpoint.Option{endpoint.WithHall("hall1"), endpoint.WithDial(bd.dial), endpoint.WithRandom(bd.random)}, options...)
 	rt := endpoint.NewRouter(options...)
 	rt.Update(bd.snapshot)
@@ -134,7 +134,7 @@
 }
 
 // close ends every connection.
-func (bd *bed) close(routers ...*endpoint.Router) {
+func (bd *testBed) close(routers ...*endpoint.Router) {
 	for _, rt := range routers {
 		rt.Update(table.EmptySnapshot())
 	}
@@ -143,7 +143,7 @@
 	}
 }
 
-// call returns a repeatable request with a deadline from now.
-func call(within time.Duration) *endpoint.Call {
-	return &endpoint.Call{Service: bedService, RequestID: "r", Method: http.MethodGet, Target: "/", Header: http.Header{}, Repeatable: true, Deadline: time.Now().Add(within)}
+// newCall returns a repeatable request with a deadline from now.
+func newCall(timeout time.Duration) *endpoint.Call {
+	return &endpoint.Call{Service: testService, RequestID: "r", Method: http.MethodGet, Target: "/", Header: http.Header{}, Repeatable: true, Deadline: time.Now().Add(timeout)}
 }
--- a/entry.go
+++ b/entry.go
@@ -197,13 +197,13 @@
 		endpoint.WithHall(st.Entry.Hall),
 		endpoint.WithDial(dialer(st, ep.DialTimeout)),
 		endpoint.WithDialTimeout(ep.DialTimeout),
-		endpoint.WithLongestRequest(st.Caller.LongestRequest),
-		endpoint.WithAnswerBytes(st.Caller.AnswerBytes),
+		endpoint.WithMaxAttemptDuration(st.Caller.LongestRequest),
+		endpoint.WithMaxBufferedAnswer(st.Caller.AnswerBytes),
 		endpoint.WithBuffers(buffers),
 		endpoint.WithQueueLength(st.Caller.QueueLength),
-		endpoint.WithEntriesMax(ep.EntriesMax),
-		endpoint.WithRetry(endpoint.RetryPolicy{Share: ep.RetryShare, Burst: ep.RetryBurst, Most: 3}),
-		endpoint.WithEject(endpoint.EjectPolicy{After: ep.EjectAfter, For: ep.EjectFor, ForMax: ep.EjectForMax, ShareMax: ep.EjectShareMax}),
+		endpoint.WithMaxEntries(ep.EntriesMax),
+		endpoint.WithRetry(endpoint.RetryPolicy{Share: ep.RetryShare, Burst: ep.RetryBurst, MaxAttempts: 3}),
+		endpoint.WithEject(endpoint.EjectPolicy{ConsecutiveFailures: ep.EjectAfter, BaseDuration: ep.EjectFor, MaxDuration: ep.EjectForMax, MaxShare: ep.EjectShareMax}),
 		endpoint.WithGoneAfter(ep.GoneAfter),
 		endpoint.WithLog(lg),
 	}
@@ -245,7 +245,7 @@
 		"endpoint.attempts": en.router.Attempts.Load,
 		"platform.reads":    en.platform.Reads,
 		"platform.writes":   en.platform.Writes,
-		"buffers.leftBytes": buffers.Left,
+		"buffers.leftBytes": buffers.Available,
 	}
 	for name, read := range gauges {
 		// The names differ, so none is refused.
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -37,7 +37,7 @@
 // Endpoints tells whether anything here still goes to an instance.
 type Endpoints interface {
 	InFlight(id table.InstanceID) (open, queued int)
-	MayGetWork(id table.InstanceID) bool
+	Routable(id table.InstanceID) bool
 }
 
 // Configurations tells which configuration runs here.
--- a/peer/server.go
+++ b/peer/server.go
@@ -81,6 +81,6 @@
 	id := table.InstanceID(rq.Instance)
 	in := sv.snapshots.Snapshot().Instances[id]
 	open, queued := sv.endpoints.InFlight(id)
-	seen := in != nil && uint64(in.Epoch) >= rq.Epoch && in.State != table.InstanceServing && !sv.endpoints.MayGetWork(id)
+	seen := in != nil && uint64(in.Epoch) >= rq.Epoch && in.State != table.InstanceServing && !sv.endpoints.Routable(id)
 	return &LeavingResponse{Seen: seen, InFlight: int64(open), Queued: int64(queued), Incarnation: string(sv.opts.Incarnation)}, nil
 }
