--- a/endpoint/acquire.go
+++ b/endpoint/acquire.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	// pickRetryInterval is how often a waiting request looks by itself, for changes that wake nobody.
+	// pickRetryInterval is how often a waiting request tries to pick again, since some changes of the routes wake no waiter.
 	pickRetryInterval = 25 * time.Millisecond
-	// maxStackLoads is the number of endpoints for which a pick needs no allocation.
+	// maxStackLoads is the number of endpoints up to which a pick needs no heap allocation.
 	maxStackLoads = 32
-	// minRetryAfter is the shortest time that callers are told to stay away.
+	// minRetryAfter is the shortest retry delay given to callers.
 	minRetryAfter = 50 * time.Millisecond
-	// sessionMoveTimeout is how long a request waits for the successor of its session's endpoint.
+	// sessionMoveTimeout bounds how long a request waits for the successor of its session's endpoint.
 	sessionMoveTimeout = time.Second
-	// tailDeviations times the mean deviation above the mean is where nearly all latencies lie below.
+	// tailDeviations times the mean deviation above the mean covers nearly all latencies.
 	tailDeviations = 4
-	// maxQueueTimeShare is the part of a request's spare time that it may stand in the queue.
+	// maxQueueTimeShare is the share of a request's spare time that it may spend in the queue.
+	// Spare time is what its deadline leaves after the expected time of the attempt.
 	maxQueueTimeShare = 0.5
 )
 
-// slot is one acquired slot of an endpoint.
+// slot is a slot of an endpoint's concurrency limit, acquired for one attempt.
 type slot struct {
 	st    *endpointState
 	ro    *route
@@ -30,13 +31,13 @@
 	probe bool
 }
 
-// release frees the slot and wakes a waiter.
+// release frees the slot and wakes a waiting request.
 func (sl slot) release() {
 	sl.st.limit.release()
 	sl.ro.queue.wakeNext(sl.st.id)
 }
 
-// acquire waits for a slot until the deadline and refuses at once when none can come free in time.
+// acquire waits for a slot until the deadline. It rejects the call at once when no slot is expected to become free in time.
 func (rt *Router) acquire(ctx context.Context, call *Call, tried []table.InstanceID) (slot, error) {
 	ro := rt.routes.Load().services[call.Service]
 	if ro == nil {
@@ -53,7 +54,7 @@
 	return rt.waitForSlot(ctx, ro, call, tried)
 }
 
-// tryAcquire picks an endpoint and takes a slot of it; ErrOverload says that waiting may help.
+// tryAcquire picks an endpoint and acquires a slot of it without waiting. ErrOverload means that waiting may help.
 func (rt *Router) tryAcquire(call *Call, tried []table.InstanceID) (slot, error) {
 	tb := rt.routes.Load()
 	ro := tb.services[call.Service]
@@ -69,7 +70,7 @@
 	loads, states := loadArray[:0], stateArray[:0]
 	for _, st := range ro.endpoints {
 		if st.routable(now) && !(call.NewSession && st.instance.Load().Closing()) {
-			loads = append(loads, rt.loadOf(st, ro.share, now, tried))
+			loads = append(loads, rt.endpointLoad(st, ro.share, now, tried))
 			states = append(states, st)
 		}
 	}
@@ -79,7 +80,7 @@
 	return rt.acquirePicked(ro, loads, states, call.Repeatable)
 }
 
-// acquirePicked acquires the picked endpoint; a pick that others overtook is made again.
+// acquirePicked picks an endpoint and acquires a slot of it. It picks again when concurrent requests took the slot or the probe first.
 func (rt *Router) acquirePicked(ro *route, loads []Load, states []*endpointState, repeatable bool) (slot, error) {
 	for range len(loads) {
 		choice := Pick(loads, repeatable, rt.ejectPolicy.Load().MaxShare, rt.opts.Random)
@@ -102,8 +103,9 @@
 	return slot{}, ErrOverload
 }
 
-// confirmRoutable looks again after a place was taken, and gives it back if the endpoint began to leave in between.
-// Whoever acknowledges the leaving first stops new work and then counts the places, so one of the two sees the other.
+// confirmRoutable checks again after a slot was acquired, and releases the slot if the endpoint began to leave in between.
+// The acknowledgement that an endpoint is leaving first stops new requests and then counts the slots in use, so one of the two sides
+// always sees the other.
 func (rt *Router) confirmRoutable(st *endpointState) bool {
 	if st.routable(rt.opts.Now()) {
 		return true
@@ -112,7 +114,7 @@
 	return false
 }
 
-// acquirePinned takes a slot of the session's endpoint.
+// acquirePinned acquires a slot of the session's endpoint.
 func (rt *Router) acquirePinned(tb *routeTable, ro *route, call *Call) (slot, error) {
 	id, err := call.Pin(tb.snapshot)
 	if err != nil {
@@ -140,7 +142,8 @@
 	return slot{st: st, ro: ro, epoch: st.instance.Load().Epoch}, nil
 }
 
-// sessionsMustMove reports whether an endpoint's sessions need a successor: the membership drops it, or it has refused connections for long.
+// sessionsMustMove reports whether an endpoint's sessions need a successor: it has left the membership or is leaving it,
+// or it has refused connections for at least GoneAfter.
 func (rt *Router) sessionsMustMove(sn *table.Snapshot, st *endpointState) bool {
 	if sn.Gone(st.id) || sn.Members[st.id].State == table.MemberLeaving {
 		return true
@@ -149,7 +152,7 @@
 	return since != 0 && rt.opts.Now().Sub(time.Unix(0, since)) >= rt.opts.GoneAfter
 }
 
-// shouldReject reports whether the queue is full or too long for the time that is left.
+// shouldReject reports whether the queue is full, or too long for the time remaining until the call's deadline.
 func (rt *Router) shouldReject(ro *route, call *Call) bool {
 	waiting := int(ro.queue.length.Load())
 	if waiting >= rt.opts.QueueLength {
@@ -160,15 +163,15 @@
 	return ss.queueWait(waiting+1) > time.Duration(maxQueueTimeShare*float64(remaining-ss.tailLatency()))
 }
 
-// serviceStats is how fast the endpoints of a service work.
+// serviceStats holds the capacity and the latency of a service's endpoints.
 type serviceStats struct {
 	slots int
-	// meanLatency and deviation describe the time from sending to the answer; 0 while unknown.
+	// meanLatency and deviation describe the time from sending a request to its answer; 0 while unknown.
 	meanLatency time.Duration
 	deviation   time.Duration
 }
 
-// queueWait returns how long the last of so many waiting requests waits for a slot.
+// queueWait returns how long the last of the given number of waiting requests has to wait for a slot.
 func (ss serviceStats) queueWait(waiting int) time.Duration {
 	if ss.slots == 0 {
 		return 0
@@ -176,12 +179,12 @@
 	return time.Duration(float64(ss.meanLatency) * float64(waiting) / float64(ss.slots))
 }
 
-// tailLatency returns the time in which nearly all requests are answered once they are sent.
+// tailLatency returns the time within which nearly all requests are answered once they are sent.
 func (ss serviceStats) tailLatency() time.Duration {
 	return ss.meanLatency + tailDeviations*ss.deviation
 }
 
-// serviceStats returns how fast the endpoints that may get work answer.
+// serviceStats returns the statistics of the routable endpoints of a service.
 func (rt *Router) serviceStats(ro *route) serviceStats {
 	var ss serviceStats
 	var mean, deviation float64
@@ -207,7 +210,7 @@
 	return ss
 }
 
-// retryAfter returns when coming back helps, spread so that callers do not come back together.
+// retryAfter returns the delay after which a retry is likely to succeed. It is randomised so that callers do not retry all at once.
 func (rt *Router) retryAfter(service table.ServiceID) time.Duration {
 	ro := rt.routes.Load().services[service]
 	if ro == nil {
@@ -218,7 +221,7 @@
 	return wait + time.Duration(rt.opts.Random(int(wait)))
 }
 
-// waitForSlot stands in the queue until there is a slot, the deadline passes or the caller is gone.
+// waitForSlot queues the call until a slot is acquired, the deadline can no longer be met or the caller goes away.
 func (rt *Router) waitForSlot(ctx context.Context, ro *route, call *Call, tried []table.InstanceID) (slot, error) {
 	wt := &waiter{wake: make(chan struct{}, 1)}
 	if call.Pin != nil {
@@ -252,7 +255,7 @@
 	}
 }
 
-// shouldStopWaiting reports whether a waiting request can no longer be served in time, so that it is refused now and not at its deadline.
+// shouldStopWaiting reports whether a waiting request can no longer be served in time. It is then rejected at once, not at its deadline.
 func (rt *Router) shouldStopWaiting(ro *route, call *Call, err error, started time.Time) bool {
 	now := rt.opts.Now()
 	if err == ErrSessionMoving && now.Sub(started) >= sessionMoveTimeout {
--- a/endpoint/alloc_test.go
+++ b/endpoint/alloc_test.go
@@ -12,7 +12,7 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// serveFixedAnswer answers every request on a connection with the attempt id that it carries, without allocating.
+// serveFixedAnswer answers every request on a connection and echoes its attempt id, without allocating.
 func serveFixedAnswer(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	buf := make([]byte, 4096)
@@ -40,7 +40,7 @@
 	}
 }
 
-// newFixedAnswerRouter returns a router whose one endpoint answers without allocating.
+// newFixedAnswerRouter returns a router with a single endpoint that answers without allocating.
 func newFixedAnswerRouter(tb testing.TB) *endpoint.Router {
 	tb.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -75,7 +75,7 @@
 	rs.Answer.Release()
 }
 
-// maxAllocations bounds the allocations of one proxied request, net/http's among them.
+// maxAllocations limits the allocations of one proxied request, including those of net/http.
 const maxAllocations = 95
 
 func TestAllocationsOfAProxiedRequest(t *testing.T) {
@@ -86,7 +86,7 @@
 	got := testing.AllocsPerRun(500, func() { doOnce(t, rt) })
 	t.Logf("%.0f allocations", got)
 	if got > maxAllocations {
-		t.Errorf("%.0f allocations a request, want at most %d", got, maxAllocations)
+		t.Errorf("%.0f allocations per request, want at most %d", got, maxAllocations)
 	}
 }
 
--- a/endpoint/attempt.go
+++ b/endpoint/attempt.go
@@ -21,7 +21,7 @@
 	"go.uber.org/zap"
 )
 
-// attemptResult is the end of one attempt.
+// attemptResult is the result of one attempt.
 type attemptResult struct {
 	outcome  AttemptOutcome
 	answer   *Answer
@@ -30,10 +30,10 @@
 	duration time.Duration
 }
 
-// hopByHopHeaders belong to one connection and are not passed on.
+// hopByHopHeaders apply to a single connection and are not forwarded.
 var hopByHopHeaders = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect"}
 
-// removeHopByHopHeaders removes what belongs to one connection, and what the connection's own header names.
+// removeHopByHopHeaders removes the headers of a single connection, and the headers that the Connection header lists.
 func removeHopByHopHeaders(hd http.Header) {
 	for _, value := range hd.Values("Connection") {
 		for _, name := range strings.Split(value, ",") {
@@ -45,15 +45,15 @@
 	}
 }
 
-// singleUseBody hides what net/http needs to send a request a second time by itself.
+// singleUseBody hides the reader's type, so that net/http cannot replay the body and send the request a second time on its own.
 type singleUseBody struct {
 	io.Reader
 }
 
-// Close does nothing; the bytes belong to the call.
+// Close does nothing, because the call owns the bytes.
 func (singleUseBody) Close() error { return nil }
 
-// attempt sends the call once and waits for its end; the slot is released when the answer has been read.
+// attempt sends the call once and reads the answer. The caller releases the slot, except for a streamed answer, which releases it on Close.
 func (rt *Router) attempt(ctx context.Context, cancel context.CancelFunc, sl slot, call *Call) attemptResult {
 	rt.Attempts.Add(1)
 	started := rt.opts.Now()
@@ -78,7 +78,8 @@
 	return ar
 }
 
-// transportFor returns the transport: connections are used again only where answers name their attempt and nothing forbids a second sending.
+// transportFor returns the transport of an attempt. Connections are reused only for repeatable calls, which may be sent twice,
+// to services that echo the attempt id.
 func (rt *Router) transportFor(sl slot, call *Call) http.RoundTripper {
 	if call.Repeatable && sl.ro.service.Echo {
 		return sl.st.pooled
@@ -114,7 +115,7 @@
 	return rq.WithContext(ctx), nil
 }
 
-// receive judges the header of an answer and reads its body.
+// receive checks the header of an answer and reads its body.
 func (rt *Router) receive(cancel context.CancelFunc, sl slot, id string, rp *http.Response) attemptResult {
 	if rt.attemptMismatch(sl, id, rp) {
 		cancel()
@@ -141,7 +142,7 @@
 	return echoed != id
 }
 
-// bodyDelimited reports whether the end of the body can be told from a broken connection.
+// bodyDelimited reports whether a complete body can be distinguished from one cut off by a broken connection.
 func bodyDelimited(rp *http.Response) bool {
 	if rp.StatusCode == http.StatusSwitchingProtocols {
 		return false
@@ -149,15 +150,15 @@
 	return rp.ContentLength >= 0 || len(rp.TransferEncoding) > 0 || rp.Body == http.NoBody
 }
 
-// drain reads the little that a refusal holds, so that the connection can be used again.
+// drain reads the short body of a refusal, so that the connection can be reused.
 func drain(rp *http.Response) {
 	const maxBytes = 4 << 10
-	// What cannot be read only costs the connection.
+	// On an error the connection is not reused; nothing else is lost.
 	_, _ = io.Copy(io.Discard, io.LimitReader(rp.Body, maxBytes))
 	_ = rp.Body.Close()
 }
 
-// readAnswer holds the body back until it is whole, or hands it over as a stream when it is too large for the buffers.
+// readAnswer buffers the body until it is complete. It returns a stream when the body is too large or the buffers are exhausted.
 func (rt *Router) readAnswer(cancel context.CancelFunc, sl slot, rp *http.Response) attemptResult {
 	answer := &Answer{Status: rp.StatusCode, Header: forwardedHeaders(rp.Header)}
 	length := bodyLength(rp)
@@ -178,12 +179,12 @@
 		answer.Stream = &AnswerStream{body: rp.Body, cancel: cancel, release: sl.release}
 		return attemptResult{outcome: Answered, answer: answer, slot: sl}
 	}
-	// The body was read to its end, so closing it cannot lose anything.
+	// The body has been read completely, so an error from Close loses no data.
 	_ = rp.Body.Close()
 	return attemptResult{outcome: Answered, answer: answer, slot: sl}
 }
 
-// bodyLength returns the length of the body that follows, negative if it is not known; what a header says of an answer to HEAD is not one.
+// bodyLength returns the length of the body, or a negative number if it is unknown. It is 0 for an answer to HEAD, whatever Content-Length says.
 func bodyLength(rp *http.Response) int64 {
 	if rp.Body == http.NoBody {
 		return 0
@@ -191,7 +192,8 @@
 	return rp.ContentLength
 }
 
-// reserveBuffer takes memory for an answer of a length, or of an unknown one; it returns -1 when the answer must stream.
+// reserveBuffer reserves memory for an answer of a known length, or of an unknown one if negative.
+// It returns -1 when the answer must be streamed.
 func (rt *Router) reserveBuffer(length int64) int64 {
 	if length > int64(rt.opts.MaxBufferedAnswer) {
 		return -1
@@ -205,7 +207,7 @@
 	return length
 }
 
-// forwardedHeaders returns the headers of an answer that callers see.
+// forwardedHeaders removes hop-by-hop and internal headers and returns the headers that callers see.
 func forwardedHeaders(hd http.Header) http.Header {
 	removeHopByHopHeaders(hd)
 	for name := range hd {
@@ -216,14 +218,14 @@
 	return hd
 }
 
-// Release gives back the memory of an answer that has been delivered.
+// Release returns the memory of a delivered answer to the buffers.
 func (an *Answer) Release() {
 	if an != nil && an.release != nil && !an.released.Swap(true) {
 		an.release()
 	}
 }
 
-// readLimited reads a body whole, or one byte more than most.
+// readLimited reads a complete body, or maxLength+1 bytes of a longer one.
 func readLimited(body io.Reader, length int64, maxLength int) ([]byte, error) {
 	if length >= 0 && length <= int64(maxLength) {
 		buf := make([]byte, length)
@@ -233,7 +235,7 @@
 	return io.ReadAll(io.LimitReader(body, int64(maxLength)+1))
 }
 
-// AnswerStream is the part of an answer that is still to come.
+// AnswerStream reads the part of an answer that follows the buffered bytes.
 type AnswerStream struct {
 	body    io.ReadCloser
 	cancel  context.CancelFunc
@@ -241,12 +243,12 @@
 	closed  atomic.Bool
 }
 
-// Read reads on; any error but io.EOF means that the answer is not whole.
+// Read reads the next bytes. Any error other than io.EOF means that the answer is incomplete.
 func (as *AnswerStream) Read(buf []byte) (int, error) {
 	return as.body.Read(buf)
 }
 
-// Close ends the attempt and frees its slot.
+// Close ends the attempt and releases its slot.
 func (as *AnswerStream) Close() error {
 	if as.closed.Swap(true) {
 		return nil
@@ -257,7 +259,8 @@
 	return err
 }
 
-// recordResult feeds the end of an attempt to what is known of the endpoint; an attempt that this side ended says nothing.
+// recordResult updates the endpoint's health and limit with the result of an attempt. Attempts that were cancelled
+// before an answer are ignored, because they say nothing about the endpoint.
 func (rt *Router) recordResult(ar attemptResult, canceled bool) {
 	st, now := ar.slot.st, rt.opts.Now()
 	if canceled && ar.outcome != Answered {
@@ -298,7 +301,7 @@
 	rt.MarkLeaving(st.id)
 }
 
-// refusedWith reports whether the endpoint's word was this one.
+// refusedWith reports whether the endpoint refused with the given reason.
 func refusedWith(err error, reason string) bool {
 	return errors.Is(err, ErrRefused) && len(err.Error()) >= len(reason) && err.Error()[:len(reason)] == reason
 }
--- a/endpoint/buffers.go
+++ b/endpoint/buffers.go
@@ -2,19 +2,19 @@
 
 import "sync/atomic"
 
-// Buffers bounds the memory that bodies and answers take together.
+// Buffers bounds the total memory used for request bodies and answers.
 type Buffers struct {
 	available atomic.Int64
 }
 
-// NewBuffers returns buffers of so many bytes.
+// NewBuffers returns buffers with a capacity of size bytes.
 func NewBuffers(size int) *Buffers {
 	bf := &Buffers{}
 	bf.available.Store(int64(size))
 	return bf
 }
 
-// Reserve reserves bytes and reports whether there were enough.
+// Reserve reserves size bytes and reports whether that many were available.
 func (bf *Buffers) Reserve(size int64) bool {
 	if bf.available.Add(-size) >= 0 {
 		return true
@@ -23,12 +23,12 @@
 	return false
 }
 
-// Release returns bytes that were reserved.
+// Release returns reserved bytes.
 func (bf *Buffers) Release(size int64) {
 	bf.available.Add(size)
 }
 
-// Available returns the bytes that can still be reserved.
+// Available returns the number of bytes that can still be reserved.
 func (bf *Buffers) Available() int64 {
 	return bf.available.Load()
 }
--- a/endpoint/deadline_test.go
+++ b/endpoint/deadline_test.go
@@ -11,7 +11,8 @@
 	"github.com/aspenseam/aspenseam/standin"
 )
 
-// TestDeadlinePassedBeforeTheFirstByteSendsNothing stands for a process that was frozen while its claim was written.
+// TestDeadlinePassedBeforeTheFirstByteSendsNothing guards against a request that is sent after its deadline.
+// This happens when the process is frozen while the claim is written in BeforeSend.
 func TestDeadlinePassedBeforeTheFirstByteSendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bd := newTestBed(t, 1, 1, 0)
@@ -32,7 +33,8 @@
 	})
 }
 
-// TestServerErrorIsReturnedWhenAnotherAttemptHangs: a server error is a whole answer, kept while the request is tried elsewhere.
+// TestServerErrorIsReturnedWhenAnotherAttemptHangs guards against losing a server error, which is a complete answer,
+// when the retry at another endpoint does not end before the deadline.
 func TestServerErrorIsReturnedWhenAnotherAttemptHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bd := newTestBed(t, 2, 1, 0)
--- a/endpoint/do.go
+++ b/endpoint/do.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// hedgeDelayFactor times the usual latency without an answer counts as a failure.
+	// hedgeDelayFactor is a multiple of the mean latency. An attempt that is not answered within it counts as a failure.
 	hedgeDelayFactor = 4
 	minHedgeDelay    = 30 * time.Millisecond
-	// initialHedgeDelay applies while the usual latency is not known.
+	// initialHedgeDelay applies while the mean latency is unknown.
 	initialHedgeDelay = time.Second
 )
 
@@ -23,19 +23,19 @@
 	call    *Call
 	ctx     context.Context
 	results chan attemptResult
-	// outstanding counts attempts whose end has not come in.
+	// outstanding counts the attempts without a result so far.
 	outstanding int
 	outcomes    []AttemptOutcome
 	tried       []table.InstanceID
 	cancels     []context.CancelFunc
-	// serverError is the last complete answer with a server error, passed on when nothing better comes.
+	// serverError is the last complete answer with a server error. It is returned when no attempt gets a better one.
 	serverError *Answer
 	cause       error
 	lastSlot    slot
 	prepared    bool
 }
 
-// Do sends the call and returns its end; it returns by the deadline even when an attempt goes on.
+// Do sends the call and returns its result. It returns by the deadline even when an attempt is still running.
 func (rt *Router) Do(ctx context.Context, call *Call) Result {
 	rt.Calls.Add(1)
 	rt.budget.deposit()
@@ -46,7 +46,7 @@
 	return ex.awaitResults()
 }
 
-// startAttempt begins another attempt and reports whether it could.
+// startAttempt starts an attempt and reports whether it could.
 func (ex *execution) startAttempt() bool {
 	sl, err := ex.rt.acquire(ex.ctx, ex.call, ex.tried)
 	if err != nil {
@@ -62,14 +62,14 @@
 	return true
 }
 
-// recordCause keeps the first cause of a failure, which says more than what later attempts met.
+// recordCause keeps the first error, which says more about the failure than errors of later attempts.
 func (ex *execution) recordCause(err error) {
 	if ex.cause == nil {
 		ex.cause = err
 	}
 }
 
-// prepare runs the call's hook once and then looks at the time, which the hook may have taken.
+// prepare runs the call's BeforeSend hook once and then checks the deadline, which may have passed while the hook ran.
 func (ex *execution) prepare() error {
 	if !ex.prepared && ex.call.BeforeSend != nil {
 		if err := ex.call.BeforeSend(); err != nil {
@@ -90,7 +90,7 @@
 	sl.release()
 }
 
-// launch runs one attempt; it outlives the caller's wait but not the longest request time.
+// launch runs one attempt in the background. The attempt may outlive the caller's wait, but not MaxAttemptDuration.
 func (ex *execution) launch(sl slot) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ex.ctx), ex.rt.opts.MaxAttemptDuration)
 	ex.cancels = append(ex.cancels, cancel)
@@ -108,7 +108,7 @@
 	}()
 }
 
-// awaitResults handles ends of attempts until one settles the call or the time is over.
+// awaitResults handles results of attempts until one settles the call, the deadline passes or the caller goes away.
 func (ex *execution) awaitResults() Result {
 	deadline := time.NewTimer(ex.call.Deadline.Sub(ex.rt.opts.Now()))
 	defer deadline.Stop()
@@ -117,7 +117,7 @@
 	for {
 		select {
 		case ar := <-ex.results:
-			if ex.settledBy(ar) {
+			if ex.handleResult(ar) {
 				return ex.finish(ar)
 			}
 			if ex.outstanding == 0 && !ex.retry(ar) {
@@ -135,8 +135,8 @@
 	}
 }
 
-// settledBy notes the end of an attempt and reports whether it settles the call.
-func (ex *execution) settledBy(ar attemptResult) bool {
+// handleResult records the result of an attempt and reports whether it settles the call.
+func (ex *execution) handleResult(ar attemptResult) bool {
 	ex.outstanding--
 	ex.outcomes = append(ex.outcomes, ar.outcome)
 	ex.lastSlot = ar.slot
@@ -152,7 +152,7 @@
 	return !ex.canStart(true) && ex.outstanding == 0
 }
 
-// retry starts another attempt after one that failed, as far as its end and the budget allow.
+// retry starts another attempt after a failed one if its outcome, the attempt limit, the deadline and the retry budget allow it.
 func (ex *execution) retry(ar attemptResult) bool {
 	retryable := MayRetry(ar.outcome, ex.call.Repeatable) || ar.outcome == Answered
 	if !retryable || !ex.canStart(false) || !ex.rt.budget.tryWithdraw() {
@@ -161,7 +161,7 @@
 	return ex.startAttempt()
 }
 
-// canStart reports whether the number of attempts and the time allow another one.
+// canStart reports whether the attempt limit, the deadline and, if checkBudget is set, the retry budget allow another attempt.
 func (ex *execution) canStart(checkBudget bool) bool {
 	if checkBudget && ex.rt.budget.balance.Load() < retryUnit {
 		return false
@@ -169,7 +169,7 @@
 	return len(ex.tried) < ex.rt.opts.Retry.MaxAttempts && ex.rt.opts.Now().Before(ex.call.Deadline) && ex.ctx.Err() == nil
 }
 
-// hedgeDelay returns after which silence counts against an endpoint and a repeatable request is tried elsewhere.
+// hedgeDelay returns how long an attempt may stay unanswered before it counts as a failure and a repeatable request is hedged.
 func (ex *execution) hedgeDelay() time.Duration {
 	ss := ex.rt.serviceStats(ex.lastSlot.ro)
 	if ss.meanLatency == 0 {
@@ -178,7 +178,8 @@
 	return max(hedgeDelayFactor*ss.meanLatency, ss.tailLatency(), minHedgeDelay)
 }
 
-// hedge counts silence against the endpoint and tries a repeatable request elsewhere, without waiting for a slot.
+// hedge counts the missing answer as a failure of the endpoint.
+// It also sends a repeatable request to another endpoint, unless that would require waiting for a slot.
 func (ex *execution) hedge() {
 	if ex.outstanding == 0 {
 		return
@@ -198,7 +199,7 @@
 	ex.launch(sl)
 }
 
-// finish returns the answer that settled the call and ends what else goes on.
+// finish returns the answer that settled the call and cancels the other attempts.
 func (ex *execution) finish(ar attemptResult) Result {
 	for _, cancel := range ex.losingCancels(ar) {
 		cancel()
@@ -210,7 +211,8 @@
 	return ex.result(ar.answer)
 }
 
-// losingCancels returns the cancels of the attempts that did not win; the winner's stream still needs its own.
+// losingCancels returns the cancel functions of the attempts that did not settle the call.
+// A streamed answer still needs its own.
 func (ex *execution) losingCancels(ar attemptResult) []context.CancelFunc {
 	if ar.answer.Stream == nil {
 		return ex.cancels
@@ -224,7 +226,7 @@
 	return cancels
 }
 
-// discardOutstanding closes streams of attempts that end after the call was settled.
+// discardOutstanding discards the answers of attempts that end after the call was settled.
 func (ex *execution) discardOutstanding() {
 	if ex.outstanding == 0 {
 		return
@@ -236,16 +238,16 @@
 	}(ex.outstanding)
 }
 
-// discard gives back what an answer holds that nobody will read.
+// discard releases the memory and the stream of an answer that nobody will read.
 func discard(answer *Answer) {
 	answer.Release()
 	if answer != nil && answer.Stream != nil {
-		// Nobody reads the rest, so what closing says does not matter.
+		// Nobody reads the stream, so an error from Close has no consequence.
 		_ = answer.Stream.Close()
 	}
 }
 
-// giveUp returns the end of a call that has no attempt open.
+// giveUp returns the result of a call without outstanding attempts.
 func (ex *execution) giveUp() Result {
 	if ex.serverError != nil {
 		return ex.result(ex.serverError)
@@ -253,13 +255,14 @@
 	return ex.result(nil)
 }
 
-// detach returns while an attempt goes on; its late answer is kept if anybody may collect it.
+// detach returns while an attempt is still running. Its answer is passed to OnLate.
+// The attempt is cancelled if the call has no such hook or if there is a server error to return.
 func (ex *execution) detach() Result {
 	if ex.outstanding == 0 {
 		return ex.giveUp()
 	}
 	if ex.serverError != nil {
-		// A server error is a whole answer too, and better than none.
+		// A server error is a complete answer and preferred to none.
 		ex.cancelOutstanding()
 		return ex.result(ex.serverError)
 	}
@@ -276,7 +279,7 @@
 	return rs
 }
 
-// cancelOutstanding ends the attempts that still run.
+// cancelOutstanding cancels the attempts that are still running.
 func (ex *execution) cancelOutstanding() {
 	for _, cancel := range ex.cancels {
 		cancel()
@@ -284,7 +287,7 @@
 	ex.discardOutstanding()
 }
 
-// awaitLate waits for the attempts that outlived the call.
+// awaitLate waits for the attempts that outlived the call and passes the last complete answer to OnLate.
 func (ex *execution) awaitLate(count int) {
 	var answer *Answer
 	for range count {
--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -1,4 +1,5 @@
-// Package endpoint speaks HTTP to endpoints and decides which one gets a request, how often, and what its end means.
+// Package endpoint proxies HTTP requests to endpoints. It balances load, limits concurrency, ejects failing endpoints, retries,
+// and classifies the outcome of each request.
 package endpoint
 
 import (
@@ -10,99 +11,101 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// Headers that endpoints see or may return.
+// Headers sent to endpoints or returned by them.
 const (
 	// HeaderRequestID carries the caller's request id.
 	HeaderRequestID = "Aspenseam-Request-Id"
-	// HeaderAttempt carries the id of one attempt; an endpoint of a service with echo returns it.
+	// HeaderAttempt carries the id of an attempt. Endpoints of a service with Echo set return it in the answer.
 	HeaderAttempt = "Aspenseam-Attempt"
 	// HeaderSession carries the stable id of the session.
 	HeaderSession = "Aspenseam-Session"
-	// HeaderDeadline carries the time after which nobody waits, in milliseconds since 1970 UTC.
+	// HeaderDeadline carries the time after which the caller no longer waits, in milliseconds since 1970 UTC.
 	HeaderDeadline = "Aspenseam-Deadline"
-	// HeaderNotRun is an endpoint's word, with status 503, that it refused before it started: full or leaving.
+	// HeaderNotRun is set by an endpoint, with status 503, when it refused the request before starting it.
+	// Its value is the reason: full or leaving.
 	HeaderNotRun = "Aspenseam-Not-Run"
 	headerPrefix = "Aspenseam-"
 )
 
-// Words of HeaderNotRun.
+// Values of HeaderNotRun.
 const (
 	RefusedFull    = "full"
 	RefusedLeaving = "leaving"
 )
 
-// Why a request was given up.
+// Errors of calls and attempts.
 var (
-	// ErrOverload says that no slot would have come free in time.
+	// ErrOverload means that no slot is free, or that none is expected to become free in time.
 	ErrOverload = errors.New("overloaded")
-	// ErrNoEndpoint says that the service has no endpoint that may get work.
+	// ErrNoEndpoint means that the service has no routable endpoint.
 	ErrNoEndpoint = errors.New("no endpoint")
-	// ErrUnknownService says that the snapshot does not hold the service.
+	// ErrUnknownService means that the snapshot does not contain the service.
 	ErrUnknownService = errors.New("unknown service")
-	// ErrDeadline says that the deadline passed.
+	// ErrDeadline means that the deadline passed.
 	ErrDeadline = errors.New("deadline passed")
-	// ErrSessionMoving says that the session's endpoint is gone and its successor is not agreed yet.
+	// ErrSessionMoving means that the session's endpoint is gone or leaving, and no successor has been agreed yet.
 	ErrSessionMoving = errors.New("session is moving")
-	// ErrConnectionBroken says that an attempt broke off.
+	// ErrConnectionBroken means that the connection failed during an attempt.
 	ErrConnectionBroken = errors.New("connection to the endpoint broke")
-	// ErrAttemptMismatch says that an answer belonged to another attempt.
+	// ErrAttemptMismatch means that an answer belonged to another attempt.
 	ErrAttemptMismatch = errors.New("answer of another attempt")
-	// ErrUnknownLength says that an answer's length cannot be known to be complete.
+	// ErrUnknownLength means that nothing marks the end of an answer's body, so that a complete answer cannot be distinguished
+	// from a truncated one.
 	ErrUnknownLength = errors.New("answer without a length")
-	// ErrRefused says that the endpoint refused before it started.
+	// ErrRefused means that the endpoint refused the request before starting it.
 	ErrRefused = errors.New("refused by the endpoint")
 )
 
-// Call is one request on its way to an endpoint.
+// Call is a request to an endpoint of a service.
 type Call struct {
 	Service   table.ServiceID
 	RequestID string
 	Method    string
-	// Target is the path and query as the caller sent them.
+	// Target holds the path and query as sent by the caller.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Repeatable allows a second attempt after one that perhaps ran.
+	// Repeatable allows another attempt after one that the endpoint may have run.
 	Repeatable bool
-	// SessionID is the stable id passed to the endpoint; empty without a session.
+	// SessionID is the stable session id passed to the endpoint; empty without a session.
 	SessionID string
-	// NewSession keeps the call away from endpoints that take no new sessions.
+	// NewSession excludes endpoints that accept no new sessions.
 	NewSession bool
 	// Pin returns the endpoint that the session is bound to; nil without a session.
 	Pin func(*table.Snapshot) (table.InstanceID, error)
-	// Deadline is when the caller stops waiting.
+	// Deadline is the time at which the caller stops waiting.
 	Deadline time.Time
-	// BeforeSend must succeed once before the first byte goes out.
+	// BeforeSend runs once and must succeed before the first byte is sent.
 	BeforeSend func() error
-	// OnLate is told the end of an attempt that outlived Do, with its answer if it got one.
+	// OnLate is called after the attempts that outlived Do have ended, with the last complete answer or nil.
 	OnLate func(*Answer)
 }
 
-// Answer is a complete answer, or one whose rest still streams.
+// Answer is a complete answer, or the beginning of one that is streamed.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Stream reads what follows Body; nil when Body is all of it. The reader must be closed.
+	// Stream reads what follows Body; nil when Body is complete. It must be closed.
 	Stream *AnswerStream
-	// release gives the body's memory back.
+	// release returns the body's memory to the buffers.
 	release  func()
 	released atomic.Bool
 }
 
-// Result is the end of a call.
+// Result is the result of a call.
 type Result struct {
 	Outcome         Outcome
 	Answer          *Answer
 	AttemptOutcomes []AttemptOutcome
 	Endpoint        table.InstanceID
-	// Epoch is the endpoint's epoch when it was picked.
+	// Epoch is the epoch of the endpoint when it was picked.
 	Epoch table.Epoch
-	// Err is why there is no answer.
+	// Err is the reason why there is no answer.
 	Err error
-	// RetryAfter is when coming back helps; 0 if it does not.
+	// RetryAfter is the delay after which a retry may succeed; 0 if a retry does not help.
 	RetryAfter time.Duration
-	// Pending says that an attempt still runs and OnLate will be told.
+	// Pending means that an attempt is still running and that OnLate will be called.
 	Pending bool
 }
--- a/endpoint/health.go
+++ b/endpoint/health.go
@@ -7,33 +7,33 @@
 )
 
 const (
-	// latencyWeight and successWeight are the shares of a new sample in the moving averages.
+	// latencyWeight and successWeight are the weights of a new sample in the moving averages.
 	latencyWeight = 0.1
 	successWeight = 0.1
-	// minSuccess keeps a failing endpoint's score finite.
+	// minSuccess keeps the cost of a failing endpoint finite.
 	minSuccess = 0.05
-	// maxEjectLevel bounds the doubling of the time out.
+	// maxEjectLevel bounds the exponential growth of the ejection time.
 	maxEjectLevel = 16
 )
 
-// HealthStatus is whether an endpoint may get a request now.
+// HealthStatus says whether an endpoint may be picked.
 type HealthStatus int
 
-// The standings.
+// The health statuses.
 const (
-	// StatusHealthy takes any request.
+	// StatusHealthy means that the endpoint may get any request.
 	StatusHealthy HealthStatus = iota
-	// StatusProbeDue takes one request, which decides.
+	// StatusProbeDue means that the endpoint may get one request. Its result ends or extends the ejection.
 	StatusProbeDue
-	// StatusEjected takes none.
+	// StatusEjected means that the endpoint gets no requests.
 	StatusEjected
 )
 
-// health judges one endpoint by the ends of its attempts.
+// health tracks the results of the attempts at one endpoint and ejects it after consecutive failures.
 type health struct {
 	success movingAverage
 	latency movingAverage
-	// deviation is the mean distance of a latency from the average.
+	// deviation is the mean absolute deviation of the latency.
 	deviation    movingAverage
 	failures     atomic.Int32
 	ejectLevel   atomic.Int32
@@ -41,7 +41,7 @@
 	probing      atomic.Bool
 }
 
-// movingAverage is an exponentially weighted moving movingAverage that many goroutines add to.
+// movingAverage is an exponentially weighted moving average that is safe for concurrent use.
 type movingAverage struct {
 	bits atomic.Uint64
 }
@@ -50,7 +50,7 @@
 	return math.Float64frombits(ma.bits.Load())
 }
 
-// add mixes in a sample; the first one is taken whole.
+// add adds a sample. The first sample becomes the average.
 func (ma *movingAverage) add(sample, weight float64) {
 	for {
 		before := ma.bits.Load()
@@ -65,7 +65,7 @@
 	}
 }
 
-// status returns whether the endpoint may be picked at a time.
+// status returns the health status at the given time.
 func (hl *health) status(now time.Time) HealthStatus {
 	if hl.ejectLevel.Load() == 0 {
 		return StatusHealthy
@@ -76,12 +76,12 @@
 	return StatusProbeDue
 }
 
-// startProbe claims the one trial and reports whether it got it.
+// startProbe claims the only probe and reports whether it succeeded.
 func (hl *health) startProbe() bool {
 	return hl.probing.CompareAndSwap(false, true)
 }
 
-// recordSuccess notes a good answer and reports whether it ended an ejection.
+// recordSuccess records a successful answer and reports whether it ended an ejection.
 func (hl *health) recordSuccess(latency time.Duration) bool {
 	hl.success.add(1, successWeight)
 	average := hl.latency.value()
@@ -94,7 +94,7 @@
 	return hl.ejectLevel.Swap(0) > 0
 }
 
-// recordFailure notes a failed attempt and reports whether it began an ejection.
+// recordFailure records a failed attempt and reports whether it started an ejection.
 func (hl *health) recordFailure(now time.Time, policy EjectPolicy) bool {
 	hl.success.add(minSuccess, successWeight)
 	level := hl.ejectLevel.Load()
@@ -109,7 +109,7 @@
 	return hl.eject(now, 1, policy)
 }
 
-// eject takes the endpoint out for a time that doubles with the level.
+// eject ejects the endpoint for a time that doubles with the level, up to MaxDuration. It reports whether the endpoint was healthy before.
 func (hl *health) eject(now time.Time, level int32, policy EjectPolicy) bool {
 	level = min(level, maxEjectLevel)
 	duration := min(policy.BaseDuration<<(level-1), policy.MaxDuration)
@@ -117,7 +117,7 @@
 	return hl.ejectLevel.Swap(level) == 0
 }
 
-// cancelProbe gives the trial back when its attempt said nothing about the endpoint's health.
+// cancelProbe frees the probe when its attempt says nothing about the endpoint's health.
 func (hl *health) cancelProbe() {
 	hl.probing.Store(false)
 }
--- a/endpoint/leave_test.go
+++ b/endpoint/leave_test.go
@@ -7,8 +7,8 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// TestLeavingBetweenPickAndAcquireIsSeen lets an endpoint begin to leave after it was picked and before its place is taken.
-// An acknowledgement given in between has counted no place, so none may be taken after it.
+// TestLeavingBetweenPickAndAcquireIsSeen lets an endpoint begin to leave after it was picked and before its slot is acquired.
+// An acknowledgement sent in between has counted no slot, so none may be acquired after it.
 func TestLeavingBetweenPickAndAcquireIsSeen(t *testing.T) {
 	rowsAt := func(version table.Version, state table.InstanceState) []table.Row {
 		service, err := table.Encode(table.Service{ID: "s", Slots: 8, Connections: 64})
@@ -32,9 +32,9 @@
 	rt.Update(serving.WithMembers(members))
 	sl, err := rt.tryAcquire(&Call{Service: "s", Repeatable: true, Deadline: time.Now().Add(time.Second)}, nil)
 	if err == nil {
-		t.Errorf("took a place of %s after it began to leave", sl.st.id)
+		t.Errorf("acquired a slot of %s after it began to leave", sl.st.id)
 	}
 	if inFlight, _ := rt.InFlight("w1"); inFlight != 0 {
-		t.Errorf("%d places are still taken", inFlight)
+		t.Errorf("%d slots are still in use", inFlight)
 	}
 }
--- a/endpoint/limit.go
+++ b/endpoint/limit.go
@@ -6,12 +6,13 @@
 )
 
 const (
-	// maxIdleConnections are the connections to one endpoint that wait for the next request.
+	// maxIdleConnections is the number of idle connections kept open to one endpoint.
 	maxIdleConnections  = 2
 	limitDecreaseFactor = 0.7
 )
 
-// concurrencyLimit bounds the requests in flight to one endpoint; it grows while the endpoint takes them and shrinks when it refuses.
+// concurrencyLimit limits the requests in flight to one endpoint. It increases while the endpoint accepts them
+// and decreases when the endpoint refuses.
 type concurrencyLimit struct {
 	bits     atomic.Uint64
 	inFlight atomic.Int32
@@ -19,12 +20,12 @@
 
 // Share is the part of an endpoint's capacity that one entry instance may use.
 type Share struct {
-	// Least is granted always; Most never exceeded, so that all entry instances together stay below the endpoint's connections.
+	// Least is always granted. Most is never exceeded, so that all entry instances together stay below the endpoint's connection limit.
 	Least int
 	Most  int
 }
 
-// NewShare divides an endpoint's slots among the live entry instances and its connections among the most there can be.
+// NewShare divides an endpoint's slots among the live entry instances, and its connections among the maximum number of entry instances.
 func NewShare(slots, connections, liveEntries, maxEntries int) Share {
 	most := max(1, min(slots, connections/max(1, maxEntries)-maxIdleConnections))
 	least := max(1, min(most, slots/max(1, liveEntries)))
@@ -36,7 +37,7 @@
 	return min(max(int(current), sh.Least), sh.Most)
 }
 
-// acquire takes a place and reports whether there was one.
+// acquire takes a slot and reports whether one was free.
 func (cl *concurrencyLimit) acquire(sh Share) bool {
 	if int(cl.inFlight.Add(1)) <= cl.value(sh) {
 		return true
@@ -49,7 +50,7 @@
 	cl.inFlight.Add(-1)
 }
 
-// grow raises the limit by one for each round of answers that filled it.
+// grow raises the limit by one for each round of answers that used it fully (additive increase).
 func (cl *concurrencyLimit) grow(sh Share) {
 	current := cl.value(sh)
 	if int(cl.inFlight.Load()) < current {
@@ -58,7 +59,7 @@
 	cl.update(sh, func(vl float64) float64 { return vl + 1/vl })
 }
 
-// shrink lowers the limit after the endpoint refused for want of slots.
+// shrink lowers the limit after the endpoint refused a request for lack of slots (multiplicative decrease).
 func (cl *concurrencyLimit) shrink(sh Share) {
 	cl.update(sh, func(vl float64) float64 { return vl * limitDecreaseFactor })
 }
--- a/endpoint/options.go
+++ b/endpoint/options.go
@@ -9,7 +9,7 @@
 	"github.com/aspenseam/aspenseam/event"
 )
 
-// Options holds what a router can be built with.
+// Options holds the configuration of a router.
 type Options struct {
 	Hall               string
 	DialTimeout        time.Duration
@@ -30,28 +30,28 @@
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// RetryPolicy bounds retries as a share of traffic.
+// RetryPolicy limits retries to a share of the traffic.
 type RetryPolicy struct {
-	// Share is the number of retries that each request earns.
+	// Share is the number of retries that each request adds to the retry budget.
 	Share float64
-	// Burst is how many earned retries can be saved up.
+	// Burst is the largest number of retries that the budget can hold.
 	Burst int
 	// MaxAttempts is the largest number of attempts for one request.
 	MaxAttempts int
 }
 
-// EjectPolicy says when an endpoint is taken out of routing.
+// EjectPolicy defines when and for how long a failing endpoint is ejected.
 type EjectPolicy struct {
-	// ConsecutiveFailures is the number of failures in a row.
+	// ConsecutiveFailures is the number of consecutive failures that ejects an endpoint.
 	ConsecutiveFailures int
-	// BaseDuration is the first time out; it doubles with each failed trial up to ForMax.
+	// BaseDuration is the duration of the first ejection. It doubles with each failed probe up to MaxDuration.
 	BaseDuration time.Duration
 	MaxDuration  time.Duration
-	// MaxShare is the share of endpoints beyond which ejections are disregarded.
+	// MaxShare is the share of ejected endpoints above which ejections are ignored.
 	MaxShare float64
 }
 
-// Option changes one of the options.
+// Option changes one of the Options.
 type Option func(*Options)
 
 func defaultOptions() Options {
@@ -71,29 +71,29 @@
 	}
 }
 
-// WithHall names the router's own data hall.
+// WithHall sets the router's own data hall.
 func WithHall(hall string) Option { return func(op *Options) { op.Hall = hall } }
 
-// WithDialTimeout bounds the time to connect.
+// WithDialTimeout limits the time to connect to an endpoint.
 func WithDialTimeout(timeout time.Duration) Option {
 	return func(op *Options) { op.DialTimeout = timeout }
 }
 
-// WithMaxAttemptDuration bounds the time of any attempt.
+// WithMaxAttemptDuration limits the duration of an attempt.
 func WithMaxAttemptDuration(longest time.Duration) Option {
 	return func(op *Options) { op.MaxAttemptDuration = longest }
 }
 
-// WithMaxBufferedAnswer sets the size above which answers stream.
+// WithMaxBufferedAnswer sets the size in bytes above which answers are streamed.
 func WithMaxBufferedAnswer(size int) Option { return func(op *Options) { op.MaxBufferedAnswer = size } }
 
-// WithBuffers sets the memory that answers are held in until they are whole.
+// WithBuffers sets the memory in which answers are buffered until they are complete.
 func WithBuffers(bf *Buffers) Option { return func(op *Options) { op.Buffers = bf } }
 
-// WithQueueLength bounds the requests of one service that wait.
+// WithQueueLength limits the number of waiting requests of one service.
 func WithQueueLength(length int) Option { return func(op *Options) { op.QueueLength = length } }
 
-// WithMaxEntries sets by how many entry instances an endpoint's connections are shared.
+// WithMaxEntries sets the maximum number of entry instances that share an endpoint's connections.
 func WithMaxEntries(entries int) Option { return func(op *Options) { op.MaxEntries = entries } }
 
 // WithRetry sets the retry policy.
@@ -102,7 +102,7 @@
 // WithEject sets the ejection policy.
 func WithEject(policy EjectPolicy) Option { return func(op *Options) { op.Eject = policy } }
 
-// WithGoneAfter sets for how long connections must be refused before sessions move.
+// WithGoneAfter sets how long an endpoint must refuse connections before its sessions move.
 func WithGoneAfter(after time.Duration) Option { return func(op *Options) { op.GoneAfter = after } }
 
 // WithLog sets the logger.
@@ -114,5 +114,5 @@
 // WithClock replaces the clock.
 func WithClock(now func() time.Time) Option { return func(op *Options) { op.Now = now } }
 
-// WithRandom replaces the random source; it returns a number below n.
+// WithRandom replaces the random source, which returns a number in [0, n).
 func WithRandom(random func(n int) int) Option { return func(op *Options) { op.Random = random } }
--- a/endpoint/outcome.go
+++ b/endpoint/outcome.go
@@ -3,30 +3,30 @@
 // AttemptOutcome is how one attempt ended.
 type AttemptOutcome int
 
-// The ends of an attempt.
+// The outcomes of an attempt.
 const (
-	// Answered means that a complete answer came back.
+	// Answered means that a complete answer was received.
 	Answered AttemptOutcome = iota
 	// NotSent means that no byte can have reached the endpoint.
 	NotSent
-	// Refused means that the endpoint said, by its published word, that it did not start.
+	// Refused means that the endpoint reported in HeaderNotRun that it did not start the request.
 	Refused
-	// MaybeRun means that bytes went out and no complete answer came back.
+	// MaybeRun means that bytes may have been sent and no complete answer was received, so that the request may have run.
 	MaybeRun
 )
 
-// Prior is what is known of earlier tries of the same request through any entry instance.
+// Prior says what is known about earlier tries of the same request through any entry instance.
 type Prior int
 
-// What can be known of earlier tries.
+// The states of knowledge about earlier tries.
 const (
-	// PriorNone means that no earlier try can have run or can run still.
+	// PriorNone means that no earlier try has run or can still run.
 	PriorNone Prior = iota
 	// PriorUnknown means that an earlier try may have run.
 	PriorUnknown
 )
 
-// Outcome is the final word on a request.
+// Outcome is the final outcome of a request.
 type Outcome string
 
 // The outcomes.
@@ -38,12 +38,12 @@
 
 var endNames = [...]string{"answered", "notSent", "refused", "perhapsRun"}
 
-// String returns the name of the end.
+// String returns the name of the outcome.
 func (ao AttemptOutcome) String() string {
 	return endNames[ao]
 }
 
-// Fold returns the final word on a request from the ends of its attempts and what is known of earlier tries.
+// Fold combines the outcomes of a request's attempts and the knowledge about earlier tries into the outcome of the request.
 func Fold(prior Prior, ends []AttemptOutcome) Outcome {
 	maybeRun := prior == PriorUnknown
 	for _, ao := range ends {
@@ -60,7 +60,7 @@
 	return OutcomeNotRun
 }
 
-// MayRetry reports whether another attempt is allowed after one that ended so.
+// MayRetry reports whether another attempt is allowed after one with the given outcome.
 func MayRetry(ao AttemptOutcome, repeatable bool) bool {
 	switch ao {
 	case NotSent, Refused:
--- a/endpoint/outcome_test.go
+++ b/endpoint/outcome_test.go
@@ -11,7 +11,7 @@
 
 var allAttemptOutcomes = []endpoint.AttemptOutcome{endpoint.Answered, endpoint.NotSent, endpoint.Refused, endpoint.MaybeRun}
 
-// TestFold lists the final word for every combination of prior knowledge and up to two attempts.
+// TestFold checks the outcome for every combination of prior knowledge and up to two attempts.
 func TestFold(t *testing.T) {
 	datadriven.RunTest(t, "testdata/fold", func(t *testing.T, td *datadriven.TestData) string {
 		prior := map[string]endpoint.Prior{"none": endpoint.PriorNone, "unknown": endpoint.PriorUnknown}[td.CmdArgs[0].Key]
@@ -30,7 +30,7 @@
 	})
 }
 
-// TestFoldRule checks the rule itself over all combinations of up to four attempts.
+// TestFoldRule checks the rule of Fold over all combinations of up to four attempts.
 func TestFoldRule(t *testing.T) {
 	var check func(ends []endpoint.AttemptOutcome)
 	check = func(ends []endpoint.AttemptOutcome) {
--- a/endpoint/overload_test.go
+++ b/endpoint/overload_test.go
@@ -20,21 +20,21 @@
 	loadTimeout   = 400 * time.Millisecond
 	loadDuration  = 3 * time.Second
 	loadBacklog   = 1000
-	// loadCapacity is how many requests a second the endpoints can answer.
+	// loadCapacity is the number of requests a second that the endpoints can answer.
 	loadCapacity = loadEndpoints * 8 * int(time.Second/loadWorkTime)
 )
 
-// sender sends one request and reports whether a good answer came in time.
+// sender sends one request and reports whether it was answered successfully in time, and how many attempts it took.
 type sender func() (good bool, attempts int)
 
-// loadResult is what became of a time of steady arrivals.
+// loadResult is the result of a period of steady load.
 type loadResult struct {
 	offered, good, attempts int64
-	// slowest is the longest time that a request without a good answer took.
+	// slowest is the longest time taken by a request without a successful answer.
 	slowest time.Duration
 }
 
-// generateLoad sends requests at a steady rate, however slowly they are answered.
+// generateLoad sends requests at a steady rate, independent of how fast they are answered (open loop).
 func generateLoad(rate float64, duration time.Duration, send sender) loadResult {
 	var good, attempts, slowest atomic.Int64
 	var wg sync.WaitGroup
@@ -72,7 +72,7 @@
 	}
 }
 
-// baselineSender sends to a random endpoint without any limit and tries again up to three times.
+// baselineSender sends to a random endpoint without any limit, in up to four attempts.
 func baselineSender(bd *testBed) sender {
 	client := &http.Client{Transport: &http.Transport{DialContext: bd.dial, DisableKeepAlives: true}}
 	return func() (bool, int) {
@@ -80,10 +80,10 @@
 		defer cancel()
 		const maxAttempts = 4
 		for attempt := 1; ; attempt++ {
-			one, cancelOne := context.WithTimeout(ctx, loadTimeout/maxAttempts)
-			rq, _ := http.NewRequestWithContext(one, http.MethodGet, "http://"+addressOf(bd.random(loadEndpoints)), nil)
+			attemptCtx, cancelAttempt := context.WithTimeout(ctx, loadTimeout/maxAttempts)
+			rq, _ := http.NewRequestWithContext(attemptCtx, http.MethodGet, "http://"+endpointAddress(bd.random(loadEndpoints)), nil)
 			rp, err := client.Do(rq)
-			cancelOne()
+			cancelAttempt()
 			if err == nil {
 				_ = rp.Body.Close()
 				if rp.StatusCode == http.StatusOK {
@@ -97,11 +97,11 @@
 	}
 }
 
-func addressOf(index int) string {
+func endpointAddress(index int) string {
 	return []string{"10.0.0.1:80", "10.0.0.2:80"}[index]
 }
 
-// measureLoad runs one load and then half of the capacity, to see the recovery.
+// measureLoad applies a multiple of the capacity and then half of the capacity, to measure the recovery.
 func measureLoad(t *testing.T, factor float64, useRouters bool) (load, recovery loadResult) {
 	synctest.Test(t, func(t *testing.T) {
 		bd := newTestBed(t, loadEndpoints, loadEntries, loadWorkTime)
@@ -118,7 +118,7 @@
 		}
 		load = generateLoad(factor*float64(loadCapacity), loadDuration, send)
 		recovery = generateLoad(0.5*float64(loadCapacity), time.Second, send)
-		time.Sleep(time.Minute) // what goes on in the background ends
+		time.Sleep(time.Minute) // let background attempts end
 		bd.close(routers...)
 	})
 	return load, recovery
@@ -134,16 +134,16 @@
 		baseline, baselineRecovery := measureLoad(t, factor, false)
 		possible := min(float64(routed.offered), float64(loadCapacity)*loadDuration.Seconds())
 		share := func(lr loadResult) float64 { return float64(lr.good) / possible }
-		t.Logf("%.1f times capacity: good answers of those possible %.3f, baseline %.3f; attempts a request %.3f, baseline %.3f; longest wait for a refusal %v; good after the overload %d/%d, baseline %d/%d",
+		t.Logf("%.1f times capacity: successful answers as a share of those possible %.3f, baseline %.3f; attempts per request %.3f, baseline %.3f; longest time to a failure %v; successful answers after the load %d/%d, baseline %d/%d",
 			factor, share(routed), share(baseline), attemptsPerRequest(routed), attemptsPerRequest(baseline), routed.slowest, routedRecovery.good, routedRecovery.offered, baselineRecovery.good, baselineRecovery.offered)
 		if share(routed) < 0.9 {
-			t.Errorf("at %.1f times capacity only %.3f of the possible answers were good", factor, share(routed))
+			t.Errorf("at %.1f times capacity only %.3f of the possible answers were successful", factor, share(routed))
 		}
 		if attemptsPerRequest(routed) > 1.11 {
-			t.Errorf("at %.1f times capacity %.3f attempts a request", factor, attemptsPerRequest(routed))
+			t.Errorf("at %.1f times capacity %.3f attempts per request", factor, attemptsPerRequest(routed))
 		}
 		if float64(routedRecovery.good) < 0.98*float64(routedRecovery.offered) {
-			t.Errorf("after %.1f times capacity only %d of %d good answers", factor, routedRecovery.good, routedRecovery.offered)
+			t.Errorf("after %.1f times capacity only %d of %d requests were answered successfully", factor, routedRecovery.good, routedRecovery.offered)
 		}
 	}
 }
--- a/endpoint/pick.go
+++ b/endpoint/pick.go
@@ -6,33 +6,33 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// Load is what a choice between endpoints is made from.
+// Load describes an endpoint for the choice between endpoints.
 type Load struct {
 	ID table.InstanceID
-	// SameHall says that the endpoint is in the entry instance's own hall.
+	// SameHall means that the endpoint is in the entry instance's own data hall.
 	SameHall bool
 	Health   HealthStatus
 	InFlight int
 	Limit    int
-	// Latency is the average time of good answers; 0 if there was none yet.
+	// Latency is the average latency of successful answers; 0 before the first one.
 	Latency time.Duration
-	// Success is the share of good answers, 0 to 1; 0 if there was none yet.
+	// Success is the moving average of the success rate, 0 to 1; 0 before the first result.
 	Success float64
-	// Tried says that this request was at the endpoint before.
+	// Tried means that an earlier attempt of this request went to the endpoint.
 	Tried bool
 }
 
-// Choice is the outcome of a pick.
+// Choice is the result of a pick.
 type Choice struct {
-	// Index is the chosen load's place; negative if none can be had.
+	// Index is the index of the chosen load; negative if no endpoint can be picked.
 	Index int
-	// Probe says that the choice is the one trial of an ejected endpoint.
+	// Probe means that the request is the only probe of an ejected endpoint.
 	Probe bool
-	// Full says that there are endpoints and all are at their limit.
+	// Full means that there are endpoints, but none of them can take the request now.
 	Full bool
 }
 
-// cost is lower for an endpoint that answers well and has little to do.
+// cost is lower for an endpoint with fewer requests in flight, a lower latency and a higher success rate.
 func (ld Load) cost() float64 {
 	success := ld.Success
 	if success == 0 {
@@ -43,8 +43,9 @@
 	return float64(ld.InFlight+1) * latency / (success * success)
 }
 
-// Pick chooses an endpoint: a due trial first, then the better of two random ones in the own hall, then elsewhere.
-// When more than shareMax of the endpoints are ejected, or no other is left, ejections are disregarded.
+// Pick chooses an endpoint. A due probe comes first, then the cheaper of two random endpoints in the own hall, then in other halls.
+// Endpoints that the request has already tried come last.
+// When more than maxShare of the endpoints are ejected, or all of them, ejections are ignored.
 func Pick(loads []Load, repeatable bool, shareMax float64, random func(n int) int) Choice {
 	if len(loads) == 0 {
 		return Choice{Index: -1}
@@ -68,7 +69,7 @@
 	return Choice{Index: -1, Full: true}
 }
 
-// ejectionsUntrusted reports whether so many look bad that the detector is more likely wrong than they.
+// ejectionsUntrusted reports whether so many endpoints are ejected that the detection is more likely wrong than the endpoints.
 func ejectionsUntrusted(loads []Load, shareMax float64) bool {
 	ejected := 0
 	for _, ld := range loads {
@@ -88,7 +89,7 @@
 	return -1
 }
 
-// pickCheaper returns the cheaper of two random loads that fit, or -1.
+// pickCheaper returns the index of the cheaper of two random loads that match, or -1.
 func pickCheaper(loads []Load, random func(n int) int, match func(Load) bool) int {
 	count := 0
 	for _, ld := range loads {
--- a/endpoint/queue.go
+++ b/endpoint/queue.go
@@ -7,21 +7,21 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// waiter is one request that waits for a place.
+// waiter is a request that waits for a slot.
 type waiter struct {
-	// pin is the only endpoint that helps; empty if any does.
+	// pin is the only endpoint that can serve the request; empty if any can.
 	pin  table.InstanceID
 	wake chan struct{}
 }
 
-// queue holds the requests of one service that wait, in order of arrival.
+// queue holds the waiting requests of one service in order of arrival.
 type queue struct {
 	length  atomic.Int32 // read without the lock
-	mu      sync.Mutex   // taken only by requests that wait and by releases while some do
+	mu      sync.Mutex   // locked only by waiting requests, and by releases while there are any
 	waiters []*waiter
 }
 
-// add adds a waiter and reports whether there was room.
+// add adds a waiter and reports whether the queue had room.
 func (qu *queue) add(wt *waiter, maxLength int) bool {
 	qu.mu.Lock()
 	defer qu.mu.Unlock()
@@ -46,7 +46,7 @@
 	qu.length.Store(int32(len(qu.waiters)))
 }
 
-// wakeNext wakes the first waiter that the endpoint can serve.
+// wakeNext wakes the first waiter that the endpoint can serve and that has not been woken yet.
 func (qu *queue) wakeNext(id table.InstanceID) {
 	if qu.length.Load() == 0 {
 		return
@@ -60,7 +60,7 @@
 		select {
 		case wt.wake <- struct{}{}:
 			return
-		default: // already woken; the next one may use this place
+		default: // already woken; the next waiter may use this slot
 		}
 	}
 }
--- a/endpoint/retry.go
+++ b/endpoint/retry.go
@@ -2,10 +2,10 @@
 
 import "sync/atomic"
 
-// retryUnit is the fixed-point unit of the budget, so that shares of a retry can be counted with atomics.
+// retryUnit is one retry in the fixed-point balance, which lets fractions of a retry be counted with atomics.
 const retryUnit = 1000
 
-// retryBudget lets retries be a share of traffic; requests earn and retries spend.
+// retryBudget limits retries to a share of the traffic: each request makes a deposit and each retry a withdrawal.
 type retryBudget struct {
 	balance           atomic.Int64
 	depositPerRequest atomic.Int64
@@ -19,7 +19,7 @@
 	return rb
 }
 
-// deposit notes one request.
+// deposit adds the share of one request to the balance.
 func (rb *retryBudget) deposit() {
 	for {
 		before := rb.balance.Load()
@@ -30,7 +30,7 @@
 	}
 }
 
-// tryWithdraw takes one retry and reports whether there was one.
+// tryWithdraw withdraws one retry and reports whether the balance covered it.
 func (rb *retryBudget) tryWithdraw() bool {
 	for {
 		before := rb.balance.Load()
--- a/endpoint/router.go
+++ b/endpoint/router.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// leavingHintTTL is how long an endpoint's own word that it leaves is believed without the platform's.
+	// leavingHintTTL is how long an endpoint's own report that it is leaving is trusted without confirmation by the platform.
 	leavingHintTTL = 10 * time.Second
-	// idleTimeout is shorter than the usual keep-alive of servers, so that connections are rarely found closed.
+	// idleTimeout is shorter than the usual keep-alive time of servers, so that a reused connection is rarely found closed.
 	idleTimeout = 4 * time.Second
-	// maxHeaderBytes bounds the header of an answer.
+	// maxHeaderBytes limits the size of an answer's header.
 	maxHeaderBytes = 64 << 10
 )
 
@@ -30,11 +30,11 @@
 	unpooled    *http.Transport
 	budget      *retryBudget
 	ejectPolicy atomic.Pointer[EjectPolicy]
-	// Attempts counts attempts that were begun.
+	// Attempts counts the attempts started.
 	Attempts atomic.Int64
 	// Calls counts calls to Do.
 	Calls atomic.Int64
-	// OnGone is told of an endpoint whose sessions need a successor; set before use.
+	// OnGone is called with an endpoint whose sessions need a successor. Set it before the first call.
 	OnGone func(table.Instance)
 }
 
@@ -45,7 +45,7 @@
 	endpoints map[table.InstanceID]*endpointState
 }
 
-// route holds the endpoints of one service and the queue before them.
+// route holds the endpoints of one service and the queue of its waiting requests.
 type route struct {
 	service   table.Service
 	share     Share
@@ -53,24 +53,24 @@
 	queue     *queue
 }
 
-// endpointState is what a router knows of one endpoint; it outlives the tables.
+// endpointState is the state that a router keeps about an endpoint across route tables.
 type endpointState struct {
 	id      table.InstanceID
 	address string
 	pooled  *http.Transport
 	health  health
 	limit   concurrencyLimit
-	// queued counts the requests that wait for this endpoint alone.
+	// queued counts the waiting requests that only this endpoint can serve.
 	queued atomic.Int32
-	// leavingUntil is when the endpoint's own word that it leaves runs out, in nanoseconds since 1970.
+	// leavingUntil is when the endpoint's own report that it is leaving expires, in nanoseconds since 1970.
 	leavingUntil atomic.Int64
-	// refusedSince is when connections began to be refused without a break; 0 if the last one was not.
+	// refusedSince is the time of the first refused connection since the last attempt that was sent, in nanoseconds since 1970; 0 if none.
 	refusedSince atomic.Int64
 	instance     atomic.Pointer[table.Instance]
 	eligible     atomic.Bool
 }
 
-// NewRouter returns a router that knows no endpoint yet.
+// NewRouter returns a router without endpoints.
 func NewRouter(options ...Option) *Router {
 	opts := defaultOptions()
 	for _, option := range options {
@@ -98,7 +98,7 @@
 	}
 }
 
-// SetPolicy changes how many retries are earned and when endpoints are ejected, while calls go on.
+// SetPolicy changes the retry share and the ejection policy while calls are running.
 func (rt *Router) SetPolicy(retryShare float64, ejectAfter int, ejectShareMax float64) {
 	rt.budget.depositPerRequest.Store(int64(retryShare * retryUnit))
 	policy := rt.opts.Eject
@@ -106,12 +106,12 @@
 	rt.ejectPolicy.Store(&policy)
 }
 
-// Snapshot returns the snapshot that the routes were made from.
+// Snapshot returns the snapshot from which the routes were built.
 func (rt *Router) Snapshot() *table.Snapshot {
 	return rt.routes.Load().snapshot
 }
 
-// Update replaces the routes by those of a snapshot; what is known of endpoints stays.
+// Update replaces the routes with those of a snapshot. The state of endpoints that remain is kept.
 func (rt *Router) Update(sn *table.Snapshot) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
@@ -131,7 +131,7 @@
 	}
 }
 
-// localEntries counts the live entry instances that are likely to use the same endpoints.
+// localEntries counts the live entry instances in the own hall, which are likely to use the same endpoints.
 func (rt *Router) localEntries(sn *table.Snapshot) int {
 	count := 0
 	for _, mb := range sn.Entries() {
@@ -178,13 +178,13 @@
 	}
 }
 
-// routable reports whether new work may go to the endpoint at a time.
+// routable reports whether the endpoint may get new requests at the given time.
 func (st *endpointState) routable(now time.Time) bool {
 	return st.eligible.Load() && now.UnixNano() >= st.leavingUntil.Load()
 }
 
-// loadOf returns what Pick needs to know.
-func (rt *Router) loadOf(st *endpointState, sh Share, now time.Time, tried []table.InstanceID) Load {
+// endpointLoad returns the load of an endpoint for Pick.
+func (rt *Router) endpointLoad(st *endpointState, sh Share, now time.Time, tried []table.InstanceID) Load {
 	return Load{
 		ID:       st.id,
 		SameHall: string(st.instance.Load().Hall) == rt.opts.Hall,
@@ -197,7 +197,7 @@
 	}
 }
 
-// InFlight returns the open attempts to an endpoint and the requests that wait for it alone.
+// InFlight returns the number of attempts in flight to an endpoint and of waiting requests that only it can serve.
 func (rt *Router) InFlight(id table.InstanceID) (inFlight, queued int) {
 	st := rt.routes.Load().endpoints[id]
 	if st == nil {
@@ -206,13 +206,13 @@
 	return int(st.limit.inFlight.Load()), int(st.queued.Load())
 }
 
-// Routable reports whether this router would give new work to an endpoint.
+// Routable reports whether this router sends new requests to an endpoint.
 func (rt *Router) Routable(id table.InstanceID) bool {
 	st := rt.routes.Load().endpoints[id]
 	return st != nil && st.routable(rt.opts.Now())
 }
 
-// MarkLeaving stops new work to an endpoint on a hint, until the platform says more.
+// MarkLeaving stops new requests to an endpoint that reported that it is leaving, until the report is confirmed or expires.
 func (rt *Router) MarkLeaving(id table.InstanceID) {
 	st := rt.routes.Load().endpoints[id]
 	if st == nil {
--- a/endpoint/testbed_test.go
+++ b/endpoint/testbed_test.go
@@ -16,7 +16,7 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// testBed is routers and endpoints in one process, joined by in-memory connections, so that a test's clock can be a synthetic one.
+// testBed runs routers and endpoints in one process over in-memory connections, so that tests can use a synthetic clock.
 type testBed struct {
 	t         testing.TB
 	listeners map[string]*pipeListener
@@ -51,7 +51,8 @@
 
 const testService table.ServiceID = "books"
 
-// newTestBed returns a bed with so many endpoints of eight slots, all in one hall, and one live entry instance for each router to come.
+// newTestBed returns a test bed with the given number of endpoints with eight slots each, all in one hall.
+// Its membership has the given number of live entry instances, one for each router that the test creates.
 func newTestBed(t testing.TB, endpoints, entries int, workTime time.Duration) *testBed {
 	t.Helper()
 	bd := &testBed{t: t, listeners: map[string]*pipeListener{}, random: newSeededRandom()}
@@ -77,7 +78,7 @@
 	return bd
 }
 
-// newSeededRandom returns a random source that gives the same numbers in every run.
+// newSeededRandom returns a random source that yields the same numbers in every run.
 func newSeededRandom() func(int) int {
 	var mu sync.Mutex
 	rnd := rand.New(rand.NewPCG(1, 2))
@@ -108,16 +109,16 @@
 	return rows
 }
 
-// dial connects in memory.
+// dial opens an in-memory connection to an endpoint.
 func (bd *testBed) dial(ctx context.Context, _, address string) (net.Conn, error) {
 	ln := bd.listeners[address]
 	if ln == nil {
 		return nil, errors.New("no such address")
 	}
-	near, far := net.Pipe()
+	client, server := net.Pipe()
 	select {
-	case ln.conns <- far:
-		return near, nil
+	case ln.conns <- server:
+		return client, nil
 	case <-ln.done:
 		return nil, &net.OpError{Op: "dial", Err: errors.New("closed")}
 	case <-ctx.Done():
@@ -125,7 +126,7 @@
 	}
 }
 
-// router returns a router that knows the bed's endpoints.
+// router returns a router to the test bed's endpoints.
 func (bd *testBed) router(options ...endpoint.Option) *endpoint.Router {
 	options = append([]endpoint.Option{endpoint.WithHall("hall1"), endpoint.WithDial(bd.dial), endpoint.WithRandom(bd.random)}, options...)
 	rt := endpoint.NewRouter(options...)
@@ -133,7 +134,7 @@
 	return rt
 }
 
-// close ends every connection.
+// close closes all connections.
 func (bd *testBed) close(routers ...*endpoint.Router) {
 	for _, rt := range routers {
 		rt.Update(table.EmptySnapshot())
@@ -143,7 +144,7 @@
 	}
 }
 
-// newCall returns a repeatable request with a deadline from now.
+// newCall returns a repeatable call whose deadline is the timeout from now.
 func newCall(timeout time.Duration) *endpoint.Call {
 	return &endpoint.Call{Service: testService, RequestID: "r", Method: http.MethodGet, Target: "/", Header: http.Header{}, Repeatable: true, Deadline: time.Now().Add(timeout)}
 }
--- a/endpoint/trace_test.go
+++ b/endpoint/trace_test.go
@@ -15,7 +15,7 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// traceReplay feeds a recorded trace to the real decisions under a clock of its own.
+// traceReplay feeds a recorded trace to a router with a simulated clock.
 type traceReplay struct {
 	t             *testing.T
 	rt            *Router
@@ -26,7 +26,7 @@
 	needSuccessor []table.InstanceID
 }
 
-// TestTraces replays traces against stated outcomes: testdata/traces holds one file for each story.
+// TestTraces replays the traces in testdata/traces, one file for each scenario, and compares the decisions with the expected ones.
 func TestTraces(t *testing.T) {
 	datadriven.Walk(t, "testdata/traces", func(t *testing.T, path string) {
 		tr := &traceReplay{t: t, now: time.Unix(1_000_000, 0), rnd: rand.New(rand.NewPCG(1, 2))}
@@ -46,7 +46,7 @@
 	return step(td)
 }
 
-// fleet makes a router in hall h1 with endpoints name=hall.
+// fleet creates a router in hall h1 with endpoints given as name=hall.
 func (tr *traceReplay) fleet(td *datadriven.TestData) string {
 	tr.rt = NewRouter(WithHall("h1"), WithClock(func() time.Time { return tr.now }), WithRandom(tr.rnd.IntN), WithQueueLength(100))
 	tr.rt.OnGone = func(in table.Instance) { tr.needSuccessor = append(tr.needSuccessor, in.ID) }
@@ -79,7 +79,7 @@
 	tr.rt.Update(sn.WithMembers(members))
 }
 
-// members lists those that the platform's membership still names.
+// members sets the endpoints that the platform's membership still contains.
 func (tr *traceReplay) members(td *datadriven.TestData) string {
 	members := []table.Member{}
 	for _, arg := range td.CmdArgs {
@@ -89,7 +89,7 @@
 	return ""
 }
 
-// state writes instances' rows: name=state.
+// state sets the states of instances, given as name=state.
 func (tr *traceReplay) state(td *datadriven.TestData) string {
 	for _, arg := range td.CmdArgs {
 		in := *tr.rt.Snapshot().Instances[table.InstanceID(arg.Key)]
@@ -100,29 +100,29 @@
 	return ""
 }
 
-// events feeds ends of attempts, one a line: name end [latency] [xN].
+// events records results of attempts, one per line: name event [latency] [xN].
 func (tr *traceReplay) events(td *datadriven.TestData) string {
 	for line := range strings.Lines(td.Input) {
-		words := strings.Fields(line)
+		fields := strings.Fields(line)
 		times := 1
-		if last := words[len(words)-1]; strings.HasPrefix(last, "x") {
+		if last := fields[len(fields)-1]; strings.HasPrefix(last, "x") {
 			times, _ = strconv.Atoi(last[1:])
-			words = words[:len(words)-1]
+			fields = fields[:len(fields)-1]
 		}
 		for range times {
-			tr.event(words)
+			tr.event(fields)
 		}
 	}
 	return tr.statuses()
 }
 
-func (tr *traceReplay) event(words []string) {
+func (tr *traceReplay) event(fields []string) {
 	tb := tr.rt.routes.Load()
-	ar := attemptResult{slot: slot{st: tb.endpoints[table.InstanceID(words[0])], ro: tb.services["s"]}, duration: 10 * time.Millisecond}
-	switch words[1] {
+	ar := attemptResult{slot: slot{st: tb.endpoints[table.InstanceID(fields[0])], ro: tb.services["s"]}, duration: 10 * time.Millisecond}
+	switch fields[1] {
 	case "answers":
 		ar.answer = &Answer{Status: http.StatusOK}
-		ar.duration, _ = time.ParseDuration(words[2])
+		ar.duration, _ = time.ParseDuration(fields[2])
 	case "fails":
 		ar.answer = &Answer{Status: http.StatusInternalServerError}
 	case "breaks":
@@ -134,12 +134,12 @@
 	case "saysLeaving":
 		ar.outcome, ar.err = Refused, fmt.Errorf("%s: %w", RefusedLeaving, ErrRefused)
 	default:
-		tr.t.Fatalf("unknown event %q", words)
+		tr.t.Fatalf("unknown event %q", fields)
 	}
 	tr.rt.recordResult(ar, false)
 }
 
-// statuses lists who may get work.
+// statuses lists the status and the limit of each endpoint.
 func (tr *traceReplay) statuses() string {
 	tb := tr.rt.routes.Load()
 	var out []string
@@ -162,7 +162,8 @@
 	return tr.statuses()
 }
 
-// pick makes choices one after the other and says how often each endpoint was chosen; hold keeps the places, release frees all first.
+// pick acquires slots one after the other and counts how often each endpoint was chosen.
+// With hold the slots are kept. With release all kept slots are released first.
 func (tr *traceReplay) pick(td *datadriven.TestData) string {
 	count, _ := strconv.Atoi(td.CmdArgs[0].Key)
 	if td.HasArg("release") {
@@ -210,7 +211,7 @@
 	return strings.Join(out, "\n")
 }
 
-// retries says how many retries the budget grants after so many requests.
+// retries reports how many retries the budget grants for the given number of requests.
 func (tr *traceReplay) retries(td *datadriven.TestData) string {
 	requests, _ := strconv.Atoi(td.CmdArgs[0].Key)
 	granted := 0
@@ -223,7 +224,7 @@
 	return fmt.Sprintf("%d of %d", granted, requests)
 }
 
-// admit says how many of so many requests with a deadline may stand in the queue.
+// admit reports how many of the given number of requests with a deadline are admitted to the queue.
 func (tr *traceReplay) admit(td *datadriven.TestData) string {
 	count, _ := strconv.Atoi(td.CmdArgs[0].Key)
 	within, err := time.ParseDuration(td.CmdArgs[1].Key)
