--- a/worker/estimator.go
+++ b/worker/estimator.go
@@ -6,33 +6,33 @@
 )
 
 const (
-	// maxSamples is how many last uses of a kind are remembered.
+	// maxSamples is how many of the latest samples are kept per kind.
 	maxSamples = 64
-	// minSamples is how many uses must be known before a declared size is corrected.
+	// minSamples is how many samples are needed before a declared size is corrected.
 	minSamples = 5
-	// estimateQuantile of the uses is granted; fewer would be throttled often, more would waste.
+	// estimateQuantile is the quantile of the samples that is granted. A lower one would throttle jobs often, a higher one would waste capacity.
 	estimateQuantile = 0.95
-	// estimateMargin is added to it, since the next use may be a little more.
+	// estimateMargin is multiplied with the quantile, since the next job may use slightly more.
 	estimateMargin     = 1.05
 	minRatio, maxRatio = 0.05, 8.0
 )
 
-// SizeEstimator corrects declared sizes by what jobs of the same kind were seen to use.
+// SizeEstimator corrects declared sizes from the observed use of earlier jobs of the same kind.
 type SizeEstimator struct {
 	kinds map[Kind]*usageRatios
 }
 
-// ratios holds the last uses of a kind as shares of the declared size.
+// usageRatios holds the latest samples of a kind, as ratios of used to declared size.
 type usageRatios struct {
 	cpu, memory []float64
 }
 
-// NewSizeEstimator returns a learner that has seen nothing.
+// NewSizeEstimator returns an estimator without any samples.
 func NewSizeEstimator() *SizeEstimator {
 	return &SizeEstimator{kinds: map[Kind]*usageRatios{}}
 }
 
-// Observe notes what a finished job used.
+// Observe records what a finished job used.
 func (se *SizeEstimator) Observe(kind Kind, declared, used Size) {
 	rs := se.kinds[kind]
 	if rs == nil {
@@ -54,7 +54,7 @@
 	return samples
 }
 
-// Estimate returns what a job of a kind is expected to need; accelerators are whole and taken as declared.
+// Estimate returns what a job of a kind is expected to need. Accelerators cannot be divided and are taken as declared.
 func (se *SizeEstimator) Estimate(kind Kind, declared Size) Size {
 	rs := se.kinds[kind]
 	if rs == nil {
--- a/worker/failures.go
+++ b/worker/failures.go
@@ -8,28 +8,29 @@
 )
 
 const (
-	// quarantineThreshold is how many different jobs must fail in a row on a worker before it is doubted.
+	// quarantineThreshold is how many different jobs must fail on a worker, without a success in between, before the worker is suspected.
 	quarantineThreshold = 3
-	// jobFaultThreshold is how many good workers must fail a job before the job is to blame.
+	// jobFaultThreshold is on how many healthy workers a job must fail before the job is considered faulty.
 	jobFaultThreshold = 3
-	// quarantineDuration is how long a doubted worker gets nothing; after it one job tries it.
+	// quarantineDuration is how long a suspected worker gets no jobs. One more failure after it quarantines the worker again.
 	quarantineDuration = 10 * time.Minute
 )
 
-// FailureTracker tells bad workers from bad jobs: a worker is bad when many different jobs fail there, a job when it fails on many good workers.
+// FailureTracker distinguishes bad workers from bad jobs. A worker is bad if many different jobs fail on it; a job is bad if it fails on many
+// healthy workers.
 type FailureTracker struct {
 	workers map[table.InstanceID]*workerFailures
 }
 
-// workerFailures is what is known of one worker.
+// workerFailures is the failure history of one worker.
 type workerFailures struct {
-	// failedJobs holds the different jobs that failedJobs since the last success.
+	// failedJobs holds the different jobs that failed since the last success.
 	failedJobs []JobID
-	// quarantinedUntil is the end of a quarantine; zero without one.
+	// quarantinedUntil is the end of the quarantine; zero without one.
 	quarantinedUntil time.Time
 }
 
-// NewFailureTracker returns a judge that has seen nothing.
+// NewFailureTracker returns a tracker without any history.
 func NewFailureTracker() *FailureTracker {
 	return &FailureTracker{workers: map[table.InstanceID]*workerFailures{}}
 }
@@ -43,12 +44,12 @@
 	return wf
 }
 
-// RecordSuccess notes that a job ended well on a worker.
+// RecordSuccess records that a job succeeded on a worker. It clears the worker's failures and quarantine.
 func (ft *FailureTracker) RecordSuccess(id table.InstanceID) {
 	*ft.failuresOf(id) = workerFailures{}
 }
 
-// RecordFailure notes that a job failed on a worker and reports whether that began a quarantine.
+// RecordFailure records that a job failed on a worker and reports whether this started a quarantine.
 func (ft *FailureTracker) RecordFailure(id table.InstanceID, job JobID, now time.Time) bool {
 	wf := ft.failuresOf(id)
 	if !slices.Contains(wf.failedJobs, job) {
@@ -62,19 +63,19 @@
 	return began
 }
 
-// Quarantined reports whether a worker gets nothing at a time.
+// Quarantined reports whether a worker is in quarantine at the given time and gets no jobs.
 func (ft *FailureTracker) Quarantined(id table.InstanceID, now time.Time) bool {
 	wf := ft.workers[id]
 	return wf != nil && now.Before(wf.quarantinedUntil)
 }
 
-// suspected reports whether a worker's failures say little of the jobs that failed there.
+// suspected reports whether so many jobs failed on a worker that its failures are not held against the jobs.
 func (ft *FailureTracker) suspected(id table.InstanceID) bool {
 	wf := ft.workers[id]
 	return wf != nil && len(wf.failedJobs) >= quarantineThreshold
 }
 
-// JobAtFault reports whether a job is to blame: it failed on several workers that are not doubted.
+// JobAtFault reports whether a job is at fault: it failed on several workers that are not suspected.
 func (ft *FailureTracker) JobAtFault(failedOn []table.InstanceID) bool {
 	good := 0
 	for _, id := range failedOn {
--- a/worker/place.go
+++ b/worker/place.go
@@ -9,50 +9,50 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// WorkerView is a worker as placement sees it.
+// WorkerView is the state of a worker during placement.
 type WorkerView struct {
 	ID       table.InstanceID
 	Capacity Size
 	Slots    int
-	// Schedulable says that it may get tasks: it serves, is listed and no plan closes it.
+	// Schedulable means that the worker may receive tasks: it is serving, it is listed and no plan is draining it.
 	Schedulable bool
-	// Allocated and Busy are what running jobs were granted.
+	// Allocated and UsedSlots are the resources and slots granted to running jobs.
 	Allocated Size
 	UsedSlots int
-	// Exclusive says that a job under which workers were lost has it to itself, so that a further loss takes no other with it.
+	// Exclusive means that the worker runs a job that has already lost workers. It gets no other job, so that a further loss affects none.
 	Exclusive bool
 }
 
-// Placement puts a job on a worker.
+// Placement assigns a job to a worker.
 type Placement struct {
 	Job      *Job
 	Instance table.InstanceID
 	Granted  Size
 }
 
-// PlacementInput is all that a round of placement is made from.
+// PlacementInput is the input of a placement round.
 type PlacementInput struct {
 	Queue   []*Job
 	Workers []*WorkerView
-	// Quotas is the slots of each team; a team without one has none.
+	// Quotas is the number of slots of each team. A team without an entry has none.
 	Quotas map[TeamID]int
-	// UsedSlots is the slots that each team has now.
+	// UsedSlots is the number of slots that each team uses now.
 	UsedSlots map[TeamID]int
-	// UrgentReserve is the slots of the fleet that only urgent jobs may take.
+	// UrgentReserve is the number of slots of the fleet that are reserved for urgent jobs.
 	UrgentReserve int
 	Estimator     *SizeEstimator
 	Failures      *FailureTracker
 	Now           time.Time
 }
 
-// PlacementResult is what a round decided.
+// PlacementResult is the result of a placement round.
 type PlacementResult struct {
 	Placements []Placement
-	// Unschedulable holds the jobs that no worker could ever run.
+	// Unschedulable holds the jobs that are too large for every worker.
 	Unschedulable []*Job
 }
 
-// Place decides on every queued job once; one that cannot go now holds up no other.
+// Place decides on every queued job once. A job that cannot be placed now does not block the others.
 func Place(pi PlacementInput) PlacementResult {
 	var pr PlacementResult
 	free := freeSlots(pi)
@@ -77,18 +77,18 @@
 	return pr
 }
 
-// allocate puts a job on the worker.
+// allocate adds a job of the given size to the worker.
 func (vw *WorkerView) allocate(jb *Job, size Size) {
 	vw.Allocated, vw.UsedSlots = vw.Allocated.add(size), vw.UsedSlots+1
 	vw.Exclusive = vw.Exclusive || len(jb.LostOn) > 0
 }
 
-// excludes reports whether a job that has to be by itself, or one that must not disturb such a one, cannot go to the worker.
+// excludes reports whether the job must not share the worker: a job that has lost workers runs only on an otherwise empty worker.
 func (vw *WorkerView) excludes(jb *Job) bool {
 	return vw.Exclusive || len(jb.LostOn) > 0 && vw.UsedSlots > 0
 }
 
-// order returns the queue: urgent first, then the teams that use the least of their quotas, then by age.
+// sortQueue returns the queue sorted by urgency, then by the share of the quota that the job's team uses (lowest first), then by age.
 func sortQueue(pi PlacementInput) []*Job {
 	queue := slices.Clone(pi.Queue)
 	share := func(tm TeamID) float64 {
@@ -112,7 +112,7 @@
 	return queue
 }
 
-// freeSlots counts the slots that usable workers have left; those of a quarantined one are no reserve for urgent jobs.
+// freeSlots counts the free slots of schedulable workers. Slots of quarantined workers do not count as a reserve for urgent jobs.
 func freeSlots(pi PlacementInput) int {
 	free := 0
 	for _, wk := range pi.Workers {
@@ -123,12 +123,12 @@
 	return free
 }
 
-// fitsAny reports whether any worker of the fleet could run a job when empty, be it up or down.
+// fitsAnyWorker reports whether any worker of the fleet could run the job when empty, whether the worker is up or down.
 func fitsAnyWorker(workers []*WorkerView, need Size) bool {
 	return slices.ContainsFunc(workers, func(wk *WorkerView) bool { return need.fitsIn(wk.Capacity) })
 }
 
-// best returns the worker on which the least is left over, so that large jobs still find room; nil if none fits.
+// bestFit returns the worker that has the least capacity left after the placement, which keeps room for large jobs; nil if none fits.
 func bestFit(pi PlacementInput, jb *Job, need Size) *WorkerView {
 	var chosen *WorkerView
 	lowest := 0.0
@@ -147,12 +147,12 @@
 	return chosen
 }
 
-// leftOver weighs what would stay free, as a share of the worker; an accelerator that is not needed weighs most.
+// freeShare scores the remaining capacity as a share of the worker. An unused accelerator has the largest weight.
 func freeShare(remaining, total Size) float64 {
 	return float64(remaining.CPUMillis)/float64(max(1, total.CPUMillis)) + float64(remaining.MemoryMB)/float64(max(1, total.MemoryMB)) + float64(remaining.Accelerators)
 }
 
-// cancelled reports whether a job is given up by any of the cancellations.
+// matchesAny reports whether any of the cancellations applies to the job.
 func matchesAny(jb *Job, cancellations []Cancellation) bool {
 	return slices.ContainsFunc(cancellations, func(cn Cancellation) bool {
 		return cn.Team == jb.Team && (cn.Kind == "" || cn.Kind == jb.Kind) && (len(cn.Jobs) == 0 || slices.Contains(cn.Jobs, jb.ID)) && !jb.SubmittedAt.After(cn.At)
--- a/worker/place_test.go
+++ b/worker/place_test.go
@@ -10,7 +10,7 @@
 	"github.com/aspenseam/aspenseam/worker"
 )
 
-// placing returns a round of placement: workers of eight slots half taken, jobs of 300 teams, and accelerators on some workers.
+// newPlacementInput returns the input of a round: half-full workers of eight slots, jobs of 300 teams, and accelerators on some workers.
 func newPlacementInput(workers, jobs int) worker.PlacementInput {
 	pi := worker.PlacementInput{Quotas: map[worker.TeamID]int{}, UsedSlots: map[worker.TeamID]int{}, Estimator: worker.NewSizeEstimator(), Failures: worker.NewFailureTracker(), Now: time.Now()}
 	for ix := range workers {
@@ -24,7 +24,7 @@
 	return pi
 }
 
-// BenchmarkPlace measures one round with 300 queued jobs at three sizes of the fleet.
+// BenchmarkPlace measures one round with 300 queued jobs for three fleet sizes.
 func BenchmarkPlace(b *testing.B) {
 	for _, workers := range []int{50, 150, 450} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
@@ -35,7 +35,7 @@
 	}
 }
 
-// TestLearnedSizesAgainstFirstFit fills workers with jobs whose declared sizes are far from the truth, by the real decision and by first fit on declared sizes.
+// TestLearnedSizesAgainstFirstFit compares Place with first fit on declared sizes, for jobs whose declared sizes are far from their actual use.
 func TestLearnedSizesAgainstFirstFit(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(9, 10))
 	total := worker.Size{CPUMillis: 16000, MemoryMB: 32 << 10}
@@ -92,7 +92,7 @@
 	}
 }
 
-// firstFit is the baseline: the first worker with room by declared sizes.
+// firstFit is the baseline: it picks the first worker with enough room for the declared size.
 func firstFit[T any](jobs []T, total worker.Size, get func(T) (*worker.Job, worker.Size)) (placed, overcommitted int) {
 	const workers, slots = 50, 8
 	var declared, truth [workers]worker.Size
--- a/worker/placer.go
+++ b/worker/placer.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 )
 
-// The tables of jobs; only the placer reads them all.
+// The tables of jobs. The placer is the only reader of all their rows.
 const (
 	TableJob    table.TableName = "job"
 	TableCancel table.TableName = "cancel"
@@ -23,21 +23,21 @@
 	defaultPlaceInterval = 250 * time.Millisecond
 	defaultLeaseDuration = 4 * time.Second
 	defaultTaskLease     = 5 * time.Minute
-	// batchSize is how many rows change in one transaction, so that waves of jobs take few writes.
+	// batchSize is the number of rows per transaction. Batches keep the number of writes low when many jobs change at once.
 	batchSize    = 50
 	writeTimeout = 5 * time.Second
 	leaseKey     = "placer"
-	// jobRetention is how long after its submission an ended job can be looked up.
+	// jobRetention is how long after its submission a finished job can be looked up.
 	jobRetention = 48 * time.Hour
 )
 
-// Quota is the row of a team's share of the fleet.
+// Quota is the table row of a team's share of the fleet.
 type Quota struct {
 	Team  TeamID `json:"team"`
 	Slots int    `json:"slots"`
 }
 
-// placerLease is the row that lets one entry instance place; every placement checks its version.
+// placerLease is the row that elects the one entry instance that places jobs. Every placement checks the version of this row.
 type placerLease struct {
 	Holder      table.InstanceID  `json:"holder"`
 	Incarnation table.Incarnation `json:"incarnation"`
@@ -49,31 +49,31 @@
 	Snapshot() *table.Snapshot
 }
 
-// Options holds what a placer can be built with.
+// Options configures a placer.
 type Options struct {
 	Entry         table.InstanceID
 	Incarnation   table.Incarnation
 	Interval      time.Duration
 	LeaseDuration time.Duration
 	TaskLease     time.Duration
-	// UrgentReserve is the slots that only urgent jobs may take.
+	// UrgentReserve is the number of slots reserved for urgent jobs.
 	UrgentReserve int
-	// WorkerSize is the size of every worker.
+	// WorkerSize is the capacity of each worker.
 	WorkerSize  Size
 	WorkerSlots int
 	Log         *event.Logger
 	Now         func() time.Time
 }
 
-// Option changes one of the options.
+// Option sets a field of Options.
 type Option func(*Options)
 
-// WithEntry names the entry instance and this run of it.
+// WithEntry sets the entry instance and its incarnation, under which the placer holds the lease.
 func WithEntry(id table.InstanceID, inc table.Incarnation) Option {
 	return func(op *Options) { op.Entry, op.Incarnation = id, inc }
 }
 
-// WithTaskLease sets how long a task runs on without its placer being heard of.
+// WithTaskLease sets how long a task keeps running on its worker without a renewal from the placer.
 func WithTaskLease(lease time.Duration) Option { return func(op *Options) { op.TaskLease = lease } }
 
 // WithLog sets the logger.
@@ -82,15 +82,15 @@
 // WithClock replaces the clock.
 func WithClock(now func() time.Time) Option { return func(op *Options) { op.Now = now } }
 
-// WithUrgentReserve sets the slots that only urgent jobs may take.
+// WithUrgentReserve sets the number of slots reserved for urgent jobs.
 func WithUrgentReserve(slots int) Option { return func(op *Options) { op.UrgentReserve = slots } }
 
-// WithWorkerSize sets the size and slots of a worker.
+// WithWorkerSize sets the capacity and the number of slots of each worker.
 func WithWorkerSize(total Size, slots int) Option {
 	return func(op *Options) { op.WorkerSize, op.WorkerSlots = total, slots }
 }
 
-// Placer places jobs while it holds the lease; any number may run.
+// Placer places jobs while it holds the placer lease. Any number of placers may run at the same time.
 type Placer struct {
 	opts        Options
 	table       table.Table
@@ -101,34 +101,34 @@
 	jobs        map[JobID]*Job
 	cancels     map[string]Cancellation
 	quotas      map[TeamID]int
-	// acknowledged holds the attempts that their workers have been acknowledged of by this placer; the others are acknowledged again in each round.
+	// acknowledged holds the attempts that their workers have confirmed to this placer. Other running attempts are sent again in each round.
 	acknowledged map[JobID]Attempt
-	// failedStarts counts the starts in a row that had no answer.
+	// failedStarts counts the consecutive starts of a job that got no answer.
 	failedStarts map[JobID]int
 	estimator    *SizeEstimator
 	failures     *FailureTracker
-	// leaseVersion is the version of the leaseVersion row under which this placer works; 0 without a leaseVersion.
+	// leaseVersion is the version of the lease row that this placer holds; 0 if it does not hold the lease.
 	leaseVersion table.Version
 	leaseUntil   time.Time
-	// testHook is called testHook each commit and side effect, for tests that freeze the placer there.
+	// testHook is called before each commit and side effect. Tests use it to freeze the placer there.
 	testHook func()
 }
 
-// NewPlacer returns a placer.
-func NewPlacer(table table.Table, workers Workers, fleet SnapshotSource, options ...Option) *Placer {
+// NewPlacer returns a placer that keeps its jobs in table and reads the state of the fleet from snapshots.
+func NewPlacer(table table.Table, workers Workers, snapshots SnapshotSource, options ...Option) *Placer {
 	opts := Options{Interval: defaultPlaceInterval, LeaseDuration: defaultLeaseDuration, TaskLease: defaultTaskLease, WorkerSize: Size{CPUMillis: 16000, MemoryMB: 32 << 10}, WorkerSlots: 8, Log: event.Nop(), Now: time.Now}
 	for _, option := range options {
 		option(&opts)
 	}
-	pl := &Placer{opts: opts, table: table, workers: workers, snapshots: fleet, testHook: func() {}}
+	pl := &Placer{opts: opts, table: table, workers: workers, snapshots: snapshots, testHook: func() {}}
 	pl.reset()
 	return pl
 }
 
-// SetTestHook sets a function that is called before each commit and side effect, for tests.
+// SetTestHook sets a function that is called before each commit and side effect. It is meant for tests.
 func (pl *Placer) SetTestHook(hook func()) { pl.testHook = hook }
 
-// reset forgets all jobs; what was learned of kinds and workers goes too, since another placed in between.
+// reset clears all in-memory state. What was learned about kinds and workers is dropped too, because another placer was active in between.
 func (pl *Placer) reset() {
 	pl.seenVersion, pl.leaseVersion = 0, 0
 	pl.jobs, pl.cancels, pl.quotas = map[JobID]*Job{}, map[string]Cancellation{}, map[TeamID]int{}
@@ -136,12 +136,12 @@
 	pl.estimator, pl.failures = NewSizeEstimator(), NewFailureTracker()
 }
 
-// Run places until the context ends.
+// Run places jobs until the context ends.
 func (pl *Placer) Run(ctx context.Context) {
 	table.Every(ctx, pl.opts.Interval, pl.Tick)
 }
 
-// Tick does one round: lease, changes, reports, cancellations, placement.
+// Tick runs one round: lease, changes, reports, cancellations, renewals, placement.
 func (pl *Placer) Tick(ctx context.Context) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
@@ -150,7 +150,7 @@
 		pl.opts.Log.Emit(event.PlacementFailed, zap.Error(err))
 	}
 	if err != nil {
-		// Whatever was in memory may be out of step with the table.
+		// The in-memory state may no longer match the table.
 		pl.reset()
 	}
 }
@@ -181,7 +181,7 @@
 	return nil
 }
 
-// forget deletes a group of jobs that ended long ago; their ends stay in the audit trail no longer than in the table.
+// deleteExpiredJobs deletes one batch of finished jobs that are past their retention. The audit trail keeps their ends no longer than the table.
 func (pl *Placer) deleteExpiredJobs(ctx context.Context) error {
 	writes := []table.Write{{Table: table.TableLease, Key: leaseKey, IfVersion: pl.leaseVersion, Check: true}}
 	for _, jb := range pl.jobs {
@@ -202,7 +202,7 @@
 	return nil
 }
 
-// open reports whether any job wants something.
+// hasActiveJobs reports whether any job is queued or running.
 func (pl *Placer) hasActiveJobs() bool {
 	for _, jb := range pl.jobs {
 		if !jb.State.terminal() {
@@ -212,7 +212,7 @@
 	return false
 }
 
-// hold takes or renews the lease and reports whether this placer has it.
+// acquireLease acquires or renews the placer lease and reports whether this placer holds it.
 func (pl *Placer) acquireLease(ctx context.Context) (bool, error) {
 	now := pl.opts.Now()
 	if pl.leaseVersion != 0 && pl.leaseUntil.Sub(now) > pl.opts.LeaseDuration/2 {
@@ -239,7 +239,7 @@
 	return pl.writeLease(ctx, rw.Version, now)
 }
 
-// othersLease reports whether the snapshot shows that another holds the lease, so that waiting costs no read.
+// heldByOther reports whether the snapshot shows a valid lease of another placer. It saves a read of the table while this placer waits.
 func (pl *Placer) heldByOther(now time.Time) bool {
 	rw, known := pl.snapshots.Snapshot().Rows[table.RowKey{Table: table.TableLease, Key: leaseKey}]
 	if !known {
@@ -269,7 +269,7 @@
 	return true, nil
 }
 
-// read takes the changes of jobs, cancellations and quotas.
+// readChanges applies the changes of jobs, cancellations and quotas since the last read.
 func (pl *Placer) readChanges(ctx context.Context) error {
 	cs, err := pl.table.Changes(ctx, pl.seenVersion, []table.TableName{TableJob, TableCancel, TableQuota})
 	if err != nil {
@@ -282,7 +282,7 @@
 	return nil
 }
 
-// take merges one row; a row that cannot be read is left out until it is mended.
+// applyRow applies one changed row. A row that cannot be decoded is ignored until it is repaired.
 func (pl *Placer) applyRow(rw table.Row) {
 	switch rw.Table {
 	case TableJob:
--- a/worker/placer_test.go
+++ b/worker/placer_test.go
@@ -14,19 +14,19 @@
 	"github.com/aspenseam/aspenseam/worker"
 )
 
-// fakeWorkers is workers in memory that run tasks under leases.
+// fakeWorkers is an in-memory implementation of worker.Workers that runs tasks under leases.
 type fakeWorkers struct {
 	mu    sync.Mutex
 	tasks map[worker.JobID]*runningTask
-	// newestAttempts is the newest attempt of each job that any worker was given.
+	// newestAttempts holds the newest attempt of each job that was started on any worker.
 	newestAttempts map[worker.JobID]worker.Attempt
-	// bad workers fail everything; bad jobs fail everywhere.
+	// badWorkers fail every job; badJobs fail on every worker.
 	badWorkers map[table.InstanceID]bool
 	badJobs    map[worker.JobID]bool
-	// lostWorkers workers answer nothing, and crashingJobs jobs make the worker that starts them one of those.
+	// lostWorkers do not answer. A job of crashingJobs crashes each worker that starts it, which makes the worker a lost one.
 	lostWorkers  map[table.InstanceID]bool
 	crashingJobs map[worker.JobID]bool
-	// crashes counts the workers that a job has crashed.
+	// crashCounts counts the workers that each job has crashed.
 	crashCounts map[worker.JobID]int
 	used        func(worker.JobID) worker.Size
 	reports     []worker.Report
@@ -35,7 +35,7 @@
 	startedAt   map[worker.JobID]time.Time
 }
 
-// run is one task on a worker.
+// runningTask is a task that runs on a worker.
 type runningTask struct {
 	task   worker.Task
 	endsAt time.Time
@@ -45,7 +45,7 @@
 	return &fakeWorkers{tasks: map[worker.JobID]*runningTask{}, newestAttempts: map[worker.JobID]worker.Attempt{}, badWorkers: map[table.InstanceID]bool{}, badJobs: map[worker.JobID]bool{}, lostWorkers: map[table.InstanceID]bool{}, crashingJobs: map[worker.JobID]bool{}, crashCounts: map[worker.JobID]int{}, startedAt: map[worker.JobID]time.Time{}, used: func(worker.JobID) worker.Size { return worker.Size{CPUMillis: 500, MemoryMB: 500} }}
 }
 
-// Start takes a task, or renews its lease; a lease that lies in the past and an older attempt are refused.
+// Start starts a task, or renews its lease. It refuses an expired lease and an attempt older than the newest one.
 func (fw *fakeWorkers) Start(_ context.Context, tk worker.Task) error {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
@@ -55,10 +55,10 @@
 		fw.crashWorker(tk.Instance)
 	}
 	if fw.lostWorkers[tk.Instance] {
-		return fmt.Errorf("no answer")
+		return fmt.Errorf("worker does not answer")
 	}
 	if tk.Attempt < fw.newestAttempts[tk.Job] || !time.Now().Before(tk.LeaseUntil) {
-		return fmt.Errorf("refused")
+		return fmt.Errorf("attempt is too old or its lease has expired")
 	}
 	if tk.Renew && fw.newestAttempts[tk.Job] != tk.Attempt {
 		return table.ErrNoTask
@@ -71,7 +71,7 @@
 		return nil
 	}
 	if tk.Attempt == fw.newestAttempts[tk.Job] {
-		return nil // it has ended, and its report says how
+		return nil // The task has ended already; its report has the outcome.
 	}
 	fw.starts++
 	fw.newestAttempts[tk.Job] = tk.Attempt
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// Stop ends a task.
+// Stop stops a task.
 func (fw *fakeWorkers) Stop(_ context.Context, _ table.InstanceID, job worker.JobID, at worker.Attempt, _ bool) error {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
@@ -92,13 +92,13 @@
 	return nil
 }
 
-// lose ends a worker with all that runs there; another life serves under its name after a minute.
+// crashWorker ends a worker and all its tasks. After a minute another incarnation serves under the same name.
 func (fw *fakeWorkers) crashWorker(id table.InstanceID) {
 	fw.lostWorkers[id] = true
 	for job, rn := range fw.tasks {
 		if rn.task.Instance == id {
 			delete(fw.tasks, job)
-			// Its next life knows nothing of it.
+			// The next incarnation does not know the attempt.
 			fw.newestAttempts[job]--
 		}
 	}
@@ -115,7 +115,7 @@
 	delete(fw.tasks, tk.Job)
 }
 
-// settle ends the tasks whose time or lease is over; the lock is held.
+// finishDueTasks ends the tasks that are due or whose lease has expired. The caller holds fw.mu.
 func (fw *fakeWorkers) finishDueTasks() {
 	now := time.Now()
 	for _, rn := range fw.tasks {
@@ -130,7 +130,7 @@
 	}
 }
 
-// Reports returns the ends of tasks.
+// Reports returns the reports of all ended tasks.
 func (fw *fakeWorkers) Reports(context.Context) ([]worker.Report, error) {
 	fw.mu.Lock()
 	defer fw.mu.Unlock()
@@ -138,7 +138,7 @@
 	return slices.Clone(fw.reports), nil
 }
 
-// testBed is a table with workers and jobs, and the placers on it.
+// testBed is a table with workers and jobs, and the placers that use it.
 type testBed struct {
 	t        *testing.T
 	mm       *standin.Memory
@@ -204,7 +204,7 @@
 	return jb
 }
 
-// placer starts a placer; before, if there is one, is called at each point at which it can be frozen.
+// placer starts a placer. The optional hook is called before each of its commits and side effects and may freeze it there.
 func (tb *testBed) placer(ctx context.Context, entry table.InstanceID, hooks ...func()) {
 	pl := worker.NewPlacer(tb.mm, tb.fw, tb.watcher, worker.WithEntry(entry, table.Incarnation(table.NewID())), worker.WithUrgentReserve(2))
 	for _, fn := range hooks {
@@ -213,7 +213,7 @@
 	go pl.Run(ctx)
 }
 
-// runTest runs a test under a synthetic clock and wants that no job ever ran twice at once.
+// runTest runs a test under a synthetic clock and checks at its end that no job ever ran twice at the same time.
 func runTest(t *testing.T, workers int, test func(ctx context.Context, tb *testBed)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -287,8 +287,8 @@
 	})
 }
 
-// A worker that is lost lists no end. Its jobs stayed on it for ever, since their leases were renewed in the table though nobody answered; and
-// one that crashed each worker was placed again without a bound. Now they go on elsewhere once their lease is over, and that one is given up.
+// A lost worker never reports the end of its tasks. The placer must not renew their leases, or the jobs stay on the lost worker for ever:
+// they have to move to other workers after the lease expires. A job that crashes every worker has to fail after a limited number of placements.
 func TestJobsOfLostWorkersAreMovedAndCrashingJobFails(t *testing.T) {
 	runTest(t, 6, func(ctx context.Context, tb *testBed) {
 		tb.fw.crashingJobs["j003"] = true
@@ -309,8 +309,8 @@
 	})
 }
 
-// A job crashed each worker that started it while placers came and went, each of which told the worker again of an attempt that nobody had
-// answered for: what earlier ones had tried was known to none of them.
+// A job crashes every worker that starts it while the placer changes often. Each new placer sends the unacknowledged attempt again, and the
+// attempts of earlier placers are not in its memory. The number of restarts has to stay limited across placers.
 func TestCrashingJobFailsAcrossPlacerChanges(t *testing.T) {
 	runTest(t, 6, func(ctx context.Context, tb *testBed) {
 		tb.fw.crashingJobs["j003"] = true
@@ -398,9 +398,9 @@
 				t.Errorf("%s is %s after %d attempts", jb.ID, jb.State, jb.Attempt)
 			}
 		}
-		t.Logf("%d jobs, each started once: %d starts, %d wakings of a frozen placer", tb.jobCount, tb.fw.starts, resumed)
+		t.Logf("%d jobs, each started once: %d starts, %d resumptions of a frozen placer", tb.jobCount, tb.fw.starts, resumed)
 		if resumed == 0 || tb.fw.starts != tb.jobCount {
-			t.Errorf("%d wakings, %d starts of %d jobs", resumed, tb.fw.starts, tb.jobCount)
+			t.Errorf("%d resumptions, %d starts of %d jobs", resumed, tb.fw.starts, tb.jobCount)
 		}
 	})
 }
@@ -421,7 +421,7 @@
 
 func TestEndedJobsAreDeleted(t *testing.T) {
 	runTest(t, 2, func(ctx context.Context, tb *testBed) {
-		// The placers run only for the times that matter, since each rounds four times a second.
+		// Placers run only for part of the simulated time, since each runs four rounds a second.
 		runPlacer := func(entry table.InstanceID, duration time.Duration) {
 			placerCtx, stop := context.WithTimeout(ctx, duration)
 			defer stop()
@@ -442,7 +442,7 @@
 			t.Fatal(err)
 		}
 		if len(cs.Rows) != 1 || cs.Rows[0].Key != string(recent) || tb.job(recent).State != worker.JobDone {
-			t.Errorf("%d jobs left", len(cs.Rows))
+			t.Errorf("%d jobs remain, want only the recent one, done", len(cs.Rows))
 		}
 	})
 }
--- a/worker/steps.go
+++ b/worker/steps.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// maxWorkerLosses is how many workers may be lost under a job, one after the other, before it is given up. Each takes two leases to notice.
+	// maxWorkerLosses is how many workers in a row may be lost while they run a job before the job fails. Each loss takes two leases to detect.
 	maxWorkerLosses = 3
-	// maxFailedStarts is how often a worker that does not answer is asked for an attempt. What came of it shows at the lease's end.
+	// maxFailedStarts is how often an attempt is sent to a worker that does not answer. After that, the outcome is known when the lease expires.
 	maxFailedStarts = 2
-	// maxRestarts is how often in all a job is started again on a worker that does not know of its attempt: it may be what ended the worker.
+	// maxRestarts limits how often in total a job is started again on workers that do not know its attempt: the job may have crashed the worker.
 	maxRestarts = 2
 )
 
-// settle takes the ends of tasks over into their jobs.
+// applyReports updates jobs from the reported ends of their tasks and requeues jobs whose workers were lost.
 func (pl *Placer) applyReports(ctx context.Context, reports []Report) error {
 	var changed []*Job
 	for _, rp := range reports {
@@ -34,14 +34,15 @@
 	}
 	for _, jb := range pl.jobs {
 		if jb.State == JobRunning && pl.opts.Now().After(jb.LeaseUntil.Add(pl.opts.TaskLease)) {
-			// Its worker stopped it by itself when the lease ran out, and the margin covers clocks that differ.
+			// The worker stopped the task on its own when the lease expired. The extra lease duration covers clock differences.
 			changed = append(changed, afterWorkerLoss(jb))
 		}
 	}
 	return pl.writeJobs(ctx, changed)
 }
 
-// afterWorkerLoss returns a job after the loss of its worker: a worker that it crashed lists no end, so that losses are what bounds its placements.
+// afterWorkerLoss returns a job after the loss of its worker. A crashed worker never reports how the task ended,
+// so the number of losses limits how often a job that crashes workers is placed.
 func afterWorkerLoss(jb *Job) *Job {
 	next := *jb
 	next.LostOn = append(slices.Clone(jb.LostOn), jb.Instance)
@@ -52,7 +53,7 @@
 	return &next
 }
 
-// ended returns the job after its task's end; nil while it runs.
+// afterReport returns the job as it is after the end of its task, or nil while the task is running.
 func (pl *Placer) afterReport(jb *Job, rp Report) *Job {
 	next := *jb
 	switch rp.State {
@@ -77,7 +78,7 @@
 	return &next
 }
 
-// cancel ends the jobs that cancellations name and stops those that run.
+// applyCancellations cancels the jobs that match a cancellation and stops their running tasks.
 func (pl *Placer) applyCancellations(ctx context.Context, _ []Report) error {
 	var cancellations []Cancellation
 	for _, cn := range pl.cancels {
@@ -90,7 +91,7 @@
 		}
 		if jb.State == JobRunning {
 			pl.testHook()
-			// A stop that is lost ends with the task's lease.
+			// If the stop call fails, the task ends when its lease expires.
 			_ = pl.workers.Stop(ctx, jb.Instance, jb.ID, jb.Attempt, false)
 		}
 		next := *jb
@@ -100,7 +101,7 @@
 	return pl.writeJobs(ctx, changed)
 }
 
-// renew extends the leases of running tasks, and moves those off workers that a plan is about to stop, after a checkpoint.
+// renewLeases renews the leases of running tasks. Tasks on workers that a plan is about to stop are stopped after a checkpoint and requeued.
 func (pl *Placer) renewLeases(ctx context.Context, _ []Report) error {
 	var changed []*Job
 	sn := pl.snapshots.Snapshot()
@@ -117,7 +118,7 @@
 			}
 			next.State, next.Instance = JobQueued, ""
 		case pl.acknowledged[jb.ID] != jb.Attempt:
-			// Nobody answered for it. Renewed leases kept the jobs of a lost worker on it for ever.
+			// No worker has acknowledged this attempt. Renewing its lease would keep the jobs of a lost worker assigned to it for ever.
 			continue
 		case jb.LeaseUntil.Sub(pl.opts.Now()) < pl.opts.TaskLease/2:
 			next.LeaseUntil = pl.opts.Now().Add(pl.opts.TaskLease)
@@ -130,19 +131,20 @@
 		return err
 	}
 	for _, jb := range pl.jobs {
-		// A placer before this one may have ended between the table and the worker.
+		// A previous placer may have stopped after it wrote the table and before it called the worker.
 		if jb.State == JobRunning && pl.acknowledged[jb.ID] != jb.Attempt && pl.failedStarts[jb.ID] < maxFailedStarts && !slices.Contains(changed, jb) {
 			changed = append(changed, jb)
 		}
 	}
-	unknown, err := pl.startTasks(ctx, changed, true)
+	unknown, err := pl.sendTasks(ctx, changed, true)
 	if err != nil {
 		return err
 	}
 	return pl.restartUnknown(ctx, unknown)
 }
 
-// repeat starts attempts again that their workers do not know. That is kept first, so that placers by turns do not repeat it without a bound.
+// restartUnknown restarts attempts that their workers do not know. The count is saved first, so that it also limits the restarts
+// across changes of the placer.
 func (pl *Placer) restartUnknown(ctx context.Context, unknown []*Job) error {
 	var changed []*Job
 	for _, jb := range unknown {
@@ -155,11 +157,11 @@
 	if err := pl.writeJobs(ctx, changed); err != nil {
 		return err
 	}
-	_, err := pl.startTasks(ctx, changed, false)
+	_, err := pl.sendTasks(ctx, changed, false)
 	return err
 }
 
-// place puts queued jobs on workers: first in the table, under the lease, and then at the workers.
+// placeQueued places queued jobs: it writes the table under the lease first, and then starts the tasks on the workers.
 func (pl *Placer) placeQueued(ctx context.Context, _ []Report) error {
 	pr := Place(pl.placementInput())
 	var changed []*Job
@@ -179,11 +181,11 @@
 	if err := pl.writeJobs(ctx, changed); err != nil {
 		return err
 	}
-	_, err := pl.startTasks(ctx, changed, false)
+	_, err := pl.sendTasks(ctx, changed, false)
 	return err
 }
 
-// placing gathers what a round of placement is made from.
+// placementInput collects the input of a placement round.
 func (pl *Placer) placementInput() PlacementInput {
 	pi := PlacementInput{Quotas: pl.quotas, UsedSlots: map[TeamID]int{}, UrgentReserve: pl.opts.UrgentReserve, Estimator: pl.estimator, Failures: pl.failures, Now: pl.opts.Now()}
 	sn := pl.snapshots.Snapshot()
@@ -207,7 +209,7 @@
 	return pi
 }
 
-// write changes the rows of jobs in groups; each batch holds only while the lease row is the placer's.
+// writeJobs writes changed jobs in batches. Each batch commits only if this placer still holds the lease row.
 func (pl *Placer) writeJobs(ctx context.Context, changed []*Job) error {
 	for batch := range slices.Chunk(changed, batchSize) {
 		if err := pl.writeBatch(ctx, batch); err != nil {
@@ -244,9 +246,9 @@
 	return nil
 }
 
-// tell tells workers of tasks that are theirs by the table, to start them or only to renew their leases; one that cannot be told is asked in the
-// next round. It returns the jobs that were to be renewed and that their workers do not know.
-func (pl *Placer) startTasks(ctx context.Context, changed []*Job, renew bool) (unknown []*Job, err error) {
+// sendTasks sends running jobs to their workers, to start them or only to renew their leases. A call that fails is retried in the next round,
+// up to maxFailedStarts. It returns the jobs whose leases were to be renewed but whose workers do not know the attempt.
+func (pl *Placer) sendTasks(ctx context.Context, changed []*Job, renew bool) (unknown []*Job, err error) {
 	for _, jb := range changed {
 		if jb.State != JobRunning {
 			continue
