--- a/worker/estimator.go
+++ b/worker/estimator.go
@@ -12,7 +12,7 @@
 	minSamples = 5
 	// estimateQuantile is the quantile of the samples that is granted. A lower one would throttle jobs often, a higher one would waste capacity.
 	estimateQuantile = 0.95
-	// estimateMargin is multiplied with the quantile, since the next job may use slightly more.
+	// estimateMargin multiplies the quantile, because the next job may use slightly more.
 	estimateMargin     = 1.05
 	minRatio, maxRatio = 0.05, 8.0
 )
--- a/worker/place.go
+++ b/worker/place.go
@@ -83,7 +83,7 @@
 	vw.Exclusive = vw.Exclusive || len(jb.LostOn) > 0
 }
 
-// excludes reports whether the job must not share the worker: a job that has lost workers runs only on an otherwise empty worker.
+// excludes reports whether the worker must not get the job: a job that has lost workers runs only on a worker without other jobs.
 func (vw *WorkerView) excludes(jb *Job) bool {
 	return vw.Exclusive || len(jb.LostOn) > 0 && vw.UsedSlots > 0
 }
@@ -148,8 +148,8 @@
 }
 
 // freeShare scores the remaining capacity as a share of the worker. An unused accelerator has the largest weight.
-func freeShare(remaining, total Size) float64 {
-	return float64(remaining.CPUMillis)/float64(max(1, total.CPUMillis)) + float64(remaining.MemoryMB)/float64(max(1, total.MemoryMB)) + float64(remaining.Accelerators)
+func freeShare(remaining, capacity Size) float64 {
+	return float64(remaining.CPUMillis)/float64(max(1, capacity.CPUMillis)) + float64(remaining.MemoryMB)/float64(max(1, capacity.MemoryMB)) + float64(remaining.Accelerators)
 }
 
 // matchesAny reports whether any of the cancellations applies to the job.
--- a/worker/placer.go
+++ b/worker/placer.go
@@ -44,7 +44,7 @@
 	Until       time.Time         `json:"until"`
 }
 
-// SnapshotSource returns the newest snapshot of the fleet.
+// SnapshotSource provides the newest snapshot of the fleet.
 type SnapshotSource interface {
 	Snapshot() *table.Snapshot
 }
@@ -86,21 +86,21 @@
 func WithUrgentReserve(slots int) Option { return func(op *Options) { op.UrgentReserve = slots } }
 
 // WithWorkerSize sets the capacity and the number of slots of each worker.
-func WithWorkerSize(total Size, slots int) Option {
-	return func(op *Options) { op.WorkerSize, op.WorkerSlots = total, slots }
+func WithWorkerSize(capacity Size, slots int) Option {
+	return func(op *Options) { op.WorkerSize, op.WorkerSlots = capacity, slots }
 }
 
 // Placer places jobs while it holds the placer lease. Any number of placers may run at the same time.
 type Placer struct {
-	opts        Options
-	table       table.Table
-	workers     Workers
-	snapshots   SnapshotSource
-	mu          sync.Mutex // guards what follows
-	seenVersion table.Version
-	jobs        map[JobID]*Job
-	cancels     map[string]Cancellation
-	quotas      map[TeamID]int
+	opts          Options
+	table         table.Table
+	workers       Workers
+	snapshots     SnapshotSource
+	mu            sync.Mutex // guards the fields below
+	seenVersion   table.Version
+	jobs          map[JobID]*Job
+	cancellations map[string]Cancellation
+	quotas        map[TeamID]int
 	// acknowledged holds the attempts that their workers have confirmed to this placer. Other running attempts are sent again in each round.
 	acknowledged map[JobID]Attempt
 	// failedStarts counts the consecutive starts of a job that got no answer.
@@ -110,8 +110,8 @@
 	// leaseVersion is the version of the lease row that this placer holds; 0 if it does not hold the lease.
 	leaseVersion table.Version
 	leaseUntil   time.Time
-	// testHook is called before each commit and side effect. Tests use it to freeze the placer there.
-	testHook func()
+	// hook is called before each commit and side effect. Tests use it to freeze the placer there.
+	hook func()
 }
 
 // NewPlacer returns a placer that keeps its jobs in table and reads the state of the fleet from snapshots.
@@ -120,18 +120,18 @@
 	for _, option := range options {
 		option(&opts)
 	}
-	pl := &Placer{opts: opts, table: table, workers: workers, snapshots: snapshots, testHook: func() {}}
+	pl := &Placer{opts: opts, table: table, workers: workers, snapshots: snapshots, hook: func() {}}
 	pl.reset()
 	return pl
 }
 
-// SetTestHook sets a function that is called before each commit and side effect. It is meant for tests.
-func (pl *Placer) SetTestHook(hook func()) { pl.testHook = hook }
+// SetHook sets a function that is called before each commit and side effect. It is meant for tests.
+func (pl *Placer) SetHook(hook func()) { pl.hook = hook }
 
 // reset clears all in-memory state. What was learned about kinds and workers is dropped too, because another placer was active in between.
 func (pl *Placer) reset() {
 	pl.seenVersion, pl.leaseVersion = 0, 0
-	pl.jobs, pl.cancels, pl.quotas = map[JobID]*Job{}, map[string]Cancellation{}, map[TeamID]int{}
+	pl.jobs, pl.cancellations, pl.quotas = map[JobID]*Job{}, map[string]Cancellation{}, map[TeamID]int{}
 	pl.acknowledged, pl.failedStarts = map[JobID]Attempt{}, map[JobID]int{}
 	pl.estimator, pl.failures = NewSizeEstimator(), NewFailureTracker()
 }
@@ -181,7 +181,7 @@
 	return nil
 }
 
-// deleteExpiredJobs deletes one batch of finished jobs that are past their retention. The audit trail keeps their ends no longer than the table.
+// deleteExpiredJobs deletes a batch of finished jobs that are past their retention. The audit trail keeps their outcomes no longer than the table.
 func (pl *Placer) deleteExpiredJobs(ctx context.Context) error {
 	writes := []table.Write{{Table: table.TableLease, Key: leaseKey, IfVersion: pl.leaseVersion, Check: true}}
 	for _, jb := range pl.jobs {
@@ -192,7 +192,7 @@
 	if len(writes) == 1 {
 		return nil
 	}
-	pl.testHook()
+	pl.hook()
 	if _, err := pl.table.Commit(ctx, table.Tx{Writes: writes}); err != nil {
 		return eris.Wrap(err, "delete ended jobs")
 	}
@@ -227,8 +227,8 @@
 	}
 	if err == nil {
 		lease, decodeErr := table.Decode[placerLease](rw)
-		mine := lease.Holder == pl.opts.Entry && lease.Incarnation == pl.opts.Incarnation && rw.Version == pl.leaseVersion
-		if decodeErr == nil && !mine && now.Before(lease.Until) {
+		own := lease.Holder == pl.opts.Entry && lease.Incarnation == pl.opts.Incarnation && rw.Version == pl.leaseVersion
+		if decodeErr == nil && !own && now.Before(lease.Until) {
 			pl.leaseVersion = 0
 			return false, nil
 		}
@@ -255,7 +255,7 @@
 	if err != nil {
 		return false, err
 	}
-	pl.testHook()
+	pl.hook()
 	version, err := pl.table.Commit(ctx, table.Tx{Writes: []table.Write{{Table: table.TableLease, Key: leaseKey, IfVersion: ifVersion, Value: raw}}})
 	var conflict *table.ConflictError
 	if errors.As(err, &conflict) {
@@ -298,7 +298,7 @@
 	case TableCancel:
 		if cn, err := table.Decode[Cancellation](rw); err == nil && !rw.Deleted {
 			cn.version = rw.Version
-			pl.cancels[rw.Key] = cn
+			pl.cancellations[rw.Key] = cn
 		}
 	case TableQuota:
 		if qt, err := table.Decode[Quota](rw); err == nil {
--- a/worker/placer_test.go
+++ b/worker/placer_test.go
@@ -58,7 +58,7 @@
 		return fmt.Errorf("worker does not answer")
 	}
 	if tk.Attempt < fw.newestAttempts[tk.Job] || !time.Now().Before(tk.LeaseUntil) {
-		return fmt.Errorf("attempt is too old or its lease has expired")
+		return fmt.Errorf("refused")
 	}
 	if tk.Renew && fw.newestAttempts[tk.Job] != tk.Attempt {
 		return table.ErrNoTask
@@ -208,7 +208,7 @@
 func (tb *testBed) placer(ctx context.Context, entry table.InstanceID, hooks ...func()) {
 	pl := worker.NewPlacer(tb.mm, tb.fw, tb.watcher, worker.WithEntry(entry, table.Incarnation(table.NewID())), worker.WithUrgentReserve(2))
 	for _, fn := range hooks {
-		pl.SetTestHook(fn)
+		pl.SetHook(fn)
 	}
 	go pl.Run(ctx)
 }
@@ -240,7 +240,7 @@
 		took := tb.fw.startedAt[urgent].Sub(submitted)
 		t.Logf("urgent job started after %v behind %d queued ones", took, 40-14)
 		if tb.fw.startedAt[urgent].IsZero() || took > 1100*time.Millisecond {
-			t.Errorf("urgent job started after %v", took)
+			t.Errorf("urgent job started after %v, want 1.1 s at most", took)
 		}
 	})
 }
@@ -252,10 +252,10 @@
 		tb.placer(ctx, "e1")
 		time.Sleep(2 * time.Second)
 		if jb := tb.job(giant); jb.State != worker.JobUnschedulable || jb.Why == "" {
-			t.Errorf("giant is %s", jb.State)
+			t.Errorf("oversized job is %s with reason %q, want it unschedulable with a reason", jb.State, jb.Why)
 		}
 		if jb := tb.job(small); jb.State != worker.JobRunning {
-			t.Errorf("small is %s", jb.State)
+			t.Errorf("small job is %s, want it running", jb.State)
 		}
 	})
 }
@@ -358,7 +358,7 @@
 			t.Errorf("%d writes for %d cancellations", writes, len(ids))
 		}
 		if len(tb.fw.tasks) != 0 {
-			t.Errorf("%d tasks still run", len(tb.fw.tasks))
+			t.Errorf("%d tasks of cancelled jobs still run", len(tb.fw.tasks))
 		}
 	})
 }
--- a/worker/steps.go
+++ b/worker/steps.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// maxWorkerLosses is how many workers in a row may be lost while they run a job before the job fails. Each loss takes two leases to detect.
+	// maxWorkerLosses is how many workers may be lost under a job, one after another, before the job fails. A loss takes two leases to detect.
 	maxWorkerLosses = 3
 	// maxFailedStarts is how often an attempt is sent to a worker that does not answer. After that, the outcome is known when the lease expires.
 	maxFailedStarts = 2
@@ -81,7 +81,7 @@
 // applyCancellations cancels the jobs that match a cancellation and stops their running tasks.
 func (pl *Placer) applyCancellations(ctx context.Context, _ []Report) error {
 	var cancellations []Cancellation
-	for _, cn := range pl.cancels {
+	for _, cn := range pl.cancellations {
 		cancellations = append(cancellations, cn)
 	}
 	var changed []*Job
@@ -90,7 +90,7 @@
 			continue
 		}
 		if jb.State == JobRunning {
-			pl.testHook()
+			pl.hook()
 			// If the stop call fails, the task ends when its lease expires.
 			_ = pl.workers.Stop(ctx, jb.Instance, jb.ID, jb.Attempt, false)
 		}
@@ -112,7 +112,7 @@
 		next := *jb
 		switch in := sn.Instances[jb.Instance]; {
 		case in != nil && (in.Hold != nil || in.State != table.InstanceServing):
-			pl.testHook()
+			pl.hook()
 			if err := pl.workers.Stop(ctx, jb.Instance, jb.ID, jb.Attempt, true); err != nil {
 				continue
 			}
@@ -230,7 +230,7 @@
 		}
 		writes = append(writes, table.Write{Table: TableJob, Key: string(jb.ID), IfVersion: jb.version, Value: raw})
 	}
-	pl.testHook()
+	pl.hook()
 	version, err := table.CommitOnce(ctx, pl.table, table.Audit{Actor: string(pl.opts.Entry), Action: "jobs", Subject: string(batch[0].ID), Why: "placement", At: pl.opts.Now().UTC()}, writes...)
 	var conflict *table.ConflictError
 	if errors.As(err, &conflict) {
@@ -253,7 +253,7 @@
 		if jb.State != JobRunning {
 			continue
 		}
-		pl.testHook()
+		pl.hook()
 		if !pl.opts.Now().Before(jb.LeaseUntil) {
 			return nil, ErrLeaseLost
 		}
