--- a/endpoint/example_test.go
+++ b/endpoint/example_test.go
@@ -20,7 +20,7 @@
 }
 
 func ExampleNewShare() {
-	// Eight slots and 64 connections, three entry instances alive of at most nine.
+	// Eight slots and 64 connections, three live entry instances of at most nine.
 	fmt.Printf("%+v\n", endpoint.NewShare(8, 64, 3, 9))
 	// Output: {Least:2 Most:5}
 }
--- a/endpoint/pick.go
+++ b/endpoint/pick.go
@@ -46,11 +46,11 @@
 // Pick chooses an endpoint. A due probe comes first, then the cheaper of two random endpoints in the own hall, then in other halls.
 // Endpoints that the request has already tried come last.
 // When more than maxShare of the endpoints are ejected, or all of them, ejections are ignored.
-func Pick(loads []Load, repeatable bool, shareMax float64, random func(n int) int) Choice {
+func Pick(loads []Load, repeatable bool, maxShare float64, random func(n int) int) Choice {
 	if len(loads) == 0 {
 		return Choice{Index: -1}
 	}
-	ignoreEjections := ejectionsUntrusted(loads, shareMax)
+	ignoreEjections := ejectionsUntrusted(loads, maxShare)
 	if repeatable && !ignoreEjections {
 		if index := findDueProbe(loads); index >= 0 {
 			return Choice{Index: index, Probe: true}
@@ -70,14 +70,14 @@
 }
 
 // ejectionsUntrusted reports whether so many endpoints are ejected that the detection is more likely wrong than the endpoints.
-func ejectionsUntrusted(loads []Load, shareMax float64) bool {
+func ejectionsUntrusted(loads []Load, maxShare float64) bool {
 	ejected := 0
 	for _, ld := range loads {
 		if ld.Health != StatusHealthy {
 			ejected++
 		}
 	}
-	return ejected == len(loads) || float64(ejected) > shareMax*float64(len(loads))
+	return ejected == len(loads) || float64(ejected) > maxShare*float64(len(loads))
 }
 
 func findDueProbe(loads []Load) int {
