--- a/worker/placer.go
+++ b/worker/placer.go
@@ -101,7 +101,7 @@
 	jobs          map[JobID]*Job
 	cancellations map[string]Cancellation
 	quotas        map[TeamID]int
-	// acknowledged holds the attempts that their workers have confirmed to this placer. Other running attempts are sent again in each round.
+	// acknowledged holds the attempts that their workers have confirmed to this placer. Other running attempts are sent again, up to maxFailedStarts.
 	acknowledged map[JobID]Attempt
 	// failedStarts counts the consecutive starts of a job that got no answer.
 	failedStarts map[JobID]int
@@ -128,7 +128,7 @@
 // SetHook sets a function that is called before each commit and side effect. It is meant for tests.
 func (pl *Placer) SetHook(hook func()) { pl.hook = hook }
 
-// reset clears all in-memory state. What was learned about kinds and workers is dropped too, because another placer was active in between.
+// reset clears all in-memory state. What was learned about kinds and workers is dropped too, because another placer may have been active since.
 func (pl *Placer) reset() {
 	pl.seenVersion, pl.leaseVersion = 0, 0
 	pl.jobs, pl.cancellations, pl.quotas = map[JobID]*Job{}, map[string]Cancellation{}, map[TeamID]int{}
