--- a/caller/caller.go
+++ b/caller/caller.go
@@ -54,24 +54,24 @@
 const Anonymous ID = "anonymous"
 
 // Mark says how often a request may run.
-type Mark int
+type DeliveryMode int
 
 // The marks.
 const (
 	// MarkRepeatable may run any number of times.
-	MarkRepeatable Mark = iota
+	DeliveryRepeatable DeliveryMode = iota
 	// MarkSingle is sent once for each time that the caller sends it.
-	MarkSingle
+	DeliveryOncePerTry
 	// MarkUnrepeatable runs at most once, however often the caller sends it.
-	MarkUnrepeatable
+	DeliveryAtMostOnce
 )
 
 // Request is one request as it came in.
 type Request struct {
-	Caller  ID
-	ID      RequestID
-	Mark    Mark
-	Service table.ServiceID
+	Caller   ID
+	ID       RequestID
+	Delivery DeliveryMode
+	Service  table.ServiceID
 	// Try is the number of this try as the caller counts, 1 being the first; 0 if it does not say.
 	Try      int
 	Session  *Session
@@ -82,7 +82,7 @@
 	Header   http.Header
 	Body     []byte
 	// Named says that the caller gave the request id.
-	Named bool
+	IDFromCaller bool
 	// ticket is set when the request id is a ticket.
 	ticket *ticket
 }
@@ -90,7 +90,7 @@
 // prior returns what is known of earlier tries without asking anybody.
 // An unrepeatable request's claim tells; a request without an id of the caller's is another one each time that it is sent.
 func (rq *Request) prior() endpoint.Prior {
-	if rq.Mark == MarkUnrepeatable || !rq.Named || rq.Try == 1 {
+	if rq.Delivery == DeliveryAtMostOnce || !rq.IDFromCaller || rq.Try == 1 {
 		return endpoint.PriorNone
 	}
 	return endpoint.PriorUnknown
@@ -132,9 +132,9 @@
 // Peers asks other entry instances.
 type Peers interface {
 	// Flight asks the owner of a claim what became of it.
-	Flight(ctx context.Context, owner table.InstanceID, key Key, nonce Nonce) (Word, error)
+	ClaimStatus(ctx context.Context, owner table.InstanceID, key Key, nonce Nonce) (Result, error)
 	// Collect asks all for a kept answer.
-	Collect(ctx context.Context, key Key) (Word, error)
+	Collect(ctx context.Context, key Key) (Result, error)
 	// Forward lets the issuer of a request's ticket run it.
-	Forward(ctx context.Context, issuer table.InstanceID, req *Request) (Word, error)
+	Forward(ctx context.Context, issuer table.InstanceID, req *Request) (Result, error)
 }
--- a/caller/claim.go
+++ b/caller/claim.go
@@ -13,8 +13,8 @@
 
 const (
 	// inlineBytes is the largest answer kept in the claim's row; a larger one goes to the object store.
-	inlineBytes  = 16 << 10
-	objectPrefix = "answer."
+	maxInlineBytes = 16 << 10
+	objectPrefix   = "answer."
 )
 
 // ClaimState says what became of a claim.
@@ -59,14 +59,14 @@
 }
 
 // heldError says that the row of a claim is as another claim left it.
-type heldError struct {
+type claimConflictError struct {
 	row   table.Row
 	claim Claim
 }
 
 // Error names the claim in the way.
-func (he *heldError) Error() string {
-	return "claim " + he.row.Key + " is " + string(he.claim.State) + " by " + string(he.claim.Owner)
+func (ce *claimConflictError) Error() string {
+	return "claim " + ce.row.Key + " is " + string(ce.claim.State) + " by " + string(ce.claim.Owner)
 }
 
 // Store keeps claims and large answers at the platform.
@@ -79,31 +79,31 @@
 
 // claims writes the claims of one entry instance.
 type claims struct {
-	opts  *Options
-	store Store
-	group *grouper
+	opts    *Options
+	store   Store
+	batcher *batcher
 }
 
 func newClaims(store Store, opts *Options) *claims {
-	return &claims{opts: opts, store: store, group: newGrouper(store, opts)}
+	return &claims{opts: opts, store: store, batcher: newBatcher(store, opts)}
 }
 
 // of returns the claim that this entry instance would write for a request.
-func (cs *claims) of(req *Request, nonce Nonce, state ClaimState) Claim {
+func (cs *claims) build(req *Request, nonce Nonce, state ClaimState) Claim {
 	return Claim{Caller: req.Caller, ID: req.ID, Digest: req.Digest(), Service: req.Service, State: state, Owner: cs.opts.Entry, Incarnation: cs.opts.Incarnation, Nonce: nonce, At: cs.opts.Now().UTC()}
 }
 
 // put writes a claim over a version; a *heldError says that another was there.
-func (cs *claims) put(ctx context.Context, key Key, cl Claim, over table.Version) (table.Version, error) {
+func (cs *claims) write(ctx context.Context, key Key, cl Claim, replaces table.Version) (table.Version, error) {
 	raw, err := table.Encode(cl)
 	if err != nil {
 		return 0, err
 	}
-	mine := func(rw table.Row) bool {
+	alreadyApplied := func(rw table.Row) bool {
 		other, err := table.Decode[Claim](rw)
 		return err == nil && other.Nonce == cl.Nonce && other.State == cl.State
 	}
-	version, err := cs.group.write(ctx, table.Write{Table: table.TableClaim, Key: string(key), IfVersion: over, Value: raw}, mine)
+	version, err := cs.batcher.write(ctx, table.Write{Table: table.TableClaim, Key: string(key), IfVersion: replaces, Value: raw}, alreadyApplied)
 	var conflict *table.ConflictError
 	if !errors.As(err, &conflict) {
 		return version, err
@@ -113,7 +113,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return 0, &heldError{row: rw, claim: other}
+	return 0, &claimConflictError{row: rw, claim: other}
 }
 
 // get reads a claim.
@@ -127,12 +127,12 @@
 }
 
 // resultOf turns an answer into what is kept with the claim; a large body is put into the object store first.
-func (cs *claims) resultOf(ctx context.Context, key Key, nonce Nonce, answer *endpoint.Answer) (*ClaimResult, error) {
+func (cs *claims) storeAnswer(ctx context.Context, key Key, nonce Nonce, answer *endpoint.Answer) (*ClaimResult, error) {
 	result := &ClaimResult{Status: answer.Status, Header: answer.Header}
 	switch {
 	case answer.Stream != nil:
 		result.NotKept = true
-	case len(answer.Body) <= inlineBytes:
+	case len(answer.Body) <= maxInlineBytes:
 		result.Body = answer.Body
 	default:
 		result.Object = objectPrefix + string(key) + "." + string(nonce)
@@ -144,10 +144,10 @@
 }
 
 // answerOf returns the answer kept with a claim.
-func (cs *claims) answerOf(ctx context.Context, cl Claim) (*endpoint.Answer, error) {
+func (cs *claims) loadAnswer(ctx context.Context, cl Claim) (*endpoint.Answer, error) {
 	result := cl.Result
 	if result == nil || result.NotKept {
-		return nil, errNotKept
+		return nil, errAnswerNotKept
 	}
 	answer := &endpoint.Answer{Status: result.Status, Header: result.Header, Body: result.Body}
 	if answer.Header == nil {
--- a/caller/claim_test.go
+++ b/caller/claim_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestClaimsShareWrites measures the platform's writes for each unrepeatable request at a platform that takes 5 ms.
-func TestClaimsShareWrites(t *testing.T) {
+func TestClaimsShareTransactions(t *testing.T) {
 	// bound is the most transactions for each request, claim and result together.
 	for _, td := range []struct {
 		inFlight int
@@ -62,12 +62,12 @@
 
 // The owner of a claim did not answer within the peers' 500 ms, once, on a machine that was busy, and a caller was told unknown though the
 // request was answered elsewhere. One question without an answer says little; an owner that is lost answers none.
-func TestOwnerOfAClaimIsAskedAgain(t *testing.T) {
+func TestClaimOwnerIsQueriedAgain(t *testing.T) {
 	for fails, want := range map[int]int{0: 200, 2: 200, 100: 502} {
 		synctest.Test(t, func(t *testing.T) {
 			mm, fr := standin.NewMemory(), &fakeRouter{work: time.Second, runs: map[string]int{}}
 			one := newServer(fr, mm)
-			two := caller.NewServer(fr, fakeSnapshots{}, mm, &deafPeers{fails: fails}, caller.WithSigner(caller.NewSigner("0123456789abcdef")), caller.WithEntry("e2", "i2"))
+			two := caller.NewServer(fr, fakeSnapshots{}, mm, &unresponsivePeers{failures: fails}, caller.WithSigner(caller.NewSigner("0123456789abcdef")), caller.WithEntry("e2", "i2"))
 			var wg sync.WaitGroup
 			wg.Go(func() { post(one, "r1") })
 			time.Sleep(100 * time.Millisecond)
--- a/caller/code.go
+++ b/caller/code.go
@@ -36,39 +36,39 @@
 
 // Errors that end a request before it is sent.
 var (
-	errStopping     = errors.New("entry instance is stopping")
-	errPlatformDown = errors.New("platform does not answer")
-	errOwnerLost    = errors.New("the entry instance that claimed the request does not answer")
-	errIDConflict   = errors.New("request id was used for another request")
-	errPending      = errors.New("request still runs")
-	errNotKept      = errors.New("answer was too large to be kept")
-	errSessionEnded = errors.New("session's endpoint is gone and no other can take it")
-	errPast         = errors.New("deadline is in the past")
-	errNoAnswer     = errors.New("no answer is kept for this request id")
-	errBusy         = errors.New("buffers are full")
+	errStopping       = errors.New("entry instance is stopping")
+	errPlatformDown   = errors.New("platform does not answer")
+	errOwnerLost      = errors.New("the entry instance that claimed the request does not answer")
+	errIDConflict     = errors.New("request id was used for another request")
+	errPending        = errors.New("request still runs")
+	errAnswerNotKept  = errors.New("answer was too large to be kept")
+	errSessionEnded   = errors.New("session's endpoint is gone and no other can take it")
+	errDeadlinePassed = errors.New("deadline is in the past")
+	errNoAnswer       = errors.New("no answer is kept for this request id")
+	errBuffersFull    = errors.New("buffers are full")
 )
 
 // verdict is a code with the status that it is answered with.
-type verdict struct {
+type errorCode struct {
 	err    error
 	code   Code
 	status int
 }
 
 // verdicts maps the causes to codes; the first match counts.
-var verdicts = []verdict{
+var errorCodes = []errorCode{
 	{errStopping, CodeStopping, http.StatusServiceUnavailable},
 	{errPlatformDown, CodePlatformDown, http.StatusServiceUnavailable},
 	{errOwnerLost, CodeOwnerLost, http.StatusBadGateway},
 	{errIDConflict, CodeIDConflict, http.StatusConflict},
 	{errPending, CodePending, http.StatusGatewayTimeout},
-	{errNotKept, CodeAnswerNotKept, http.StatusBadGateway},
+	{errAnswerNotKept, CodeAnswerNotKept, http.StatusBadGateway},
 	{errSessionEnded, CodeSessionEnded, http.StatusGone},
-	{errPast, CodeDeadlinePassed, http.StatusBadRequest},
+	{errDeadlinePassed, CodeDeadlinePassed, http.StatusBadRequest},
 	{errNoAnswer, CodeNoAnswer, http.StatusNotFound},
 	{errTicketSpent, CodeTicketSpent, http.StatusBadGateway},
-	{errTicket, CodeBadRequest, http.StatusBadRequest},
-	{errBusy, CodeOverloaded, http.StatusServiceUnavailable},
+	{errInvalidTicket, CodeBadRequest, http.StatusBadRequest},
+	{errBuffersFull, CodeOverloaded, http.StatusServiceUnavailable},
 	{endpoint.ErrUnknownService, CodeUnknownService, http.StatusNotFound},
 	{endpoint.ErrNoEndpoint, CodeNoEndpoint, http.StatusServiceUnavailable},
 	{endpoint.ErrOverload, CodeOverloaded, http.StatusServiceUnavailable},
@@ -81,17 +81,17 @@
 }
 
 // verdictOf returns the code and status for a cause.
-func verdictOf(err error) (Code, int) {
-	for _, vd := range verdicts {
-		if errors.Is(err, vd.err) {
-			return vd.code, vd.status
+func codeFor(err error) (Code, int) {
+	for _, ec := range errorCodes {
+		if errors.Is(err, ec.err) {
+			return ec.code, ec.status
 		}
 	}
 	return CodeNoEndpoint, http.StatusServiceUnavailable
 }
 
 // Word is the final word on a request, or what is known of it so far.
-type Word struct {
+type Result struct {
 	Outcome endpoint.Outcome
 	// Answer is the endpoint's; nil unless the outcome is answered.
 	Answer *endpoint.Answer
@@ -118,6 +118,6 @@
 }
 
 // PendingWord is the word on a request that still runs.
-func PendingWord() Word {
-	return Word{Outcome: endpoint.OutcomeUnknown, Cause: errPending, Pending: true}
+func PendingResult() Result {
+	return Result{Outcome: endpoint.OutcomeUnknown, Cause: errPending, Pending: true}
 }
--- a/caller/example_test.go
+++ b/caller/example_test.go
@@ -10,9 +10,9 @@
 func ExampleSigner() {
 	sg := caller.NewSigner("0123456789abcdef")
 	token := sg.Token(caller.Session{ID: "s1", Service: "books", Pin: table.Pin{Instance: "w3", Epoch: 2}})
-	ss, err := sg.Open(token)
+	ss, err := sg.ParseToken(token)
 	fmt.Println(ss.Pin.Instance, err)
-	_, err = caller.NewSigner("another-fleets-key").Open(token)
+	_, err = caller.NewSigner("another-fleets-key").ParseToken(token)
 	fmt.Println(err)
 	// Output:
 	// w3 <nil>
--- a/caller/fakes_test.go
+++ b/caller/fakes_test.go
@@ -44,34 +44,34 @@
 // noPeers knows nobody.
 type noPeers struct{}
 
-func (noPeers) Flight(context.Context, table.InstanceID, caller.Key, caller.Nonce) (caller.Word, error) {
-	return caller.Word{}, errors.New("no peer")
+func (noPeers) ClaimStatus(context.Context, table.InstanceID, caller.Key, caller.Nonce) (caller.Result, error) {
+	return caller.Result{}, errors.New("no peer")
 }
 
-func (noPeers) Collect(context.Context, caller.Key) (caller.Word, error) {
-	return caller.Word{}, errors.New("no peer")
+func (noPeers) Collect(context.Context, caller.Key) (caller.Result, error) {
+	return caller.Result{}, errors.New("no peer")
 }
 
-func (noPeers) Forward(context.Context, table.InstanceID, *caller.Request) (caller.Word, error) {
-	return caller.Word{}, errors.New("no peer")
+func (noPeers) Forward(context.Context, table.InstanceID, *caller.Request) (caller.Result, error) {
+	return caller.Result{}, errors.New("no peer")
 }
 
 // deafPeers know how a request ended, and do not answer the first questions.
-type deafPeers struct {
+type unresponsivePeers struct {
 	noPeers
-	mu    sync.Mutex
-	fails int
-	asked int
+	mu       sync.Mutex
+	failures int
+	queries  int
 }
 
-func (dp *deafPeers) Flight(context.Context, table.InstanceID, caller.Key, caller.Nonce) (caller.Word, error) {
-	dp.mu.Lock()
-	defer dp.mu.Unlock()
-	dp.asked++
-	if dp.asked <= dp.fails {
-		return caller.Word{}, errors.New("no answer in time")
+func (up *unresponsivePeers) ClaimStatus(context.Context, table.InstanceID, caller.Key, caller.Nonce) (caller.Result, error) {
+	up.mu.Lock()
+	defer up.mu.Unlock()
+	up.queries++
+	if up.queries <= up.failures {
+		return caller.Result{}, errors.New("no answer in time")
 	}
-	return caller.Word{Outcome: endpoint.OutcomeAnswered, Answer: &endpoint.Answer{Status: http.StatusOK, Header: http.Header{}, Body: []byte("done")}}, nil
+	return caller.Result{Outcome: endpoint.OutcomeAnswered, Answer: &endpoint.Answer{Status: http.StatusOK, Header: http.Header{}, Body: []byte("done")}}, nil
 }
 
 func newServer(fr *fakeRouter, mm *standin.Memory, options ...caller.Option) *caller.Server {
--- a/caller/options.go
+++ b/caller/options.go
@@ -10,21 +10,21 @@
 
 // Options holds what a server can be built with.
 type Options struct {
-	Entry           table.InstanceID
-	Incarnation     table.Incarnation
-	DefaultTimeout  time.Duration
-	LongestRequest  time.Duration
-	BodyBytes       int
-	Buffers         *endpoint.Buffers
-	KeptBytes       int
-	ClaimWait       time.Duration
-	ClaimGroup      int
-	ClaimTimeout    time.Duration
-	AnswersKept     int
-	AnswerRetention time.Duration
-	Signer          *Signer
-	Log             *event.Logger
-	Now             func() time.Time
+	Entry              table.InstanceID
+	Incarnation        table.Incarnation
+	DefaultTimeout     time.Duration
+	MaxRequestDuration time.Duration
+	MaxBodyBytes       int
+	Buffers            *endpoint.Buffers
+	KeptAnswerBytes    int
+	ClaimBatchInterval time.Duration
+	MaxClaimBatch      int
+	ClaimTimeout       time.Duration
+	MaxKeptAnswers     int
+	AnswerRetention    time.Duration
+	Signer             *Signer
+	Log                *event.Logger
+	Now                func() time.Time
 }
 
 // Option changes one of the options.
@@ -32,18 +32,18 @@
 
 func defaults() Options {
 	return Options{
-		DefaultTimeout:  10 * time.Second,
-		LongestRequest:  30 * time.Second,
-		BodyBytes:       1 << 20,
-		Buffers:         endpoint.NewBuffers(12 << 20),
-		KeptBytes:       4 << 20,
-		ClaimWait:       20 * time.Millisecond,
-		ClaimGroup:      128,
-		ClaimTimeout:    time.Second,
-		AnswersKept:     4096,
-		AnswerRetention: 10 * time.Minute,
-		Log:             event.Nop(),
-		Now:             time.Now,
+		DefaultTimeout:     10 * time.Second,
+		MaxRequestDuration: 30 * time.Second,
+		MaxBodyBytes:       1 << 20,
+		Buffers:            endpoint.NewBuffers(12 << 20),
+		KeptAnswerBytes:    4 << 20,
+		ClaimBatchInterval: 20 * time.Millisecond,
+		MaxClaimBatch:      128,
+		ClaimTimeout:       time.Second,
+		MaxKeptAnswers:     4096,
+		AnswerRetention:    10 * time.Minute,
+		Log:                event.Nop(),
+		Now:                time.Now,
 	}
 }
 
@@ -53,23 +53,27 @@
 }
 
 // WithTimes sets the time for requests without a deadline and the longest one for any.
-func WithTimes(usual, longest time.Duration) Option {
-	return func(op *Options) { op.DefaultTimeout, op.LongestRequest = usual, longest }
+func WithTimeouts(defaultTimeout, maxDuration time.Duration) Option {
+	return func(op *Options) { op.DefaultTimeout, op.MaxRequestDuration = defaultTimeout, maxDuration }
 }
 
 // WithBytes bounds one body, and sets the memory that all bodies are held in.
-func WithBytes(body int, buffers *endpoint.Buffers) Option {
-	return func(op *Options) { op.BodyBytes, op.Buffers = body, buffers }
+func WithBodyLimits(maxBody int, buffers *endpoint.Buffers) Option {
+	return func(op *Options) { op.MaxBodyBytes, op.Buffers = maxBody, buffers }
 }
 
 // WithClaims sets the time between two writes of claims under load, the most claims in one, and the longest wait for one.
-func WithClaims(wait time.Duration, group int, timeout time.Duration) Option {
-	return func(op *Options) { op.ClaimWait, op.ClaimGroup, op.ClaimTimeout = wait, group, timeout }
+func WithClaimBatching(interval time.Duration, maxBatch int, timeout time.Duration) Option {
+	return func(op *Options) {
+		op.ClaimBatchInterval, op.MaxClaimBatch, op.ClaimTimeout = interval, maxBatch, timeout
+	}
 }
 
 // WithAnswers bounds the answers kept in memory for collection by number, bytes and time.
-func WithAnswers(kept, size int, retention time.Duration) Option {
-	return func(op *Options) { op.AnswersKept, op.KeptBytes, op.AnswerRetention = kept, size, retention }
+func WithKeptAnswers(maxAnswers, maxBytes int, retention time.Duration) Option {
+	return func(op *Options) {
+		op.MaxKeptAnswers, op.KeptAnswerBytes, op.AnswerRetention = maxAnswers, maxBytes, retention
+	}
 }
 
 // WithSigner sets what signs session tokens and tickets.
--- a/caller/record.go
+++ b/caller/record.go
@@ -14,31 +14,31 @@
 type flight struct {
 	done chan struct{}
 	// word is set before done is closed.
-	word Word
+	result Result
 }
 
 // record is what an entry instance remembers of one request id.
 type record struct {
 	digest Digest
 	// current is the flight that runs now; nil if none does.
-	current *flight
+	flight *flight
 	// answer is the complete answer, kept for collection.
 	answer *endpoint.Answer
 	// open counts attempts that outlived their caller.
-	open int
+	lateAttempts int
 	// released holds claims that were given back; nothing was sent under them and nothing ever will be.
-	released map[Nonce]bool
-	touched  time.Time
-	size     int
+	releasedClaims map[Nonce]bool
+	lastUsed       time.Time
+	size           int
 }
 
 // records remembers requests by key, in shards so that no lock is shared by all requests.
 type records struct {
-	shards    [recordShards]recordShard
-	kept      int
-	bytes     int
-	retention time.Duration
-	now       func() time.Time
+	shards           [recordShards]recordShard
+	maxPerShard      int
+	maxBytesPerShard int
+	retention        time.Duration
+	now              func() time.Time
 }
 
 type recordShard struct {
@@ -50,7 +50,7 @@
 }
 
 func newRecords(opts *Options) *records {
-	rs := &records{kept: max(1, opts.AnswersKept/recordShards), bytes: opts.KeptBytes / recordShards, retention: opts.AnswerRetention, now: opts.Now}
+	rs := &records{maxPerShard: max(1, opts.MaxKeptAnswers/recordShards), maxBytesPerShard: opts.KeptAnswerBytes / recordShards, retention: opts.AnswerRetention, now: opts.Now}
 	for ix := range rs.shards {
 		rs.shards[ix].byKey = map[Key]*record{}
 	}
@@ -62,18 +62,18 @@
 }
 
 // with runs a function on the record of a key, made if need be, under the shard's lock.
-func (rs *records) with(key Key, fn func(*record)) {
+func (rs *records) update(key Key, fn func(*record)) {
 	sd := rs.shard(key)
 	sd.mu.Lock()
 	defer sd.mu.Unlock()
 	rc := sd.byKey[key]
 	if rc == nil {
-		rc = &record{released: map[Nonce]bool{}}
+		rc = &record{releasedClaims: map[Nonce]bool{}}
 		sd.byKey[key] = rc
 		sd.order = append(sd.order, key)
 	}
 	before := rc.size
-	rc.touched = rs.now()
+	rc.lastUsed = rs.now()
 	fn(rc)
 	sd.bytes += rc.size - before
 	rs.evict(sd)
@@ -81,15 +81,15 @@
 
 // evict forgets the oldest records that nothing runs for, beyond the bounds of number, bytes and time.
 func (rs *records) evict(sd *recordShard) {
-	for looked := 0; looked < len(sd.order); looked++ {
+	for checked := 0; checked < len(sd.order); checked++ {
 		key := sd.order[0]
 		rc := sd.byKey[key]
-		expired := rs.now().Sub(rc.touched) > rs.retention
-		if !expired && len(sd.order) <= rs.kept && sd.bytes <= rs.bytes {
+		expired := rs.now().Sub(rc.lastUsed) > rs.retention
+		if !expired && len(sd.order) <= rs.maxPerShard && sd.bytes <= rs.maxBytesPerShard {
 			return
 		}
 		sd.order = sd.order[1:]
-		if rc.current != nil || rc.open > 0 {
+		if rc.flight != nil || rc.lateAttempts > 0 {
 			sd.order = append(sd.order, key)
 			continue
 		}
@@ -100,42 +100,42 @@
 
 // join returns the flight of a request and whether the caller has to run it, or the answer that it had.
 func (rs *records) join(key Key, digest Digest) (fl *flight, owner bool, answer *endpoint.Answer, err error) {
-	rs.with(key, func(rc *record) {
+	rs.update(key, func(rc *record) {
 		switch {
 		case rc.digest != "" && rc.digest != digest:
 			err = errIDConflict
 		case rc.answer != nil:
 			answer = rc.answer
-		case rc.current != nil:
-			fl = rc.current
+		case rc.flight != nil:
+			fl = rc.flight
 		default:
 			rc.digest = digest
-			rc.current = &flight{done: make(chan struct{})}
-			fl, owner = rc.current, true
+			rc.flight = &flight{done: make(chan struct{})}
+			fl, owner = rc.flight, true
 		}
 	})
 	return fl, owner, answer, err
 }
 
 // finish gives a flight its word and keeps the answer.
-func (rs *records) finish(key Key, fl *flight, word Word) {
-	rs.with(key, func(rc *record) {
-		rc.current = nil
-		if word.Pending {
-			rc.open++
+func (rs *records) finish(key Key, fl *flight, result Result) {
+	rs.update(key, func(rc *record) {
+		rc.flight = nil
+		if result.Pending {
+			rc.lateAttempts++
 		}
-		if word.Outcome == endpoint.OutcomeNotRun {
+		if result.Outcome == endpoint.OutcomeNotRun {
 			// Nothing ran, so the id is free for another request.
 			rc.digest = ""
 		}
-		rc.keep(word.Answer)
+		rc.setAnswer(result.Answer)
 	})
-	fl.word = word
+	fl.result = result
 	close(fl.done)
 }
 
 // keep stores an answer that is complete.
-func (rc *record) keep(answer *endpoint.Answer) {
+func (rc *record) setAnswer(answer *endpoint.Answer) {
 	if answer == nil || answer.Stream != nil {
 		return
 	}
@@ -144,49 +144,49 @@
 }
 
 // late notes the end of an attempt that outlived its caller.
-func (rs *records) late(key Key, answer *endpoint.Answer) {
-	rs.with(key, func(rc *record) {
-		rc.open--
-		rc.keep(answer)
+func (rs *records) finishLate(key Key, answer *endpoint.Answer) {
+	rs.update(key, func(rc *record) {
+		rc.lateAttempts--
+		rc.setAnswer(answer)
 	})
 }
 
 // release notes that nothing was sent under a claim and nothing will be.
-func (rs *records) release(key Key, nonce Nonce) {
-	rs.with(key, func(rc *record) { rc.released[nonce] = true })
+func (rs *records) markReleased(key Key, nonce Nonce) {
+	rs.update(key, func(rc *record) { rc.releasedClaims[nonce] = true })
 }
 
 // ask returns what became of a claim here, or of any if nonce is empty; ok is false if nothing is known.
-func (rs *records) ask(key Key, nonce Nonce) (word Word, ok bool) {
+func (rs *records) lookup(key Key, nonce Nonce) (result Result, ok bool) {
 	sd := rs.shard(key)
 	sd.mu.Lock()
 	defer sd.mu.Unlock()
 	rc := sd.byKey[key]
 	if rc == nil {
-		return Word{}, false
+		return Result{}, false
 	}
 	switch {
 	case rc.answer != nil:
-		return Word{Outcome: endpoint.OutcomeAnswered, Answer: rc.answer}, true
-	case rc.released[nonce]:
-		return Word{Outcome: endpoint.OutcomeNotRun}, true
-	case rc.current != nil || rc.open > 0:
-		return PendingWord(), true
+		return Result{Outcome: endpoint.OutcomeAnswered, Answer: rc.answer}, true
+	case rc.releasedClaims[nonce]:
+		return Result{Outcome: endpoint.OutcomeNotRun}, true
+	case rc.flight != nil || rc.lateAttempts > 0:
+		return PendingResult(), true
 	}
-	return Word{}, false
+	return Result{}, false
 }
 
 // open counts the flights and late attempts that still run.
-func (rs *records) open() int {
+func (rs *records) countOpen() int {
 	count := 0
 	for ix := range rs.shards {
 		sd := &rs.shards[ix]
 		sd.mu.Lock()
 		for _, rc := range sd.byKey {
-			if rc.current != nil {
+			if rc.flight != nil {
 				count++
 			}
-			count += rc.open
+			count += rc.lateAttempts
 		}
 		sd.mu.Unlock()
 	}
--- a/caller/server.go
+++ b/caller/server.go
@@ -20,27 +20,27 @@
 
 const (
 	// ownPrefix begins the paths that entry instances answer themselves.
-	ownPrefix = "/.aspenseam/"
+	internalPrefix = "/.aspenseam/"
 	// readyPath is where the platform's balancer asks whether to send callers here.
-	readyPath = "/.aspenseam/ready"
-	stopRetry = 100 * time.Millisecond
-	pollOpen  = 20 * time.Millisecond
-	copyBytes = 32 << 10
+	readyPath        = "/.aspenseam/ready"
+	shortRetryDelay  = 100 * time.Millisecond
+	stopPollInterval = 20 * time.Millisecond
+	copyBufferBytes  = 32 << 10
 )
 
 // Server answers callers.
 type Server struct {
-	opts      Options
-	router    Router
-	snapshots Snapshots
-	peers     Peers
-	signer    *Signer
-	records   *records
-	claims    *claims
-	tickets   *tickets
-	stopping  atomic.Bool
-	open      atomic.Int64
-	tasks     sync.WaitGroup
+	opts         Options
+	router       Router
+	snapshots    Snapshots
+	peers        Peers
+	signer       *Signer
+	records      *records
+	claims       *claims
+	tickets      *tickets
+	stopping     atomic.Bool
+	openRequests atomic.Int64
+	tasks        sync.WaitGroup
 	// Outcomes counts final words by outcome.
 	Answered, NotRun, Unknown atomic.Int64
 }
@@ -60,17 +60,17 @@
 
 // ServeHTTP takes one request.
 func (sv *Server) ServeHTTP(wr http.ResponseWriter, rq *http.Request) {
-	sv.open.Add(1)
-	defer sv.open.Add(-1)
+	sv.openRequests.Add(1)
+	defer sv.openRequests.Add(-1)
 	switch {
 	case rq.URL.Path == readyPath:
 		sv.serveReady(wr)
 	case rq.URL.Path == TicketPath:
 		sv.serveTicket(wr)
 	case strings.HasPrefix(rq.URL.Path, CollectPath):
-		sv.collect(wr, rq)
-	case strings.HasPrefix(rq.URL.Path, ownPrefix):
-		sv.respondFault(wr, &Request{}, &fault{status: http.StatusNotFound, code: CodeBadRequest, findings: []string{"no such path below " + ownPrefix}})
+		sv.serveCollect(wr, rq)
+	case strings.HasPrefix(rq.URL.Path, internalPrefix):
+		sv.respondError(wr, &Request{}, &requestError{status: http.StatusNotFound, code: CodeBadRequest, findings: []string{"no such path below " + internalPrefix}})
 	default:
 		sv.serve(wr, rq)
 	}
@@ -86,115 +86,115 @@
 
 // serve reads a request, runs it and answers.
 func (sv *Server) serve(wr http.ResponseWriter, rq *http.Request) {
-	req, ft := sv.read(rq)
-	if ft != nil {
-		sv.respondFault(wr, req, ft)
+	req, reqErr := sv.parseRequest(rq)
+	if reqErr != nil {
+		sv.respondError(wr, req, reqErr)
 		return
 	}
-	body, release, ft := sv.readBody(wr, rq)
+	body, release, reqErr := sv.readBody(wr, rq)
 	defer release()
-	if ft != nil {
-		sv.respondFault(wr, req, ft)
+	if reqErr != nil {
+		sv.respondError(wr, req, reqErr)
 		return
 	}
 	req.Body = body
-	sv.respond(wr, req, sv.word(rq.Context(), req))
+	sv.respond(wr, req, sv.runShared(rq.Context(), req))
 }
 
 // word returns the final word on a request; tries of the same request share one run.
-func (sv *Server) word(ctx context.Context, req *Request) Word {
-	if !req.Named {
+func (sv *Server) runShared(ctx context.Context, req *Request) Result {
+	if !req.IDFromCaller {
 		return sv.run(ctx, req)
 	}
 	fl, owner, answer, err := sv.records.join(req.Key(), req.Digest())
 	switch {
 	case err != nil:
-		return Word{Outcome: endpoint.OutcomeNotRun, Cause: err}
+		return Result{Outcome: endpoint.OutcomeNotRun, Cause: err}
 	case answer != nil:
-		return Word{Outcome: endpoint.OutcomeAnswered, Answer: answer}
+		return Result{Outcome: endpoint.OutcomeAnswered, Answer: answer}
 	case owner:
-		return sv.lead(context.WithoutCancel(ctx), req, fl)
+		return sv.runFlight(context.WithoutCancel(ctx), req, fl)
 	}
-	return sv.follow(ctx, req, fl)
+	return sv.waitFlight(ctx, req, fl)
 }
 
 // lead runs the request and tells the followers.
-func (sv *Server) lead(ctx context.Context, req *Request, fl *flight) Word {
-	word := Word{Outcome: endpoint.OutcomeUnknown, Cause: endpoint.ErrConnectionBroken}
+func (sv *Server) runFlight(ctx context.Context, req *Request, fl *flight) Result {
+	result := Result{Outcome: endpoint.OutcomeUnknown, Cause: endpoint.ErrConnectionBroken}
 	// The followers must hear an end even if the run panics.
-	defer func() { sv.records.finish(req.Key(), fl, word) }()
-	word = sv.run(ctx, req)
-	return word
+	defer func() { sv.records.finish(req.Key(), fl, result) }()
+	result = sv.run(ctx, req)
+	return result
 }
 
 // follow waits for the run of another try.
-func (sv *Server) follow(ctx context.Context, req *Request, fl *flight) Word {
+func (sv *Server) waitFlight(ctx context.Context, req *Request, fl *flight) Result {
 	timer := time.NewTimer(time.Until(req.Deadline))
 	defer timer.Stop()
 	select {
 	case <-fl.done:
 	case <-timer.C:
-		return Word{Outcome: endpoint.OutcomeUnknown, Cause: errPending, RetryAfter: sv.spread(outageRetry)}
+		return Result{Outcome: endpoint.OutcomeUnknown, Cause: errPending, RetryAfter: sv.jitter(outageRetryDelay)}
 	case <-ctx.Done():
-		return Word{Outcome: endpoint.OutcomeUnknown, Cause: ctx.Err()}
+		return Result{Outcome: endpoint.OutcomeUnknown, Cause: ctx.Err()}
 	}
-	if fl.word.Answer != nil && fl.word.Answer.Stream != nil {
-		return Word{Outcome: endpoint.OutcomeUnknown, Cause: errNotKept}
+	if fl.result.Answer != nil && fl.result.Answer.Stream != nil {
+		return Result{Outcome: endpoint.OutcomeUnknown, Cause: errAnswerNotKept}
 	}
-	return fl.word
+	return fl.result
 }
 
 // run sends the request as its mark allows.
-func (sv *Server) run(ctx context.Context, req *Request) Word {
-	if cause := sv.refusal(req); cause != nil {
-		word := Word{Outcome: endpoint.Fold(req.prior(), nil), Cause: cause, RetryAfter: sv.retryOf(cause)}
-		if req.Mark != MarkUnrepeatable {
-			return word
+func (sv *Server) run(ctx context.Context, req *Request) Result {
+	if cause := sv.rejectionCause(req); cause != nil {
+		result := Result{Outcome: endpoint.Fold(req.prior(), nil), Cause: cause, RetryAfter: sv.retryAfterFor(cause)}
+		if req.Delivery != DeliveryAtMostOnce {
+			return result
 		}
 		if req.ticket != nil {
-			return sv.refuseTicket(req, word)
+			return sv.rejectTicket(req, result)
 		}
-		return (&once{sv: sv, req: req, key: req.Key()}).refuse(ctx, word)
+		return (&claimedRequest{sv: sv, req: req, key: req.Key()}).reject(ctx, result)
 	}
 	if req.ticket != nil {
 		return sv.runTicket(ctx, req)
 	}
-	if req.Mark == MarkUnrepeatable {
-		return sv.runOnce(ctx, req)
+	if req.Delivery == DeliveryAtMostOnce {
+		return sv.runAtMostOnce(ctx, req)
 	}
-	call := sv.callOf(req)
-	call.Repeatable = req.Mark == MarkRepeatable
-	if req.Named {
+	call := sv.newCall(req)
+	call.Repeatable = req.Delivery == DeliveryRepeatable
+	if req.IDFromCaller {
 		key := req.Key()
 		call.OnLate = func(answer *endpoint.Answer) {
-			sv.records.late(key, answer)
+			sv.records.finishLate(key, answer)
 			answer.Release()
 		}
 	}
-	return sv.wordOf(req, sv.router.Do(ctx, call))
+	return sv.resultFrom(req, sv.router.Do(ctx, call))
 }
 
 // refusal returns why a request is refused before anything is done for it.
-func (sv *Server) refusal(req *Request) error {
+func (sv *Server) rejectionCause(req *Request) error {
 	switch {
 	case sv.stopping.Load():
 		return errStopping
 	case !sv.opts.Now().Before(req.Deadline):
-		return errPast
+		return errDeadlinePassed
 	}
 	return nil
 }
 
-func (sv *Server) retryOf(cause error) time.Duration {
+func (sv *Server) retryAfterFor(cause error) time.Duration {
 	if errors.Is(cause, errStopping) {
-		return sv.spread(stopRetry)
+		return sv.jitter(shortRetryDelay)
 	}
 	return 0
 }
 
 // callOf returns the endpoint call of a request.
-func (sv *Server) callOf(req *Request) *endpoint.Call {
-	call := &endpoint.Call{Service: req.Service, RequestID: string(req.ID), Method: req.Method, Target: req.Target, Host: req.Host, Header: forwarded(req.Header), Body: req.Body, Deadline: req.Deadline, Pin: req.Session.pin()}
+func (sv *Server) newCall(req *Request) *endpoint.Call {
+	call := &endpoint.Call{Service: req.Service, RequestID: string(req.ID), Method: req.Method, Target: req.Target, Host: req.Host, Header: endpointHeaders(req.Header), Body: req.Body, Deadline: req.Deadline, Pin: req.Session.pin()}
 	if req.Session != nil {
 		call.SessionID = req.Session.ID
 		call.NewSession = call.Pin == nil
@@ -203,7 +203,7 @@
 }
 
 // forwarded returns the caller's headers without those that are between callers and entry instances.
-func forwarded(hd http.Header) http.Header {
+func endpointHeaders(hd http.Header) http.Header {
 	out := make(http.Header, len(hd))
 	for name, values := range hd {
 		if !strings.HasPrefix(name, headerPrefix) {
@@ -214,13 +214,13 @@
 }
 
 // wordOf turns the end of a call into the word on its request.
-func (sv *Server) wordOf(req *Request, rs endpoint.Result) Word {
-	word := Word{Outcome: rs.Outcome, Answer: rs.Answer, Cause: rs.Err, RetryAfter: rs.RetryAfter, Pending: rs.Pending}
+func (sv *Server) resultFrom(req *Request, rs endpoint.Result) Result {
+	result := Result{Outcome: rs.Outcome, Answer: rs.Answer, Cause: rs.Err, RetryAfter: rs.RetryAfter, Pending: rs.Pending}
 	if rs.Answer == nil {
-		word.Outcome = endpoint.Fold(req.prior(), rs.AttemptOutcomes)
+		result.Outcome = endpoint.Fold(req.prior(), rs.AttemptOutcomes)
 	}
-	word.Session = sv.sessionToken(req, rs)
-	return word
+	result.Session = sv.sessionToken(req, rs)
+	return result
 }
 
 // sessionToken returns the token to go on with, bound to the endpoint that the request went to.
@@ -234,7 +234,7 @@
 }
 
 // spread returns a time from one to two times the given one, so that callers do not come back together.
-func (sv *Server) spread(wait time.Duration) time.Duration {
+func (sv *Server) jitter(wait time.Duration) time.Duration {
 	return wait + rand.N(wait)
 }
 
@@ -248,43 +248,43 @@
 }
 
 // respond writes the word to the caller.
-func (sv *Server) respond(wr http.ResponseWriter, req *Request, word Word) {
-	sv.count(word.Outcome)
+func (sv *Server) respond(wr http.ResponseWriter, req *Request, result Result) {
+	sv.countOutcome(result.Outcome)
 	hd := wr.Header()
-	if word.Answer != nil {
-		for name, values := range word.Answer.Header {
+	if result.Answer != nil {
+		for name, values := range result.Answer.Header {
 			hd[name] = values
 		}
 	}
-	hd.Set(HeaderOutcome, string(word.Outcome))
+	hd.Set(HeaderOutcome, string(result.Outcome))
 	hd.Set(HeaderRequestID, string(req.ID))
 	hd.Set(HeaderEntry, string(sv.opts.Entry))
-	if word.Session != "" {
-		hd.Set(HeaderSession, word.Session)
+	if result.Session != "" {
+		hd.Set(HeaderSession, result.Session)
 	}
-	if word.Answer != nil {
-		sv.deliver(wr, req, word.Answer)
+	if result.Answer != nil {
+		sv.writeAnswer(wr, req, result.Answer)
 		return
 	}
-	code, status := verdictOf(word.Cause)
+	code, status := codeFor(result.Cause)
 	message := "no answer"
-	if word.Cause != nil {
-		message = rootMessage(word.Cause)
+	if result.Cause != nil {
+		message = rootMessage(result.Cause)
 	}
-	sv.writeStatus(wr, status, Status{Outcome: word.Outcome, Code: code, Message: message, RequestID: req.ID, RetryAfterMs: word.RetryAfter.Milliseconds()})
+	sv.writeStatus(wr, status, Status{Outcome: result.Outcome, Code: code, Message: message, RequestID: req.ID, RetryAfterMs: result.RetryAfter.Milliseconds()})
 }
 
 // rootMessage returns the cause without the addresses and detail that wrap it.
 func rootMessage(err error) string {
-	for _, vd := range verdicts {
-		if errors.Is(err, vd.err) {
-			return vd.err.Error()
+	for _, ec := range errorCodes {
+		if errors.Is(err, ec.err) {
+			return ec.err.Error()
 		}
 	}
 	return "internal error"
 }
 
-func (sv *Server) count(outcome endpoint.Outcome) {
+func (sv *Server) countOutcome(outcome endpoint.Outcome) {
 	switch outcome {
 	case endpoint.OutcomeAnswered:
 		sv.Answered.Add(1)
@@ -296,10 +296,10 @@
 }
 
 // deliver writes an endpoint's answer; a break in a stream cuts the caller's connection, so that a short answer cannot look whole.
-func (sv *Server) deliver(wr http.ResponseWriter, req *Request, answer *endpoint.Answer) {
+func (sv *Server) writeAnswer(wr http.ResponseWriter, req *Request, answer *endpoint.Answer) {
 	defer answer.Release()
 	// A caller that reads slowly must not hold memory for ever; a failure only means that there is no connection to bound.
-	_ = http.NewResponseController(wr).SetWriteDeadline(time.Now().Add(sv.opts.LongestRequest))
+	_ = http.NewResponseController(wr).SetWriteDeadline(time.Now().Add(sv.opts.MaxRequestDuration))
 	if answer.Stream == nil && req.Method != http.MethodHead {
 		wr.Header().Set("Content-Length", strconv.Itoa(len(answer.Body)))
 	}
@@ -311,7 +311,7 @@
 		return
 	}
 	defer func() { _ = answer.Stream.Close() }()
-	if _, err := io.CopyBuffer(onlyWriter{wr}, answer.Stream, make([]byte, copyBytes)); err != nil {
+	if _, err := io.CopyBuffer(onlyWriter{wr}, answer.Stream, make([]byte, copyBufferBytes)); err != nil {
 		sv.opts.Log.Emit(event.AnswerBroken, zap.String("requestId", string(req.ID)), zap.Error(err))
 		panic(http.ErrAbortHandler)
 	}
@@ -323,24 +323,24 @@
 }
 
 // respondFault answers a bad request with all its findings, or one that there is no memory for; nothing was run.
-func (sv *Server) respondFault(wr http.ResponseWriter, req *Request, ft *fault) {
+func (sv *Server) respondError(wr http.ResponseWriter, req *Request, reqErr *requestError) {
 	outcome := endpoint.OutcomeNotRun
-	if ft.code == CodeOverloaded && req.Named && req.Try != 1 {
+	if reqErr.code == CodeOverloaded && req.IDFromCaller && req.Try != 1 {
 		// The message is sound, so the word is on the request, of which an earlier try may have run.
 		outcome = endpoint.OutcomeUnknown
 	}
-	sv.count(outcome)
+	sv.countOutcome(outcome)
 	hd := wr.Header()
 	hd.Set(HeaderOutcome, string(outcome))
 	hd.Set(HeaderEntry, string(sv.opts.Entry))
-	if req.Named {
+	if req.IDFromCaller {
 		hd.Set(HeaderRequestID, string(req.ID))
 	}
-	status := Status{Outcome: outcome, Code: ft.code, Message: ft.Error(), RequestID: req.ID, Findings: ft.findings}
-	if ft.code == CodeOverloaded {
-		status.RetryAfterMs = sv.spread(stopRetry).Milliseconds()
+	status := Status{Outcome: outcome, Code: reqErr.code, Message: reqErr.Error(), RequestID: req.ID, Findings: reqErr.findings}
+	if reqErr.code == CodeOverloaded {
+		status.RetryAfterMs = sv.jitter(shortRetryDelay).Milliseconds()
 	}
-	sv.writeStatus(wr, ft.status, status)
+	sv.writeStatus(wr, reqErr.status, status)
 }
 
 func (sv *Server) writeStatus(wr http.ResponseWriter, status int, body Status) {
@@ -358,9 +358,9 @@
 // Stop refuses new requests and waits until open ones have ended and their results are stored, or the context ends.
 func (sv *Server) Stop(ctx context.Context) error {
 	sv.stopping.Store(true)
-	ticker := time.NewTicker(pollOpen)
+	ticker := time.NewTicker(stopPollInterval)
 	defer ticker.Stop()
-	for sv.open.Load() > 0 || sv.records.open() > 0 {
+	for sv.openRequests.Load() > 0 || sv.records.countOpen() > 0 {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -381,6 +381,6 @@
 }
 
 // Flight answers a peer that asks what became of a claim here.
-func (sv *Server) Flight(key Key, nonce Nonce) (Word, bool) {
-	return sv.records.ask(key, nonce)
+func (sv *Server) ClaimStatus(key Key, nonce Nonce) (Result, bool) {
+	return sv.records.lookup(key, nonce)
 }
--- a/caller/session.go
+++ b/caller/session.go
@@ -22,7 +22,7 @@
 )
 
 // errToken says that a session token was not made by this fleet.
-var errToken = errors.New("session token is not of this fleet")
+var errInvalidToken = errors.New("session token is not of this fleet")
 
 // Session is an open session; its token holds all of it, so that any entry instance knows it at once.
 type Session struct {
@@ -55,17 +55,17 @@
 
 // sign returns the tag of a text under the first key.
 func (sg *Signer) sign(text string) string {
-	return base64.RawURLEncoding.EncodeToString(mac((*sg.keys.Load())[0], text))
+	return base64.RawURLEncoding.EncodeToString(computeMAC((*sg.keys.Load())[0], text))
 }
 
 // signed reports whether a tag is a text's under any key.
-func (sg *Signer) signed(text, tag string) bool {
+func (sg *Signer) verify(text, tag string) bool {
 	sum, err := base64.RawURLEncoding.DecodeString(tag)
 	if err != nil {
 		return false
 	}
 	for _, key := range *sg.keys.Load() {
-		if hmac.Equal(sum, mac(key, text)) {
+		if hmac.Equal(sum, computeMAC(key, text)) {
 			return true
 		}
 	}
@@ -84,13 +84,13 @@
 }
 
 // Open returns the session of a token.
-func (sg *Signer) Open(token string) (*Session, error) {
+func (sg *Signer) ParseToken(token string) (*Session, error) {
 	payload, tag, found := strings.Cut(token, ".")
 	if !found || len(token) > maxTokenLength {
-		return nil, errToken
+		return nil, errInvalidToken
 	}
-	if !sg.signed(sessionPurpose+payload, tag) {
-		return nil, errToken
+	if !sg.verify(sessionPurpose+payload, tag) {
+		return nil, errInvalidToken
 	}
 	raw, err := base64.RawURLEncoding.DecodeString(payload)
 	if err != nil {
@@ -103,7 +103,7 @@
 	return &ss, nil
 }
 
-func mac(key []byte, text string) []byte {
+func computeMAC(key []byte, text string) []byte {
 	hs := hmac.New(sha256.New, key)
 	// A hash never fails to take bytes.
 	_, _ = hs.Write([]byte(text))
--- a/caller/sweep.go
+++ b/caller/sweep.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	sweepEvery = time.Minute
+	sweepInterval = time.Minute
 	// sweepPage is how many claims are read, and deleted in one transaction, at a time.
-	sweepPage = 200
+	sweepPageSize = 200
 	// sweepPages bounds one sweep, so that it never crowds out other writes.
-	sweepPages = 100
+	maxSweepPages = 100
 )
 
 // SweepStore reads claims in the order in which they were last written, and deletes what belongs to them.
@@ -43,7 +43,7 @@
 
 // Run sweeps until the context ends.
 func (sw *Sweeper) Run(ctx context.Context) {
-	table.Every(ctx, sweepEvery, sw.Sweep)
+	table.Every(ctx, sweepInterval, sw.Sweep)
 }
 
 // Sweep deletes old claims if it is this entry instance's turn.
@@ -53,8 +53,8 @@
 	if len(entries) > 0 && entries[0].ID != sw.entry {
 		return
 	}
-	for range sweepPages {
-		more, err := sw.page(ctx)
+	for range maxSweepPages {
+		more, err := sw.deleteOldPage(ctx)
 		if err != nil {
 			sw.log.Emit(event.SweepFailed, zap.Error(err))
 			return
@@ -66,8 +66,8 @@
 }
 
 // page deletes one page of old claims and reports whether there may be more; the oldest always come first.
-func (sw *Sweeper) page(ctx context.Context) (bool, error) {
-	cs, err := sw.store.ChangesPage(ctx, 0, []table.TableName{table.TableClaim}, sweepPage)
+func (sw *Sweeper) deleteOldPage(ctx context.Context) (bool, error) {
+	cs, err := sw.store.ChangesPage(ctx, 0, []table.TableName{table.TableClaim}, sweepPageSize)
 	if err != nil {
 		return false, eris.Wrap(err, "read claims")
 	}
@@ -92,5 +92,5 @@
 	if errors.As(err, &conflict) {
 		return false, nil // another swept, or a claim changed; the next sweep sees
 	}
-	return len(writes) == sweepPage, eris.Wrap(err, "delete claims")
+	return len(writes) == sweepPageSize, eris.Wrap(err, "delete claims")
 }
--- a/caller/ticket.go
+++ b/caller/ticket.go
@@ -26,13 +26,13 @@
 	maxTickets  = 10000
 	ticketParts = 5
 	// forwardBytes is the largest answer that one entry instance passes to another.
-	forwardBytes = 2 << 20
+	maxForwardBytes = 2 << 20
 )
 
 var (
-	errTicket      = errors.New("ticket is not of this fleet")
-	errTicketSpent = errors.New("ticket was used, or its entry instance is gone")
-	errNoTickets   = errors.New("too many tickets are out")
+	errInvalidTicket  = errors.New("ticket is not of this fleet")
+	errTicketSpent    = errors.New("ticket was used, or its entry instance is gone")
+	errTooManyTickets = errors.New("too many tickets are out")
 )
 
 // ticket lets an unrepeatable request run without a claim: only the run of the entry instance that issued it honours it, from memory.
@@ -44,7 +44,7 @@
 }
 
 // TicketAnswer is the answer to a caller that asks for a ticket.
-type TicketAnswer struct {
+type TicketResponse struct {
 	// Ticket is to be used as the request id of one unrepeatable request.
 	Ticket string `json:"ticket"`
 	// ExpiresMs is until when, in milliseconds since 1970 UTC.
@@ -66,21 +66,21 @@
 }
 
 // issue returns a new ticket.
-func (ts *tickets) issue() (TicketAnswer, error) {
+func (ts *tickets) issue() (TicketResponse, error) {
 	now := ts.opts.Now()
 	tk := ticket{entry: ts.opts.Entry, incarnation: ts.opts.Incarnation, nonce: Nonce(table.NewID()), expires: now.Add(ticketValidity)}
 	ts.mu.Lock()
 	defer ts.mu.Unlock()
-	ts.forget(now)
+	ts.evictExpired(now)
 	if len(ts.issued) >= maxTickets {
-		return TicketAnswer{}, errNoTickets
+		return TicketResponse{}, errTooManyTickets
 	}
 	ts.issued = append(ts.issued, tk.expires)
-	return TicketAnswer{Ticket: ts.signer.ticketID(tk), ExpiresMs: tk.expires.UnixMilli()}, nil
+	return TicketResponse{Ticket: ts.signer.ticketID(tk), ExpiresMs: tk.expires.UnixMilli()}, nil
 }
 
 // forget drops what has expired; the lock is held.
-func (ts *tickets) forget(now time.Time) {
+func (ts *tickets) evictExpired(now time.Time) {
 	for len(ts.issued) > 0 && !now.Before(ts.issued[0]) {
 		ts.issued = ts.issued[1:]
 	}
@@ -119,22 +119,22 @@
 }
 
 // openTicket returns the ticket of a request id, nil if the id is an ordinary one.
-func (sg *Signer) openTicket(id RequestID) (*ticket, error) {
+func (sg *Signer) parseTicket(id RequestID) (*ticket, error) {
 	rest, isTicket := strings.CutPrefix(string(id), ticketPrefix)
 	if !isTicket {
 		return nil, nil
 	}
 	parts := strings.Split(rest, ".")
 	if len(parts) < ticketParts {
-		return nil, errTicket
+		return nil, errInvalidTicket
 	}
 	last := len(parts) - 1
-	if !sg.signed(ticketPrefix+strings.Join(parts[:last], "."), parts[last]) {
-		return nil, errTicket
+	if !sg.verify(ticketPrefix+strings.Join(parts[:last], "."), parts[last]) {
+		return nil, errInvalidTicket
 	}
 	expires, err := strconv.ParseInt(parts[last-1], 36, 64)
 	if err != nil {
-		return nil, errTicket
+		return nil, errInvalidTicket
 	}
 	return &ticket{entry: table.InstanceID(strings.Join(parts[:last-3], ".")), incarnation: table.Incarnation(parts[last-3]), nonce: Nonce(parts[last-2]), expires: time.UnixMilli(expires)}, nil
 }
@@ -143,7 +143,7 @@
 func (sv *Server) serveTicket(wr http.ResponseWriter) {
 	answer, err := sv.tickets.issue()
 	if err != nil || sv.stopping.Load() {
-		sv.writeStatus(wr, http.StatusServiceUnavailable, Status{Outcome: endpoint.OutcomeNotRun, Code: CodeOverloaded, Message: errNoTickets.Error(), RetryAfterMs: sv.spread(outageRetry).Milliseconds()})
+		sv.writeStatus(wr, http.StatusServiceUnavailable, Status{Outcome: endpoint.OutcomeNotRun, Code: CodeOverloaded, Message: errTooManyTickets.Error(), RetryAfterMs: sv.jitter(outageRetryDelay).Milliseconds()})
 		return
 	}
 	wr.Header().Set("Content-Type", "application/json")
@@ -152,104 +152,104 @@
 }
 
 // runTicket runs a request under its ticket, here or at the entry instance that issued it.
-func (sv *Server) runTicket(ctx context.Context, req *Request) Word {
+func (sv *Server) runTicket(ctx context.Context, req *Request) Result {
 	tk := req.ticket
 	switch {
 	case tk.entry != sv.opts.Entry:
 		return sv.forward(ctx, req)
 	case tk.incarnation != sv.opts.Incarnation || !sv.tickets.spend(tk):
-		return sv.ticketUnknown(req)
+		return sv.invalidTicketResult(req)
 	}
-	call := sv.callOf(req)
+	call := sv.newCall(req)
 	key := req.Key()
 	call.OnLate = func(answer *endpoint.Answer) {
-		sv.records.late(key, answer)
+		sv.records.finishLate(key, answer)
 		answer.Release()
 	}
 	rs := sv.router.Do(ctx, call)
 	if rs.Outcome == endpoint.OutcomeNotRun {
 		sv.tickets.restore(tk)
 	}
-	return sv.wordOf(req, rs)
+	return sv.resultFrom(req, rs)
 }
 
 // refuseTicket returns the word on a ticket's request that is refused here: only its issuer knows of earlier tries.
-func (sv *Server) refuseTicket(req *Request, word Word) Word {
+func (sv *Server) rejectTicket(req *Request, result Result) Result {
 	if req.Try == 1 {
-		return word
+		return result
 	}
-	return Word{Outcome: endpoint.OutcomeUnknown, Cause: word.Cause, RetryAfter: word.RetryAfter}
+	return Result{Outcome: endpoint.OutcomeUnknown, Cause: result.Cause, RetryAfter: result.RetryAfter}
 }
 
 // ticketUnknown is the word on a ticket that this run does not honour: an earlier try may have run.
-func (sv *Server) ticketUnknown(req *Request) Word {
-	if word, known := sv.records.ask(req.Key(), ""); known && word.Answer != nil {
-		return word
+func (sv *Server) invalidTicketResult(req *Request) Result {
+	if result, known := sv.records.lookup(req.Key(), ""); known && result.Answer != nil {
+		return result
 	}
-	return Word{Outcome: endpoint.OutcomeUnknown, Cause: errTicketSpent}
+	return Result{Outcome: endpoint.OutcomeUnknown, Cause: errTicketSpent}
 }
 
 // forward lets the issuer of the request's ticket run it.
-func (sv *Server) forward(ctx context.Context, req *Request) Word {
+func (sv *Server) forward(ctx context.Context, req *Request) Result {
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
-	word, err := sv.peers.Forward(ctx, req.ticket.entry, req)
+	result, err := sv.peers.Forward(ctx, req.ticket.entry, req)
 	if err == nil {
-		return word
+		return result
 	}
 	// Whether the issuer ran it, now or at an earlier try, cannot be known here.
-	return Word{Outcome: endpoint.OutcomeUnknown, Cause: errOwnerLost, RetryAfter: sv.spread(outageRetry)}
+	return Result{Outcome: endpoint.OutcomeUnknown, Cause: errOwnerLost, RetryAfter: sv.jitter(outageRetryDelay)}
 }
 
 // Forwarded runs a request that another entry instance passed on, whose ticket is of this one.
-func (sv *Server) Forwarded(ctx context.Context, req *Request) Word {
-	sv.open.Add(1)
-	defer sv.open.Add(-1)
-	tk, err := sv.signer.openTicket(req.ID)
+func (sv *Server) HandleForwarded(ctx context.Context, req *Request) Result {
+	sv.openRequests.Add(1)
+	defer sv.openRequests.Add(-1)
+	tk, err := sv.signer.parseTicket(req.ID)
 	if err != nil || tk == nil || tk.entry != sv.opts.Entry {
-		return Word{Outcome: endpoint.OutcomeUnknown, Cause: errTicket}
+		return Result{Outcome: endpoint.OutcomeUnknown, Cause: errInvalidTicket}
 	}
-	req.ticket, req.Named, req.Mark = tk, true, MarkUnrepeatable
-	word := sv.word(ctx, req)
-	return wholeWord(word)
+	req.ticket, req.IDFromCaller, req.Delivery = tk, true, DeliveryAtMostOnce
+	result := sv.runShared(ctx, req)
+	return bufferAnswer(result)
 }
 
 // wholeWord reads an answer that streams to its end, so that it can be passed on.
-func wholeWord(word Word) Word {
-	if word.Answer == nil || word.Answer.Stream == nil {
-		return word
+func bufferAnswer(result Result) Result {
+	if result.Answer == nil || result.Answer.Stream == nil {
+		return result
 	}
-	rest := word.Answer.Stream
+	rest := result.Answer.Stream
 	defer func() { _ = rest.Close() }()
-	body, err := io.ReadAll(io.LimitReader(rest, forwardBytes+1))
-	if err != nil || len(body) > forwardBytes {
-		return Word{Outcome: endpoint.OutcomeUnknown, Cause: errNotKept}
+	body, err := io.ReadAll(io.LimitReader(rest, maxForwardBytes+1))
+	if err != nil || len(body) > maxForwardBytes {
+		return Result{Outcome: endpoint.OutcomeUnknown, Cause: errAnswerNotKept}
 	}
-	whole := &endpoint.Answer{Status: word.Answer.Status, Header: word.Answer.Header, Body: append(word.Answer.Body, body...)}
-	word.Answer = whole
-	return word
+	whole := &endpoint.Answer{Status: result.Answer.Status, Header: result.Answer.Header, Body: append(result.Answer.Body, body...)}
+	result.Answer = whole
+	return result
 }
 
 // Code returns the code of a word without an answer.
-func (wd Word) Code() Code {
-	code, _ := verdictOf(wd.Cause)
+func (rs Result) Code() Code {
+	code, _ := codeFor(rs.Cause)
 	return code
 }
 
 // CauseOf returns the cause that a code stands for.
-func CauseOf(code Code) error {
-	for _, vd := range verdicts {
-		if vd.code == code {
-			return vd.err
+func CauseForCode(code Code) error {
+	for _, ec := range errorCodes {
+		if ec.code == code {
+			return ec.err
 		}
 	}
 	return errOwnerLost
 }
 
 // SessionOf returns the session of a token that another entry instance passed on, nil without one.
-func (sv *Server) SessionOf(token string) (*Session, error) {
+func (sv *Server) ParseSession(token string) (*Session, error) {
 	if token == "" {
 		return nil, nil
 	}
-	return sv.signer.Open(token)
+	return sv.signer.ParseToken(token)
 }
--- a/entry.go
+++ b/entry.go
@@ -226,10 +226,10 @@
 	cs := en.st.Caller
 	return []caller.Option{
 		caller.WithEntry(table.InstanceID(en.st.Entry.ID), en.incarnation),
-		caller.WithTimes(cs.DefaultTimeout, cs.LongestRequest),
-		caller.WithBytes(cs.BodyBytes, buffers),
-		caller.WithClaims(cs.ClaimWait, cs.ClaimGroup, en.st.Platform.Timeout),
-		caller.WithAnswers(cs.AnswersKept, cs.BufferBytes/keptShare, cs.AnswerRetention),
+		caller.WithTimeouts(cs.DefaultTimeout, cs.LongestRequest),
+		caller.WithBodyLimits(cs.BodyBytes, buffers),
+		caller.WithClaimBatching(cs.ClaimWait, cs.ClaimGroup, en.st.Platform.Timeout),
+		caller.WithKeptAnswers(cs.AnswersKept, cs.BufferBytes/keptShare, cs.AnswerRetention),
 		caller.WithSigner(en.signer),
 		caller.WithLog(en.log),
 	}
--- a/peer/client.go
+++ b/peer/client.go
@@ -75,36 +75,36 @@
 }
 
 // Flight asks the owner of a claim what became of it; an error says that the owner cannot tell.
-func (cl *Client) Flight(ctx context.Context, owner table.InstanceID, key caller.Key, nonce caller.Nonce) (caller.Word, error) {
+func (cl *Client) ClaimStatus(ctx context.Context, owner table.InstanceID, key caller.Key, nonce caller.Nonce) (caller.Result, error) {
 	mb, ok := cl.snapshots.Snapshot().Members[owner]
 	if !ok || mb.Address == "" {
-		return caller.Word{}, eris.Errorf("entry instance %s is not listed", owner)
+		return caller.Result{}, eris.Errorf("entry instance %s is not listed", owner)
 	}
 	return cl.flight(ctx, mb, key, nonce)
 }
 
-func (cl *Client) flight(ctx context.Context, mb table.Member, key caller.Key, nonce caller.Nonce) (caller.Word, error) {
+func (cl *Client) flight(ctx context.Context, mb table.Member, key caller.Key, nonce caller.Nonce) (caller.Result, error) {
 	ctx, cancel := cl.opts.withTimeout(ctx)
 	defer cancel()
 	rp, err := cl.at(mb.Address).Flight(ctx, &FlightRequest{Key: string(key), Nonce: string(nonce)})
 	if err != nil {
-		return caller.Word{}, eris.Wrapf(err, "ask %s", mb.ID)
+		return caller.Result{}, eris.Wrapf(err, "ask %s", mb.ID)
 	}
 	switch rp.State {
 	case FlightState_FLIGHT_ANSWERED:
-		return caller.Word{Outcome: endpoint.OutcomeAnswered, Answer: answerIn(rp.Answer)}, nil
+		return caller.Result{Outcome: endpoint.OutcomeAnswered, Answer: answerIn(rp.Answer)}, nil
 	case FlightState_FLIGHT_RELEASED:
-		return caller.Word{Outcome: endpoint.OutcomeNotRun}, nil
+		return caller.Result{Outcome: endpoint.OutcomeNotRun}, nil
 	case FlightState_FLIGHT_PENDING:
-		return caller.PendingWord(), nil
+		return caller.PendingResult(), nil
 	}
-	return caller.Word{}, errForgotten
+	return caller.Result{}, errForgotten
 }
 
 // Collect asks all others for a kept answer; a pending one is the word if none has it.
-func (cl *Client) Collect(ctx context.Context, key caller.Key) (caller.Word, error) {
+func (cl *Client) Collect(ctx context.Context, key caller.Key) (caller.Result, error) {
 	others := cl.peers()
-	words := make(chan caller.Word, len(others))
+	words := make(chan caller.Result, len(others))
 	for _, mb := range others {
 		go func() {
 			// A peer that cannot be asked is one that has no answer.
@@ -112,7 +112,7 @@
 			words <- word
 		}()
 	}
-	best, found := caller.Word{}, false
+	best, found := caller.Result{}, false
 	for range others {
 		word := <-words
 		if word.Answer != nil {
--- a/peer/forward.go
+++ b/peer/forward.go
@@ -13,10 +13,10 @@
 )
 
 // Forward lets the issuer of a request's ticket run it; an error says that it cannot be known whether it did.
-func (cl *Client) Forward(ctx context.Context, issuer table.InstanceID, req *caller.Request) (caller.Word, error) {
+func (cl *Client) Forward(ctx context.Context, issuer table.InstanceID, req *caller.Request) (caller.Result, error) {
 	mb, listed := cl.snapshots.Snapshot().Members[issuer]
 	if !listed || mb.Address == "" {
-		return caller.Word{}, eris.Errorf("entry instance %s is not listed", issuer)
+		return caller.Result{}, eris.Errorf("entry instance %s is not listed", issuer)
 	}
 	out := &ForwardRequest{Caller: string(req.Caller), Id: string(req.ID), Service: string(req.Service), Method: req.Method, Target: req.Target, Host: req.Host, Header: headersOut(req.Header), Body: req.Body, DeadlineMs: req.Deadline.UnixMilli(), Try: int32(req.Try)}
 	if req.Session != nil {
@@ -24,25 +24,25 @@
 	}
 	rp, err := cl.at(mb.Address).Forward(ctx, out)
 	if err != nil {
-		return caller.Word{}, eris.Wrapf(err, "forward to %s", issuer)
+		return caller.Result{}, eris.Wrapf(err, "forward to %s", issuer)
 	}
-	word := caller.Word{Outcome: endpoint.Outcome(rp.Outcome), RetryAfter: time.Duration(rp.RetryAfterMs) * time.Millisecond, Session: rp.Session}
+	word := caller.Result{Outcome: endpoint.Outcome(rp.Outcome), RetryAfter: time.Duration(rp.RetryAfterMs) * time.Millisecond, Session: rp.Session}
 	if rp.Answer != nil {
 		word.Answer = answerIn(rp.Answer)
 		return word, nil
 	}
-	word.Cause = caller.CauseOf(caller.Code(rp.Code))
+	word.Cause = caller.CauseForCode(caller.Code(rp.Code))
 	return word, nil
 }
 
 // Forward runs a request whose ticket this entry instance issued.
 func (sv *Server) Forward(ctx context.Context, rq *ForwardRequest) (*ForwardResponse, error) {
-	session, err := sv.flights.SessionOf(rq.Session)
+	session, err := sv.flights.ParseSession(rq.Session)
 	if err != nil {
 		return nil, twirp.InvalidArgumentError("session", err.Error())
 	}
 	req := &caller.Request{Caller: caller.ID(rq.Caller), ID: caller.RequestID(rq.Id), Service: table.ServiceID(rq.Service), Method: rq.Method, Target: rq.Target, Host: rq.Host, Header: headersIn(rq.Header), Body: rq.Body, Deadline: time.UnixMilli(rq.DeadlineMs), Try: int(rq.Try), Session: session}
-	word := sv.flights.Forwarded(ctx, req)
+	word := sv.flights.HandleForwarded(ctx, req)
 	rp := &ForwardResponse{Outcome: string(word.Outcome), RetryAfterMs: word.RetryAfter.Milliseconds(), Pending: word.Pending, Session: word.Session}
 	if word.Answer != nil {
 		rp.Answer = answerOut(word.Answer)
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -22,9 +22,9 @@
 
 // Flights tells what became of claimed requests here.
 type Flights interface {
-	Flight(key caller.Key, nonce caller.Nonce) (caller.Word, bool)
-	Forwarded(ctx context.Context, req *caller.Request) caller.Word
-	SessionOf(token string) (*caller.Session, error)
+	ClaimStatus(key caller.Key, nonce caller.Nonce) (caller.Result, bool)
+	HandleForwarded(ctx context.Context, req *caller.Request) caller.Result
+	ParseSession(token string) (*caller.Session, error)
 }
 
 // Snapshots holds the snapshot that peers exchange.
--- a/peer/server.go
+++ b/peer/server.go
@@ -58,7 +58,7 @@
 
 // Flight tells what became of a claimed request here.
 func (sv *Server) Flight(_ context.Context, rq *FlightRequest) (*FlightResponse, error) {
-	word, ok := sv.flights.Flight(caller.Key(rq.Key), caller.Nonce(rq.Nonce))
+	word, ok := sv.flights.ClaimStatus(caller.Key(rq.Key), caller.Nonce(rq.Nonce))
 	switch {
 	case !ok:
 		return &FlightResponse{State: FlightState_FLIGHT_UNKNOWN}, nil
--- a/proof/soak_test.go
+++ b/proof/soak_test.go
@@ -102,7 +102,7 @@
 // ticketOr returns a ticket for the request if one can be had.
 func (sk *soak) ticketOr(rnd *rand.Rand, id string) string {
 	rp := send(sk.entry(rnd).callers, ask{method: http.MethodGet, path: caller.TicketPath, timeout: soakPatience})
-	var ta caller.TicketAnswer
+	var ta caller.TicketResponse
 	if rp.err != nil || json.Unmarshal(rp.body, &ta) != nil || ta.Ticket == "" {
 		return id
 	}
--- a/proof/ticket_test.go
+++ b/proof/ticket_test.go
@@ -13,7 +13,7 @@
 func (en *entryProcess) ticket(t *testing.T) string {
 	t.Helper()
 	rp := send(en.callers, ask{method: http.MethodGet, path: caller.TicketPath})
-	var ta caller.TicketAnswer
+	var ta caller.TicketResponse
 	if err := json.Unmarshal(rp.body, &ta); err != nil || ta.Ticket == "" {
 		t.Fatalf("ticket: %+v %v", rp, err)
 	}
