--- a/caller/atmostonce.go
+++ b/caller/atmostonce.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	// askAgain is how often the owner of a claim is asked while its request runs.
+	// ownerPollInterval is the time between two status queries to a claim's owner while the request runs.
 	ownerPollInterval = 50 * time.Millisecond
-	// ownerTries is how many questions in a row an owner may leave without an answer before it counts as lost; each waits 500 ms by default. Where
-	// the machines are busy one may be late, and its caller would be told unknown though the request is answered.
+	// maxOwnerFailures is the number of consecutive failed queries after which an owner counts as lost; each query times out after 500 ms by
+	// default. On a busy machine a single response can be late, and the caller would then get outcome unknown for a request that was answered.
 	maxOwnerFailures = 3
-	// storeFor is how long the result of a claimed request is tried to be stored.
+	// storeTimeout bounds the attempts to store the result of a claimed request.
 	storeTimeout = time.Minute
-	// outageRetry is when callers may come back after the platform did not answer.
+	// outageRetryDelay is the base delay before callers retry after the platform or an entry instance did not answer.
 	outageRetryDelay = 2 * time.Second
 )
 
-// once runs one unrepeatable request under a claim.
+// claimedRequest runs one unrepeatable request under a claim.
 type claimedRequest struct {
 	sv           *Server
 	req          *Request
 	key          Key
 	nonce        Nonce
 	claimVersion table.Version
-	// over is the version of a released claim that this one replaces.
+	// replaces is the version of the released claim that this claim replaces.
 	replaces table.Version
-	// claimed says that the platform confirmed the claim.
+	// claimConfirmed is set once the platform has confirmed the claim.
 	claimConfirmed bool
 }
 
-// runOnce claims the request, sends it at most once, and returns the final word.
+// runAtMostOnce claims the request, sends it at most once, and returns the final result.
 func (sv *Server) runAtMostOnce(ctx context.Context, req *Request) Result {
 	cr := &claimedRequest{sv: sv, req: req, key: req.Key()}
 	for {
@@ -58,7 +58,7 @@
 	}
 }
 
-// call returns the endpoint call, which claims before the first byte goes out.
+// call returns the endpoint call, which writes the claim before it sends the first byte.
 func (cr *claimedRequest) call(ctx context.Context) *endpoint.Call {
 	call := cr.sv.newCall(cr.req)
 	call.BeforeSend = func() error { return cr.claim(ctx) }
@@ -84,7 +84,7 @@
 	return errPlatformDown
 }
 
-// abandon releases a claim that may have been written without an answer, so that it blocks nobody when this entry instance is gone.
+// releaseUnconfirmed releases a claim whose write was not confirmed. Otherwise the claim could block later tries after this entry instance stops.
 func (cr *claimedRequest) releaseUnconfirmed() {
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
@@ -92,12 +92,12 @@
 	_, err := cr.sv.claims.write(ctx, cr.key, cl, cr.replaces)
 	var conflict *claimConflictError
 	if errors.As(err, &conflict) && conflict.claim.Nonce == cr.nonce {
-		// Whoever replaces the row first is right; nothing was sent under this claim.
+		// A failed write is ignored: another writer may replace the row, since nothing was sent under this claim.
 		_, _ = cr.sv.claims.write(ctx, cr.key, cl, conflict.row.Version)
 	}
 }
 
-// conclude turns the end of the call into the final word and puts it on the claim.
+// finish returns the final result of the call and stores its outcome with the claim in the background.
 func (cr *claimedRequest) finish(ctx context.Context, rs endpoint.Result) Result {
 	result := cr.sv.resultFrom(cr.req, rs)
 	switch {
@@ -117,12 +117,12 @@
 	return result
 }
 
-// copyForStore returns the answer as the claim's result needs it, apart from the one that is being delivered.
+// copyForStore copies an answer for storage with the claim, so that storing it does not interfere with writing the answer to the caller.
 func copyForStore(answer *endpoint.Answer) *endpoint.Answer {
 	return &endpoint.Answer{Status: answer.Status, Header: answer.Header.Clone(), Body: answer.Body, Stream: answer.Stream}
 }
 
-// late puts the end of an attempt that outlived its caller on the claim.
+// finishLate stores the outcome of an attempt that ended after its caller's response.
 func (cr *claimedRequest) finishLate(answer *endpoint.Answer) {
 	cr.sv.records.finishLate(cr.key, answer)
 	if answer == nil {
@@ -133,7 +133,7 @@
 	cr.sv.background(func() { cr.storeOutcome(ClaimAnswered, answer) })
 }
 
-// settle writes the end of a claim that this entry instance holds.
+// storeOutcome writes the final state of a claim that this entry instance holds.
 func (cr *claimedRequest) storeOutcome(state ClaimState, answer *endpoint.Answer) {
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
@@ -153,8 +153,8 @@
 	}
 }
 
-// refuse returns the word on a request that this entry instance did not claim.
-// Whether an earlier try ran is decided by a released claim, which also keeps any try that is still on its way from being sent.
+// reject returns the result for a request that this entry instance did not claim.
+// It writes a released claim: a conflict shows that an earlier try holds a claim, and the new row prevents tries in flight from being sent.
 func (cr *claimedRequest) reject(ctx context.Context, result Result) Result {
 	if cr.req.Try == 1 {
 		return result
@@ -181,7 +181,7 @@
 	return existing
 }
 
-// blind returns the word when the platform cannot say whether an earlier try ran.
+// unreachableResult returns the result when the platform is unreachable, so that it is unknown whether an earlier try ran.
 func (cr *claimedRequest) unreachableResult(cause error) Result {
 	outcome := endpoint.OutcomeUnknown
 	if cr.req.Try == 1 {
@@ -190,7 +190,7 @@
 	return Result{Outcome: outcome, Cause: cause, RetryAfter: cr.sv.jitter(outageRetryDelay)}
 }
 
-// resolve finds out what became of a claim that another holds; free says that it was released and may be replaced.
+// resolveConflict returns the result of the request from an existing claim. released reports that the claim was released and may be replaced.
 func (sv *Server) resolveConflict(ctx context.Context, req *Request, conflict *claimConflictError) (result Result, released bool) {
 	cl := conflict.claim
 	if cl.State == ClaimReleased {
@@ -208,7 +208,7 @@
 	return sv.awaitOwner(ctx, req, cl)
 }
 
-// keptWord returns the answer kept with a claim as a word.
+// storedResult returns the answer stored with a claim as a result.
 func (sv *Server) storedResult(ctx context.Context, cl Claim) Result {
 	answer, err := sv.claims.loadAnswer(ctx, cl)
 	if err != nil {
@@ -217,7 +217,7 @@
 	return Result{Outcome: endpoint.OutcomeAnswered, Answer: answer}
 }
 
-// awaitOwner asks the owner of a claim until it knows the end or the caller's time is over.
+// awaitOwner polls the owner of a claim until the request has ended or the caller's deadline passes.
 func (sv *Server) awaitOwner(ctx context.Context, req *Request, cl Claim) (result Result, released bool) {
 	for failures := 0; ; {
 		result, err := sv.askOwner(ctx, req.Key(), cl)
@@ -231,7 +231,7 @@
 		case err != nil && (failures >= maxOwnerFailures || errors.Is(err, errOwnerLost) || time.Until(req.Deadline) < ownerPollInterval):
 			return result, false
 		case err != nil:
-			// It is asked again.
+			// Query the owner again after the poll interval.
 		case result.Outcome == endpoint.OutcomeNotRun:
 			return Result{}, true
 		case !result.Pending:
@@ -248,7 +248,7 @@
 	}
 }
 
-// askOwner returns what the owner of a claim says; an owner that has forgotten, or is another run, knows nothing.
+// askOwner queries the owner of a claim. It fails if the owner has evicted the record or has restarted since it wrote the claim.
 func (sv *Server) askOwner(ctx context.Context, key Key, cl Claim) (Result, error) {
 	if cl.Owner != sv.opts.Entry {
 		return sv.peers.ClaimStatus(ctx, cl.Owner, key, cl.Nonce)
--- a/caller/batch.go
+++ b/caller/batch.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// groupWriters is how many groups may be on their way to the platform at once.
+	// maxBatchWriters is the number of batches that may be in flight to the platform at once.
 	maxBatchWriters = 2
-	// groupBacklog is how many writes may wait.
+	// maxPendingWrites bounds the queue of writes.
 	maxPendingWrites = 8192
 	commitRetryDelay = 50 * time.Millisecond
 )
@@ -24,24 +24,24 @@
 	Commit(ctx context.Context, tx table.Tx) (table.Version, error)
 }
 
-// groupWrite is one conditional write that shares a transaction with others.
+// batchedWrite is one conditional write that shares a transaction with others.
 type batchedWrite struct {
 	write table.Write
-	// mine reports whether a row in conflict is the one that this write meant to leave.
+	// alreadyApplied reports whether a conflicting row is the result of this write, sent earlier.
 	alreadyApplied func(table.Row) bool
 	ctx            context.Context
 	done           chan writeResult
-	// lost says that an earlier sending may have taken effect.
+	// maybeApplied is set when an earlier commit failed in a way that leaves open whether it was applied.
 	maybeApplied bool
 }
 
-// groupEnd is the end of one write: a version, a *table.ConflictError, table.ErrNotApplied or table.ErrLost.
+// writeResult is the result of one write: a version, a *table.ConflictError, table.ErrNotApplied or table.ErrLost.
 type writeResult struct {
 	version table.Version
 	err     error
 }
 
-// grouper puts writes that come fast into common transactions; each still succeeds or fails alone.
+// batcher combines concurrent writes into shared transactions. Each write still succeeds or fails on its own.
 type batcher struct {
 	committer     Committer
 	interval      time.Duration
@@ -59,18 +59,18 @@
 	return &batcher{committer: committer, interval: opts.ClaimBatchInterval, maxBatch: opts.MaxClaimBatch, timeout: opts.ClaimTimeout, pool: pond.NewPool(maxBatchWriters), rowsInFlight: map[string]bool{}}
 }
 
-// write sends one write in the next group and waits for its end or the context's.
+// write sends one write in the next batch and waits until it ends or its context is done.
 func (bt *batcher) write(ctx context.Context, wt table.Write, alreadyApplied func(table.Row) bool) (table.Version, error) {
 	bw := &batchedWrite{write: wt, alreadyApplied: alreadyApplied, ctx: ctx, done: make(chan writeResult, 1)}
 	if !bt.enqueue(bw) {
-		return 0, eris.Wrap(table.ErrNotApplied, "too many writes wait")
+		return 0, eris.Wrap(table.ErrNotApplied, "too many pending claim writes")
 	}
-	// The group answers for every write by the end of its context, so nothing else needs to be waited for.
+	// The batch completes every write once its context is done, so there is no need to select on the context here.
 	result := <-bw.done
 	return result.version, result.err
 }
 
-// add queues a write and starts a writer if one is free.
+// enqueue queues a write and starts a writer if fewer than maxBatchWriters run. It reports false if the queue is full.
 func (bt *batcher) enqueue(bw *batchedWrite) bool {
 	bt.mu.Lock()
 	defer bt.mu.Unlock()
@@ -85,7 +85,7 @@
 	return true
 }
 
-// run writes groups until none is left.
+// run commits batches until no write can be taken from the queue.
 func (bt *batcher) run() {
 	for {
 		bt.waitInterval()
@@ -97,7 +97,7 @@
 	}
 }
 
-// space keeps two groups apart by the wait, so that under load many writes share one.
+// waitInterval spaces the starts of batches by the batch interval, so that many writes share one transaction under load.
 func (bt *batcher) waitInterval() {
 	bt.mu.Lock()
 	now := time.Now()
@@ -110,7 +110,7 @@
 	time.Sleep(start.Sub(now))
 }
 
-// next takes the waiting writes of rows that no other group is writing; without any the writer ends.
+// nextBatch takes pending writes to rows that no other batch is writing. If there are none, it returns an empty batch and the writer ends.
 func (bt *batcher) nextBatch() []*batchedWrite {
 	bt.mu.Lock()
 	defer bt.mu.Unlock()
@@ -130,7 +130,7 @@
 	return batch
 }
 
-// commit writes a group; writes in conflict end alone and the others are written again without them.
+// commit writes a batch. Conflicting writes end on their own, and the remaining writes are committed again without them.
 func (bt *batcher) commit(batch []*batchedWrite) {
 	defer bt.clearInFlight(batch)
 	for len(batch) > 0 {
@@ -167,7 +167,7 @@
 	return bt.committer.Commit(ctx, tx)
 }
 
-// dropEnded ends the writes whose time is over.
+// dropExpired ends the writes whose context is done and returns the others.
 func (bt *batcher) dropExpired(batch []*batchedWrite) []*batchedWrite {
 	var rest []*batchedWrite
 	for _, bw := range batch {
@@ -179,12 +179,12 @@
 		if bw.maybeApplied {
 			err = table.ErrLost
 		}
-		bw.done <- writeResult{err: eris.Wrap(err, "time is over")}
+		bw.done <- writeResult{err: eris.Wrap(err, "write timed out or was cancelled")}
 	}
 	return rest
 }
 
-// endConflicts ends the writes named in a conflict; one that finds what it meant to write has succeeded earlier.
+// resolveConflicts ends the writes named in a conflict and returns the others. A write whose own row is already stored has succeeded earlier.
 func resolveConflicts(batch []*batchedWrite, conflict *table.ConflictError) []*batchedWrite {
 	byKey := make(map[string]table.Row, len(conflict.Rows))
 	for _, rw := range conflict.Rows {
@@ -205,7 +205,7 @@
 	return rest
 }
 
-// free lets the rows of a group be written again.
+// clearInFlight allows the rows of a batch to be written again.
 func (bt *batcher) clearInFlight(batch []*batchedWrite) {
 	bt.mu.Lock()
 	defer bt.mu.Unlock()
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -1,4 +1,4 @@
-// Package caller speaks HTTP to callers: it takes requests in, claims unrepeatable ones, answers, and keeps answers for collection.
+// Package caller serves HTTP requests of callers: it parses them, claims unrepeatable ones, answers, and keeps answers for collection.
 package caller
 
 import (
@@ -33,46 +33,46 @@
 	SessionNew = "new"
 )
 
-// CollectPath is the path under which kept answers are collected.
+// CollectPath is the path prefix under which callers collect kept answers.
 const CollectPath = "/.aspenseam/answers/"
 
-// Names of callers and their requests.
+// Identifiers of callers, requests and claims.
 type (
-	// ID names a caller.
+	// ID identifies a caller.
 	ID string
-	// RequestID names a request among those of its caller.
+	// RequestID identifies a request. It is unique per caller.
 	RequestID string
-	// Key is the place of a request's claim row: a hash of caller and request id.
+	// Key is the key of a request's claim row: a hash of caller and request id.
 	Key string
-	// Digest is a hash of what a request asks for.
+	// Digest is a hash of a request's service, method, target and body.
 	Digest string
-	// Nonce tells one claim of a request from another.
+	// Nonce distinguishes the claims of one request.
 	Nonce string
 )
 
-// Anonymous is the caller of requests that name none.
+// Anonymous is the caller of requests without a caller header.
 const Anonymous ID = "anonymous"
 
-// Mark says how often a request may run.
+// DeliveryMode says how often a request may run.
 type DeliveryMode int
 
-// The marks.
+// The delivery modes.
 const (
-	// MarkRepeatable may run any number of times.
+	// DeliveryRepeatable allows a request to run any number of times.
 	DeliveryRepeatable DeliveryMode = iota
-	// MarkSingle is sent once for each time that the caller sends it.
+	// DeliveryOncePerTry sends a request at most once for each try of the caller.
 	DeliveryOncePerTry
-	// MarkUnrepeatable runs at most once, however often the caller sends it.
+	// DeliveryAtMostOnce runs a request at most once, however often the caller sends it.
 	DeliveryAtMostOnce
 )
 
-// Request is one request as it came in.
+// Request is a parsed request of a caller.
 type Request struct {
 	Caller   ID
 	ID       RequestID
 	Delivery DeliveryMode
 	Service  table.ServiceID
-	// Try is the number of this try as the caller counts, 1 being the first; 0 if it does not say.
+	// Try is the caller's number of this try, starting at 1; 0 if the caller did not set it.
 	Try      int
 	Session  *Session
 	Deadline time.Time
@@ -81,14 +81,14 @@
 	Host     string
 	Header   http.Header
 	Body     []byte
-	// Named says that the caller gave the request id.
+	// IDFromCaller reports that the caller set the request id.
 	IDFromCaller bool
 	// ticket is set when the request id is a ticket.
 	ticket *ticket
 }
 
-// prior returns what is known of earlier tries without asking anybody.
-// An unrepeatable request's claim tells; a request without an id of the caller's is another one each time that it is sent.
+// prior returns what is known locally about earlier tries.
+// For an unrepeatable request the claim decides. Without an id set by the caller, each try is a separate request.
 func (rq *Request) prior() endpoint.Prior {
 	if rq.Delivery == DeliveryAtMostOnce || !rq.IDFromCaller || rq.Try == 1 {
 		return endpoint.PriorNone
@@ -96,22 +96,22 @@
 	return endpoint.PriorUnknown
 }
 
-// Key returns the place of the request's claim row.
+// Key returns the key of the request's claim row.
 func (rq *Request) Key() Key {
 	return KeyOf(rq.Caller, rq.ID)
 }
 
-// KeyOf returns the place of a claim row.
+// KeyOf returns the key of the claim row of a caller's request.
 func KeyOf(caller ID, id RequestID) Key {
 	sum := sha256.Sum256([]byte(string(caller) + "\x00" + string(id)))
 	return Key(hex.EncodeToString(sum[:16]))
 }
 
-// Digest returns a hash of what the request asks for.
+// Digest returns a hash of the request's service, method, target and body.
 func (rq *Request) Digest() Digest {
 	hs := sha256.New()
 	for _, part := range []string{string(rq.Service), rq.Method, rq.Target} {
-		// A hash never fails to take bytes.
+		// Writes to a hash never fail.
 		_, _ = hs.Write([]byte(part + "\x00"))
 	}
 	_, _ = hs.Write(rq.Body)
@@ -123,18 +123,18 @@
 	Do(ctx context.Context, call *endpoint.Call) endpoint.Result
 }
 
-// Snapshots returns the newest snapshot.
+// Snapshots provides the latest snapshot of the tables and reports whether the platform is reachable.
 type Snapshots interface {
 	Snapshot() *table.Snapshot
 	Reached() bool
 }
 
-// Peers asks other entry instances.
+// Peers queries other entry instances.
 type Peers interface {
-	// Flight asks the owner of a claim what became of it.
+	// ClaimStatus asks the owner of a claim for the result of its request.
 	ClaimStatus(ctx context.Context, owner table.InstanceID, key Key, nonce Nonce) (Result, error)
-	// Collect asks all for a kept answer.
+	// Collect asks all other entry instances for a kept answer.
 	Collect(ctx context.Context, key Key) (Result, error)
-	// Forward lets the issuer of a request's ticket run it.
+	// Forward passes a request to the entry instance that issued its ticket, which runs it.
 	Forward(ctx context.Context, issuer table.InstanceID, req *Request) (Result, error)
 }
--- a/caller/claim.go
+++ b/caller/claim.go
@@ -12,34 +12,34 @@
 )
 
 const (
-	// inlineBytes is the largest answer kept in the claim's row; a larger one goes to the object store.
+	// maxInlineBytes is the size of the largest answer stored in the claim's row; larger ones go to the object store.
 	maxInlineBytes = 16 << 10
 	objectPrefix   = "answer."
 )
 
-// ClaimState says what became of a claim.
+// ClaimState is the state of a claim.
 type ClaimState string
 
-// The states of a claim. Only its owner leaves claimed, and nobody leaves answered or lost.
+// The states of a claim. Only the owner moves a claim out of claimed; answered and lost are final.
 const (
 	// ClaimClaimed means that the owner may send the request or has sent it.
 	ClaimClaimed ClaimState = "claimed"
-	// ClaimReleased means that the owner sent nothing and never will; another may claim.
+	// ClaimReleased means that the owner did not and will not send the request; another entry instance may claim it.
 	ClaimReleased ClaimState = "released"
-	// ClaimAnswered means that the answer is kept with the claim.
+	// ClaimAnswered means that the answer is stored with the claim.
 	ClaimAnswered ClaimState = "answered"
-	// ClaimLost means that the request was sent and no answer came.
+	// ClaimLost means that the request was sent and no answer was received.
 	ClaimLost ClaimState = "lost"
 )
 
-// Claim is the row that lets one entry instance send an unrepeatable request.
+// Claim is the row that gives one entry instance the exclusive right to send an unrepeatable request.
 type Claim struct {
 	Caller  ID              `json:"caller"`
 	ID      RequestID       `json:"id"`
 	Digest  Digest          `json:"digest"`
 	Service table.ServiceID `json:"service"`
 	State   ClaimState      `json:"state"`
-	// Owner and Incarnation name the run of the entry instance that holds the claim.
+	// Owner and Incarnation identify the entry instance that holds the claim and its process.
 	Owner       table.InstanceID  `json:"owner"`
 	Incarnation table.Incarnation `json:"incarnation"`
 	Nonce       Nonce             `json:"nonce"`
@@ -47,29 +47,29 @@
 	Result      *ClaimResult      `json:"result,omitempty"`
 }
 
-// ClaimResult is the answer kept with a claim.
+// ClaimResult is the answer stored with a claim.
 type ClaimResult struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header,omitempty"`
 	Body   []byte      `json:"body,omitempty"`
-	// Object names the body in the object store; empty when Body holds it.
+	// Object is the key of the body in the object store; empty when Body holds it.
 	Object string `json:"object,omitempty"`
-	// NotKept says that the answer was delivered as a stream and its body is gone.
+	// NotKept reports that the answer was streamed to the caller and its body was not stored.
 	NotKept bool `json:"notKept,omitempty"`
 }
 
-// heldError says that the row of a claim is as another claim left it.
+// claimConflictError reports that another claim holds the row.
 type claimConflictError struct {
 	row   table.Row
 	claim Claim
 }
 
-// Error names the claim in the way.
+// Error describes the existing claim.
 func (ce *claimConflictError) Error() string {
 	return "claim " + ce.row.Key + " is " + string(ce.claim.State) + " by " + string(ce.claim.Owner)
 }
 
-// Store keeps claims and large answers at the platform.
+// Store stores claims and large answers on the platform.
 type Store interface {
 	Committer
 	Get(ctx context.Context, table table.TableName, key string) (table.Row, error)
@@ -77,7 +77,7 @@
 	GetObject(ctx context.Context, key string) ([]byte, error)
 }
 
-// claims writes the claims of one entry instance.
+// claims reads and writes the claims of one entry instance.
 type claims struct {
 	opts    *Options
 	store   Store
@@ -88,12 +88,12 @@
 	return &claims{opts: opts, store: store, batcher: newBatcher(store, opts)}
 }
 
-// of returns the claim that this entry instance would write for a request.
+// build returns a claim by this entry instance for a request.
 func (cs *claims) build(req *Request, nonce Nonce, state ClaimState) Claim {
 	return Claim{Caller: req.Caller, ID: req.ID, Digest: req.Digest(), Service: req.Service, State: state, Owner: cs.opts.Entry, Incarnation: cs.opts.Incarnation, Nonce: nonce, At: cs.opts.Now().UTC()}
 }
 
-// put writes a claim over a version; a *heldError says that another was there.
+// write writes a claim that replaces a version of the row. It returns a *claimConflictError if another claim holds the row.
 func (cs *claims) write(ctx context.Context, key Key, cl Claim, replaces table.Version) (table.Version, error) {
 	raw, err := table.Encode(cl)
 	if err != nil {
@@ -126,7 +126,7 @@
 	return rw, cl, err
 }
 
-// resultOf turns an answer into what is kept with the claim; a large body is put into the object store first.
+// storeAnswer returns the result to store with the claim. It first writes a large body to the object store.
 func (cs *claims) storeAnswer(ctx context.Context, key Key, nonce Nonce, answer *endpoint.Answer) (*ClaimResult, error) {
 	result := &ClaimResult{Status: answer.Status, Header: answer.Header}
 	switch {
@@ -143,7 +143,7 @@
 	return result, nil
 }
 
-// answerOf returns the answer kept with a claim.
+// loadAnswer returns the answer stored with a claim.
 func (cs *claims) loadAnswer(ctx context.Context, cl Claim) (*endpoint.Answer, error) {
 	result := cl.Result
 	if result == nil || result.NotKept {
--- a/caller/claim_test.go
+++ b/caller/claim_test.go
@@ -12,9 +12,9 @@
 	"github.com/aspenseam/aspenseam/standin"
 )
 
-// TestClaimsShareWrites measures the platform's writes for each unrepeatable request at a platform that takes 5 ms.
+// TestClaimsShareTransactions bounds the platform transactions per unrepeatable request, with a platform that takes 5 ms to commit.
 func TestClaimsShareTransactions(t *testing.T) {
-	// bound is the most transactions for each request, claim and result together.
+	// bound is the maximum number of transactions per request, for the claim and the result together.
 	for _, td := range []struct {
 		inFlight int
 		bound    float64
@@ -40,7 +40,7 @@
 			if err := sv.Stop(context.Background()); err != nil {
 				t.Fatal(err)
 			}
-			time.Sleep(time.Minute) // the writers end
+			time.Sleep(time.Minute) // let the batch writers end
 			requests := rounds * td.inFlight
 			counts := mm.Counts()
 			perRequest := float64(counts.Writes) / float64(requests)
@@ -60,8 +60,8 @@
 	}
 }
 
-// The owner of a claim did not answer within the peers' 500 ms, once, on a machine that was busy, and a caller was told unknown though the
-// request was answered elsewhere. One question without an answer says little; an owner that is lost answers none.
+// A claim's owner on a busy machine can miss the peers' 500 ms timeout once. Its caller then got outcome unknown although the request was
+// answered elsewhere. A single timeout is therefore retried; an owner that is lost fails every query.
 func TestClaimOwnerIsQueriedAgain(t *testing.T) {
 	for fails, want := range map[int]int{0: 200, 2: 200, 100: 502} {
 		synctest.Test(t, func(t *testing.T) {
@@ -72,7 +72,7 @@
 			wg.Go(func() { post(one, "r1") })
 			time.Sleep(100 * time.Millisecond)
 			if wr := post(two, "r1"); wr.Code != want {
-				t.Errorf("after %d questions without an answer: status %d %s, want %d", fails, wr.Code, wr.Body, want)
+				t.Errorf("after %d failed queries: status %d %s, want %d", fails, wr.Code, wr.Body, want)
 			}
 			wg.Wait()
 			for _, sv := range []*caller.Server{one, two} {
--- a/caller/code.go
+++ b/caller/code.go
@@ -8,10 +8,10 @@
 	"github.com/aspenseam/aspenseam/endpoint"
 )
 
-// Code says why the system itself answered.
+// Code is the reason for a response that an entry instance generates itself.
 type Code string
 
-// The codes.
+// The codes of generated responses.
 const (
 	CodeBadRequest     Code = "badRequest"
 	CodeTooLarge       Code = "tooLarge"
@@ -48,14 +48,14 @@
 	errBuffersFull    = errors.New("buffers are full")
 )
 
-// verdict is a code with the status that it is answered with.
+// errorCode maps an error to a code and an HTTP status.
 type errorCode struct {
 	err    error
 	code   Code
 	status int
 }
 
-// verdicts maps the causes to codes; the first match counts.
+// errorCodes maps errors to codes; the first match applies.
 var errorCodes = []errorCode{
 	{errStopping, CodeStopping, http.StatusServiceUnavailable},
 	{errPlatformDown, CodePlatformDown, http.StatusServiceUnavailable},
@@ -80,7 +80,7 @@
 	{endpoint.ErrUnknownLength, CodeBroken, http.StatusBadGateway},
 }
 
-// verdictOf returns the code and status for a cause.
+// codeFor returns the code and HTTP status for an error.
 func codeFor(err error) (Code, int) {
 	for _, ec := range errorCodes {
 		if errors.Is(err, ec.err) {
@@ -90,34 +90,34 @@
 	return CodeNoEndpoint, http.StatusServiceUnavailable
 }
 
-// Word is the final word on a request, or what is known of it so far.
+// Result is the final result of a request, or the current state of one that is still pending.
 type Result struct {
 	Outcome endpoint.Outcome
-	// Answer is the endpoint's; nil unless the outcome is answered.
+	// Answer is the endpoint's answer; nil unless the outcome is answered.
 	Answer *endpoint.Answer
-	// Cause is why there is no answer.
+	// Cause is the reason why there is no answer.
 	Cause error
-	// RetryAfter is when coming back helps; 0 if it does not.
+	// RetryAfter is the delay after which a retry may succeed; 0 if a retry does not help.
 	RetryAfter time.Duration
-	// Pending says that the request may still be sent or runs.
+	// Pending reports that the request is running or may still be sent.
 	Pending bool
-	// Session is the token to go on with; empty without a session.
+	// Session is the token for the next request of the session; empty without a session.
 	Session string
 }
 
-// Status is the JSON body of an answer that the system itself gives.
+// Status is the JSON body of a response that an entry instance generates itself.
 type Status struct {
 	Outcome   endpoint.Outcome `json:"outcome"`
 	Code      Code             `json:"code"`
 	Message   string           `json:"message"`
 	RequestID RequestID        `json:"requestId,omitempty"`
-	// RetryAfterMs is when coming back helps, in milliseconds; absent if it does not.
+	// RetryAfterMs is the delay in milliseconds after which a retry may succeed; absent if a retry does not help.
 	RetryAfterMs int64 `json:"retryAfterMs,omitempty"`
-	// Findings lists every fault of a bad request.
+	// Findings lists every error in a bad request.
 	Findings []string `json:"findings,omitempty"`
 }
 
-// PendingWord is the word on a request that still runs.
+// PendingResult returns the result of a request that is still running.
 func PendingResult() Result {
 	return Result{Outcome: endpoint.OutcomeUnknown, Cause: errPending, Pending: true}
 }
--- a/caller/collect.go
+++ b/caller/collect.go
@@ -10,7 +10,7 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// collect answers a caller that asks for the answer to an earlier request of its own.
+// serveCollect returns the answer to an earlier request of the same caller.
 func (sv *Server) serveCollect(wr http.ResponseWriter, rq *http.Request) {
 	hp := &headerParser{rq: rq, now: sv.opts.Now(), opts: &sv.opts}
 	req := &Request{Caller: ID(hp.name(HeaderCaller, string(Anonymous))), Method: rq.Method, IDFromCaller: true}
@@ -30,7 +30,7 @@
 	sv.respond(wr, req, sv.findAnswer(ctx, req.Key()))
 }
 
-// find looks for an answer here, on the claim, and at the other entry instances.
+// findAnswer looks for an answer in memory, in the claim, and on the other entry instances.
 func (sv *Server) findAnswer(ctx context.Context, key Key) Result {
 	if result, ok := sv.records.lookup(key, ""); ok {
 		return sv.withRetryAfter(result)
@@ -70,7 +70,7 @@
 	return sv.withRetryAfter(result)
 }
 
-// pendingWord tells when to come back for an answer that is still to come.
+// withRetryAfter sets a retry delay on a pending result.
 func (sv *Server) withRetryAfter(result Result) Result {
 	if result.Pending {
 		result.RetryAfter = sv.jitter(shortRetryDelay)
--- a/caller/fakes_test.go
+++ b/caller/fakes_test.go
@@ -15,7 +15,7 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// fakeRouter answers every call after a time.
+// fakeRouter answers every call after a delay.
 type fakeRouter struct {
 	work time.Duration
 	mu   sync.Mutex
@@ -35,13 +35,13 @@
 	return endpoint.Result{Outcome: endpoint.OutcomeAnswered, AttemptOutcomes: []endpoint.AttemptOutcome{endpoint.Answered}, Answer: &endpoint.Answer{Status: http.StatusOK, Header: http.Header{}, Body: []byte("done")}}
 }
 
-// fakeSnapshots always has a platform.
+// fakeSnapshots always reports the platform as reachable.
 type fakeSnapshots struct{}
 
 func (fakeSnapshots) Snapshot() *table.Snapshot { return table.EmptySnapshot() }
 func (fakeSnapshots) Reached() bool             { return true }
 
-// noPeers knows nobody.
+// noPeers fails every query.
 type noPeers struct{}
 
 func (noPeers) ClaimStatus(context.Context, table.InstanceID, caller.Key, caller.Nonce) (caller.Result, error) {
@@ -56,7 +56,7 @@
 	return caller.Result{}, errors.New("no peer")
 }
 
-// deafPeers know how a request ended, and do not answer the first questions.
+// unresponsivePeers fails the first queries and then returns an answer.
 type unresponsivePeers struct {
 	noPeers
 	mu       sync.Mutex
@@ -79,7 +79,7 @@
 	return caller.NewServer(fr, fakeSnapshots{}, mm, noPeers{}, options...)
 }
 
-// post sends an unrepeatable request in memory.
+// post passes an unrepeatable request directly to the server.
 func post(sv *caller.Server, id string) *httptest.ResponseRecorder {
 	rq := httptest.NewRequest(http.MethodPost, "/reserve", strings.NewReader("x"))
 	rq.Header.Set(caller.HeaderService, "books")
--- a/caller/options.go
+++ b/caller/options.go
@@ -8,7 +8,7 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// Options holds what a server can be built with.
+// Options configures a Server.
 type Options struct {
 	Entry              table.InstanceID
 	Incarnation        table.Incarnation
@@ -27,7 +27,7 @@
 	Now                func() time.Time
 }
 
-// Option changes one of the options.
+// Option sets fields of Options.
 type Option func(*Options)
 
 func defaults() Options {
@@ -47,36 +47,36 @@
 	}
 }
 
-// WithEntry names the entry instance and this run of it.
+// WithEntry sets the id of the entry instance and the incarnation of its process.
 func WithEntry(id table.InstanceID, inc table.Incarnation) Option {
 	return func(op *Options) { op.Entry, op.Incarnation = id, inc }
 }
 
-// WithTimes sets the time for requests without a deadline and the longest one for any.
+// WithTimeouts sets the timeout of requests without a deadline and the longest timeout of any request.
 func WithTimeouts(defaultTimeout, maxDuration time.Duration) Option {
 	return func(op *Options) { op.DefaultTimeout, op.MaxRequestDuration = defaultTimeout, maxDuration }
 }
 
-// WithBytes bounds one body, and sets the memory that all bodies are held in.
+// WithBodyLimits sets the maximum size of a request body and the shared buffers for all bodies.
 func WithBodyLimits(maxBody int, buffers *endpoint.Buffers) Option {
 	return func(op *Options) { op.MaxBodyBytes, op.Buffers = maxBody, buffers }
 }
 
-// WithClaims sets the time between two writes of claims under load, the most claims in one, and the longest wait for one.
+// WithClaimBatching sets the interval between batches of claims under load, the maximum batch size, and the timeout of a claim write.
 func WithClaimBatching(interval time.Duration, maxBatch int, timeout time.Duration) Option {
 	return func(op *Options) {
 		op.ClaimBatchInterval, op.MaxClaimBatch, op.ClaimTimeout = interval, maxBatch, timeout
 	}
 }
 
-// WithAnswers bounds the answers kept in memory for collection by number, bytes and time.
+// WithKeptAnswers bounds the answers kept in memory for collection by number, bytes and age.
 func WithKeptAnswers(maxAnswers, maxBytes int, retention time.Duration) Option {
 	return func(op *Options) {
 		op.MaxKeptAnswers, op.KeptAnswerBytes, op.AnswerRetention = maxAnswers, maxBytes, retention
 	}
 }
 
-// WithSigner sets what signs session tokens and tickets.
+// WithSigner sets the signer of session tokens and tickets.
 func WithSigner(sg *Signer) Option {
 	return func(op *Options) { op.Signer = sg }
 }
--- a/caller/record.go
+++ b/caller/record.go
@@ -10,29 +10,29 @@
 
 const recordShards = 64
 
-// flight is one run of a request through this entry instance; others with the same id wait for its word.
+// flight is one run of a request through this entry instance. Concurrent tries with the same id wait for its result.
 type flight struct {
 	done chan struct{}
-	// word is set before done is closed.
+	// result is set before done is closed.
 	result Result
 }
 
-// record is what an entry instance remembers of one request id.
+// record is the in-memory state of one request id.
 type record struct {
 	digest Digest
-	// current is the flight that runs now; nil if none does.
+	// flight is the current run of the request; nil if there is none.
 	flight *flight
 	// answer is the complete answer, kept for collection.
 	answer *endpoint.Answer
-	// open counts attempts that outlived their caller.
+	// lateAttempts counts attempts still running after their caller's response.
 	lateAttempts int
-	// released holds claims that were given back; nothing was sent under them and nothing ever will be.
+	// releasedClaims holds the nonces of released claims. Nothing was or will be sent under them.
 	releasedClaims map[Nonce]bool
 	lastUsed       time.Time
 	size           int
 }
 
-// records remembers requests by key, in shards so that no lock is shared by all requests.
+// records holds request records by key, in shards to reduce lock contention.
 type records struct {
 	shards           [recordShards]recordShard
 	maxPerShard      int
@@ -61,7 +61,7 @@
 	return &rs.shards[xxhash.Sum64String(string(key))%recordShards]
 }
 
-// with runs a function on the record of a key, made if need be, under the shard's lock.
+// update calls fn on the record of a key under the shard's lock. It creates the record if necessary.
 func (rs *records) update(key Key, fn func(*record)) {
 	sd := rs.shard(key)
 	sd.mu.Lock()
@@ -79,7 +79,7 @@
 	rs.evict(sd)
 }
 
-// evict forgets the oldest records that nothing runs for, beyond the bounds of number, bytes and time.
+// evict deletes the oldest idle records while the shard exceeds its bounds on number, bytes and age.
 func (rs *records) evict(sd *recordShard) {
 	for checked := 0; checked < len(sd.order); checked++ {
 		key := sd.order[0]
@@ -98,7 +98,7 @@
 	}
 }
 
-// join returns the flight of a request and whether the caller has to run it, or the answer that it had.
+// join returns the kept answer of a request, or its flight. owner reports that the flight is new and must be run by the calling goroutine.
 func (rs *records) join(key Key, digest Digest) (fl *flight, owner bool, answer *endpoint.Answer, err error) {
 	rs.update(key, func(rc *record) {
 		switch {
@@ -117,7 +117,7 @@
 	return fl, owner, answer, err
 }
 
-// finish gives a flight its word and keeps the answer.
+// finish sets the result of a flight, keeps the answer and wakes the waiting tries.
 func (rs *records) finish(key Key, fl *flight, result Result) {
 	rs.update(key, func(rc *record) {
 		rc.flight = nil
@@ -125,7 +125,7 @@
 			rc.lateAttempts++
 		}
 		if result.Outcome == endpoint.OutcomeNotRun {
-			// Nothing ran, so the id is free for another request.
+			// Nothing ran, so the id may be used for another request.
 			rc.digest = ""
 		}
 		rc.setAnswer(result.Answer)
@@ -134,7 +134,7 @@
 	close(fl.done)
 }
 
-// keep stores an answer that is complete.
+// setAnswer keeps an answer unless it is streamed.
 func (rc *record) setAnswer(answer *endpoint.Answer) {
 	if answer == nil || answer.Stream != nil {
 		return
@@ -143,7 +143,7 @@
 	rc.size = len(answer.Body)
 }
 
-// late notes the end of an attempt that outlived its caller.
+// finishLate records the end of an attempt that ended after its caller's response.
 func (rs *records) finishLate(key Key, answer *endpoint.Answer) {
 	rs.update(key, func(rc *record) {
 		rc.lateAttempts--
@@ -151,12 +151,12 @@
 	})
 }
 
-// release notes that nothing was sent under a claim and nothing will be.
+// markReleased records that nothing was or will be sent under a claim.
 func (rs *records) markReleased(key Key, nonce Nonce) {
 	rs.update(key, func(rc *record) { rc.releasedClaims[nonce] = true })
 }
 
-// ask returns what became of a claim here, or of any if nonce is empty; ok is false if nothing is known.
+// lookup returns the result of the request under a claim, or under any claim if nonce is empty. ok is false if there is no record of it.
 func (rs *records) lookup(key Key, nonce Nonce) (result Result, ok bool) {
 	sd := rs.shard(key)
 	sd.mu.Lock()
@@ -176,7 +176,7 @@
 	return Result{}, false
 }
 
-// open counts the flights and late attempts that still run.
+// countOpen counts the flights and late attempts that are still running.
 func (rs *records) countOpen() int {
 	count := 0
 	for ix := range rs.shards {
--- a/caller/request.go
+++ b/caller/request.go
@@ -16,26 +16,26 @@
 const (
 	maxNameLength = 128
 	maxTry        = 1000000
-	// thrownBytes is how much of a refused body is read, so that the caller hears the refusal.
+	// maxDiscardBytes bounds how much of a rejected body is read and discarded, so that the caller receives the response.
 	maxDiscardBytes = 16 << 20
 )
 
-// namePattern is what callers' names, request ids and services look like.
+// namePattern matches valid caller names, request ids and service names.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:@/+=-]*$`)
 
-// fault is a bad request: all its findings, and the status it is answered with.
+// requestError rejects a request. It holds the HTTP status, the code and all findings.
 type requestError struct {
 	status   int
 	code     Code
 	findings []string
 }
 
-// Error returns the findings in one line.
+// Error returns the findings as one line.
 func (reqErr *requestError) Error() string {
 	return strings.Join(reqErr.findings, "; ")
 }
 
-// reader collects the findings of one request's headers.
+// headerParser parses the headers of one request and collects its errors as findings.
 type headerParser struct {
 	rq       *http.Request
 	now      time.Time
@@ -47,7 +47,7 @@
 	hp.findings = append(hp.findings, fmt.Sprintf(format, args...))
 }
 
-// read turns the headers of an HTTP request into a Request without its body.
+// parseRequest parses an HTTP request into a Request without its body.
 func (sv *Server) parseRequest(rq *http.Request) (*Request, *requestError) {
 	hp := &headerParser{rq: rq, now: sv.opts.Now(), opts: &sv.opts}
 	req := &Request{Method: rq.Method, Target: rq.URL.RequestURI(), Host: rq.Host, Header: rq.Header}
@@ -72,7 +72,7 @@
 	return req, nil
 }
 
-// service returns the service by header, or else by the host's first label.
+// service returns the service named in the header, or else the first label of the host name.
 func (hp *headerParser) service() table.ServiceID {
 	if name := hp.name(HeaderService, ""); name != "" || hp.rq.Header.Get(HeaderService) != "" {
 		return table.ServiceID(name)
@@ -85,7 +85,7 @@
 	return table.ServiceID(label)
 }
 
-// name returns a header that must be a name when it is there.
+// name returns the value of a header that must be a valid name, or the fallback if the header is absent.
 func (hp *headerParser) name(header, fallback string) string {
 	values := hp.rq.Header.Values(header)
 	switch {
@@ -103,7 +103,7 @@
 	return ""
 }
 
-// mark returns how often the request may run; without a word of the caller it is the method's.
+// deliveryMode returns how often the request may run. Without the header, the method decides.
 func (hp *headerParser) deliveryMode(named bool) DeliveryMode {
 	switch value := hp.rq.Header.Get(HeaderRepeat); value {
 	case RepeatYes:
@@ -124,7 +124,7 @@
 	return DeliveryOncePerTry
 }
 
-// ticket returns the ticket that a request id is, nil for an ordinary id.
+// ticket returns the ticket encoded in the request id, nil for an ordinary id.
 func (hp *headerParser) ticket(sg *Signer, req *Request) *ticket {
 	tk, err := sg.parseTicket(req.ID)
 	if err != nil {
@@ -148,7 +148,7 @@
 	return number
 }
 
-// deadline returns when the caller stops waiting, at most the longest request time from now.
+// deadline returns the caller's deadline, capped at MaxRequestDuration from now.
 func (hp *headerParser) deadline() time.Time {
 	text := hp.rq.Header.Get(HeaderDeadline)
 	if text == "" {
@@ -185,8 +185,8 @@
 	return ss
 }
 
-// readBody reads the body within its bounds; the memory is taken from the buffers until release is called.
-// A body that is refused is read and thrown away, as far as bounds allow: a caller that still writes would not hear the refusal.
+// readBody reads the body up to its size limit. Its memory is reserved from the buffers until release is called.
+// The rest of a rejected body is read and discarded up to maxDiscardBytes: a caller that is still writing would not receive the response.
 func (sv *Server) readBody(wr http.ResponseWriter, rq *http.Request) (body []byte, release func(), reqErr *requestError) {
 	release = func() {}
 	if rq.ContentLength == 0 {
@@ -213,8 +213,8 @@
 	return nil, release, &requestError{status: http.StatusRequestTimeout, code: CodeBadRequest, findings: []string{"the body did not come in whole and in time"}}
 }
 
-// throwAway reads what a caller still sends, without keeping it; the server's time for reading bounds how long.
+// discardBody reads and discards the rest of a body. The server's read timeout bounds how long this takes.
 func discardBody(body io.Reader) {
-	// Whether all of it came does not matter any more.
+	// The request is rejected either way, so a read error does not matter.
 	_, _ = io.Copy(io.Discard, io.LimitReader(body, maxDiscardBytes))
 }
--- a/caller/server.go
+++ b/caller/server.go
@@ -19,16 +19,16 @@
 )
 
 const (
-	// ownPrefix begins the paths that entry instances answer themselves.
+	// internalPrefix is the prefix of paths that entry instances serve themselves.
 	internalPrefix = "/.aspenseam/"
-	// readyPath is where the platform's balancer asks whether to send callers here.
+	// readyPath is the readiness check of the platform's load balancer.
 	readyPath        = "/.aspenseam/ready"
 	shortRetryDelay  = 100 * time.Millisecond
 	stopPollInterval = 20 * time.Millisecond
 	copyBufferBytes  = 32 << 10
 )
 
-// Server answers callers.
+// Server handles the HTTP requests of callers.
 type Server struct {
 	opts         Options
 	router       Router
@@ -41,11 +41,11 @@
 	stopping     atomic.Bool
 	openRequests atomic.Int64
 	tasks        sync.WaitGroup
-	// Outcomes counts final words by outcome.
+	// Answered, NotRun and Unknown count responses by outcome.
 	Answered, NotRun, Unknown atomic.Int64
 }
 
-// NewServer returns a server that sends through a router and claims at a store.
+// NewServer returns a server that sends requests through a router and writes claims to a store.
 func NewServer(router Router, snapshots Snapshots, store Store, peers Peers, options ...Option) *Server {
 	opts := defaults()
 	for _, option := range options {
@@ -58,7 +58,7 @@
 	return sv
 }
 
-// ServeHTTP takes one request.
+// ServeHTTP handles one request.
 func (sv *Server) ServeHTTP(wr http.ResponseWriter, rq *http.Request) {
 	sv.openRequests.Add(1)
 	defer sv.openRequests.Add(-1)
@@ -84,7 +84,7 @@
 	wr.WriteHeader(http.StatusNoContent)
 }
 
-// serve reads a request, runs it and answers.
+// serve parses a request, runs it and writes the response.
 func (sv *Server) serve(wr http.ResponseWriter, rq *http.Request) {
 	req, reqErr := sv.parseRequest(rq)
 	if reqErr != nil {
@@ -101,7 +101,7 @@
 	sv.respond(wr, req, sv.runShared(rq.Context(), req))
 }
 
-// word returns the final word on a request; tries of the same request share one run.
+// runShared returns the result of a request. Concurrent tries of the same request share one run.
 func (sv *Server) runShared(ctx context.Context, req *Request) Result {
 	if !req.IDFromCaller {
 		return sv.run(ctx, req)
@@ -118,16 +118,16 @@
 	return sv.waitFlight(ctx, req, fl)
 }
 
-// lead runs the request and tells the followers.
+// runFlight runs the request and passes its result to the tries that wait for it.
 func (sv *Server) runFlight(ctx context.Context, req *Request, fl *flight) Result {
 	result := Result{Outcome: endpoint.OutcomeUnknown, Cause: endpoint.ErrConnectionBroken}
-	// The followers must hear an end even if the run panics.
+	// The waiting tries must get a result even if the run panics.
 	defer func() { sv.records.finish(req.Key(), fl, result) }()
 	result = sv.run(ctx, req)
 	return result
 }
 
-// follow waits for the run of another try.
+// waitFlight waits for the result of another try's run.
 func (sv *Server) waitFlight(ctx context.Context, req *Request, fl *flight) Result {
 	timer := time.NewTimer(time.Until(req.Deadline))
 	defer timer.Stop()
@@ -144,7 +144,7 @@
 	return fl.result
 }
 
-// run sends the request as its mark allows.
+// run sends the request according to its delivery mode.
 func (sv *Server) run(ctx context.Context, req *Request) Result {
 	if cause := sv.rejectionCause(req); cause != nil {
 		result := Result{Outcome: endpoint.Fold(req.prior(), nil), Cause: cause, RetryAfter: sv.retryAfterFor(cause)}
@@ -174,7 +174,7 @@
 	return sv.resultFrom(req, sv.router.Do(ctx, call))
 }
 
-// refusal returns why a request is refused before anything is done for it.
+// rejectionCause returns the reason to reject a request before it is processed, nil if there is none.
 func (sv *Server) rejectionCause(req *Request) error {
 	switch {
 	case sv.stopping.Load():
@@ -192,7 +192,7 @@
 	return 0
 }
 
-// callOf returns the endpoint call of a request.
+// newCall returns the endpoint call for a request.
 func (sv *Server) newCall(req *Request) *endpoint.Call {
 	call := &endpoint.Call{Service: req.Service, RequestID: string(req.ID), Method: req.Method, Target: req.Target, Host: req.Host, Header: endpointHeaders(req.Header), Body: req.Body, Deadline: req.Deadline, Pin: req.Session.pin()}
 	if req.Session != nil {
@@ -202,7 +202,7 @@
 	return call
 }
 
-// forwarded returns the caller's headers without those that are between callers and entry instances.
+// endpointHeaders returns the caller's headers without those meant for entry instances only.
 func endpointHeaders(hd http.Header) http.Header {
 	out := make(http.Header, len(hd))
 	for name, values := range hd {
@@ -213,7 +213,7 @@
 	return out
 }
 
-// wordOf turns the end of a call into the word on its request.
+// resultFrom converts the result of an endpoint call to the result of the request.
 func (sv *Server) resultFrom(req *Request, rs endpoint.Result) Result {
 	result := Result{Outcome: rs.Outcome, Answer: rs.Answer, Cause: rs.Err, RetryAfter: rs.RetryAfter, Pending: rs.Pending}
 	if rs.Answer == nil {
@@ -223,7 +223,7 @@
 	return result
 }
 
-// sessionToken returns the token to go on with, bound to the endpoint that the request went to.
+// sessionToken returns the token for the session's next request, pinned to the endpoint that handled this one.
 func (sv *Server) sessionToken(req *Request, rs endpoint.Result) string {
 	if req.Session == nil || rs.Endpoint == "" || len(rs.AttemptOutcomes) == 0 {
 		return ""
@@ -233,12 +233,12 @@
 	return sv.signer.Token(ss)
 }
 
-// spread returns a time from one to two times the given one, so that callers do not come back together.
+// jitter returns a random duration between one and two times wait, so that callers do not retry at the same time.
 func (sv *Server) jitter(wait time.Duration) time.Duration {
 	return wait + rand.N(wait)
 }
 
-// background runs work that no caller waits for but the stop does.
+// background runs work in a goroutine that Stop waits for.
 func (sv *Server) background(work func()) {
 	sv.tasks.Add(1)
 	go func() {
@@ -247,7 +247,7 @@
 	}()
 }
 
-// respond writes the word to the caller.
+// respond writes the result to the caller.
 func (sv *Server) respond(wr http.ResponseWriter, req *Request, result Result) {
 	sv.countOutcome(result.Outcome)
 	hd := wr.Header()
@@ -274,7 +274,7 @@
 	sv.writeStatus(wr, status, Status{Outcome: result.Outcome, Code: code, Message: message, RequestID: req.ID, RetryAfterMs: result.RetryAfter.Milliseconds()})
 }
 
-// rootMessage returns the cause without the addresses and detail that wrap it.
+// rootMessage returns the message of the underlying error, without addresses and other wrapped details.
 func rootMessage(err error) string {
 	for _, ec := range errorCodes {
 		if errors.Is(err, ec.err) {
@@ -295,10 +295,10 @@
 	}
 }
 
-// deliver writes an endpoint's answer; a break in a stream cuts the caller's connection, so that a short answer cannot look whole.
+// writeAnswer writes an endpoint's answer. If a stream breaks, it aborts the caller's connection, so that a truncated answer cannot look complete.
 func (sv *Server) writeAnswer(wr http.ResponseWriter, req *Request, answer *endpoint.Answer) {
 	defer answer.Release()
-	// A caller that reads slowly must not hold memory for ever; a failure only means that there is no connection to bound.
+	// The deadline keeps slow readers from holding memory indefinitely. An error only means that the writer does not support deadlines.
 	_ = http.NewResponseController(wr).SetWriteDeadline(time.Now().Add(sv.opts.MaxRequestDuration))
 	if answer.Stream == nil && req.Method != http.MethodHead {
 		wr.Header().Set("Content-Length", strconv.Itoa(len(answer.Body)))
@@ -317,16 +317,16 @@
 	}
 }
 
-// onlyWriter hides other methods, so that the copy's buffer bounds the memory.
+// onlyWriter hides ReadFrom and other methods, so that io.CopyBuffer uses the given buffer and memory stays bounded.
 type onlyWriter struct {
 	io.Writer
 }
 
-// respondFault answers a bad request with all its findings, or one that there is no memory for; nothing was run.
+// respondError rejects a bad request with all its findings, or a request for which there is no buffer memory. Nothing was run.
 func (sv *Server) respondError(wr http.ResponseWriter, req *Request, reqErr *requestError) {
 	outcome := endpoint.OutcomeNotRun
 	if reqErr.code == CodeOverloaded && req.IDFromCaller && req.Try != 1 {
-		// The message is sound, so the word is on the request, of which an earlier try may have run.
+		// The request is valid, so the outcome must cover earlier tries, and one of them may have run.
 		outcome = endpoint.OutcomeUnknown
 	}
 	sv.countOutcome(outcome)
@@ -351,11 +351,11 @@
 		hd.Set("Retry-After", strconv.FormatInt(seconds, 10))
 	}
 	wr.WriteHeader(status)
-	// The caller may be gone; there is nobody else to tell.
+	// A write error means that the caller has disconnected; there is nothing else to do.
 	_ = json.NewEncoder(wr).Encode(body)
 }
 
-// Stop refuses new requests and waits until open ones have ended and their results are stored, or the context ends.
+// Stop rejects new requests and waits until open ones have ended and their results are stored, or until the context is done.
 func (sv *Server) Stop(ctx context.Context) error {
 	sv.stopping.Store(true)
 	ticker := time.NewTicker(stopPollInterval)
@@ -380,7 +380,7 @@
 	}
 }
 
-// Flight answers a peer that asks what became of a claim here.
+// ClaimStatus returns the result of the request under a claim of this entry instance, for a peer. It returns false if there is no record.
 func (sv *Server) ClaimStatus(key Key, nonce Nonce) (Result, bool) {
 	return sv.records.lookup(key, nonce)
 }
--- a/caller/session.go
+++ b/caller/session.go
@@ -17,27 +17,27 @@
 const (
 	macBytes       = 16
 	maxTokenLength = 1024
-	// sessionPurpose keeps a session's tag from passing for a ticket's.
+	// sessionPurpose prefixes the signed text, so that a session's signature is not valid for a ticket.
 	sessionPurpose = "session\x00"
 )
 
-// errToken says that a session token was not made by this fleet.
+// errInvalidToken reports that a session token was not signed by this fleet.
 var errInvalidToken = errors.New("session token is not of this fleet")
 
-// Session is an open session; its token holds all of it, so that any entry instance knows it at once.
+// Session is an open session. Its token contains all of its state, so that any entry instance can continue it without a lookup.
 type Session struct {
 	ID      string          `json:"id"`
 	Service table.ServiceID `json:"service"`
-	// Pin is where the session was when the token was made.
+	// Pin is the endpoint that the session was pinned to when the token was issued.
 	Pin table.Pin `json:"pin"`
 }
 
-// Signer makes and checks session tokens.
+// Signer signs and verifies session tokens and tickets.
 type Signer struct {
 	keys atomic.Pointer[[][]byte]
 }
 
-// NewSigner returns a signer that signs with the first key and accepts all.
+// NewSigner returns a signer that signs with the first key and accepts signatures by any key.
 func NewSigner(keys ...string) *Signer {
 	sg := &Signer{}
 	sg.SetKeys(keys...)
@@ -53,12 +53,12 @@
 	sg.keys.Store(&list)
 }
 
-// sign returns the tag of a text under the first key.
+// sign returns the signature of a text by the first key.
 func (sg *Signer) sign(text string) string {
 	return base64.RawURLEncoding.EncodeToString(computeMAC((*sg.keys.Load())[0], text))
 }
 
-// signed reports whether a tag is a text's under any key.
+// verify reports whether a tag is a valid signature of a text by any key.
 func (sg *Signer) verify(text, tag string) bool {
 	sum, err := base64.RawURLEncoding.DecodeString(tag)
 	if err != nil {
@@ -76,14 +76,14 @@
 func (sg *Signer) Token(ss Session) string {
 	raw, err := json.Marshal(ss)
 	if err != nil {
-		// Strings and numbers always encode.
+		// Encoding cannot fail: a Session consists of strings and numbers.
 		return ""
 	}
 	payload := base64.RawURLEncoding.EncodeToString(raw)
 	return payload + "." + sg.sign(sessionPurpose+payload)
 }
 
-// Open returns the session of a token.
+// ParseToken verifies a token and returns its session.
 func (sg *Signer) ParseToken(token string) (*Session, error) {
 	payload, tag, found := strings.Cut(token, ".")
 	if !found || len(token) > maxTokenLength {
@@ -105,12 +105,12 @@
 
 func computeMAC(key []byte, text string) []byte {
 	hs := hmac.New(sha256.New, key)
-	// A hash never fails to take bytes.
+	// Writes to a hash never fail.
 	_, _ = hs.Write([]byte(text))
 	return hs.Sum(nil)[:macBytes]
 }
 
-// pin returns the function that finds the session's endpoint in a snapshot; nil for a session that is not bound yet.
+// pin returns a function that finds the session's endpoint in a snapshot; nil for a session that is not pinned yet.
 func (ss *Session) pin() func(*table.Snapshot) (table.InstanceID, error) {
 	if ss == nil || ss.Pin.Instance == "" {
 		return nil
--- a/caller/sweep.go
+++ b/caller/sweep.go
@@ -13,20 +13,20 @@
 
 const (
 	sweepInterval = time.Minute
-	// sweepPage is how many claims are read, and deleted in one transaction, at a time.
+	// sweepPageSize is the number of claims read at a time and deleted in one transaction.
 	sweepPageSize = 200
-	// sweepPages bounds one sweep, so that it never crowds out other writes.
+	// maxSweepPages bounds one sweep, so that it does not delay other writes.
 	maxSweepPages = 100
 )
 
-// SweepStore reads claims in the order in which they were last written, and deletes what belongs to them.
+// SweepStore reads claims ordered by their last write, and deletes claims and their objects.
 type SweepStore interface {
 	Committer
 	ChangesPage(ctx context.Context, since table.Version, tables []table.TableName, limit int) (table.Changes, error)
 	DeleteObject(ctx context.Context, key string) error
 }
 
-// Sweeper deletes claims that are older than the time for which ids are remembered.
+// Sweeper deletes claims that are older than the retention period.
 type Sweeper struct {
 	store     SweepStore
 	snapshots Snapshots
@@ -46,8 +46,8 @@
 	table.Every(ctx, sweepInterval, sw.Sweep)
 }
 
-// Sweep deletes old claims if it is this entry instance's turn.
-// The first one listed sweeps; two that both believe so only waste work, since each deletion is conditional.
+// Sweep deletes old claims if this entry instance is the first one listed.
+// Concurrent sweeps by two entry instances waste work but do no harm, since each deletion is conditional.
 func (sw *Sweeper) Sweep(ctx context.Context) {
 	entries := sw.snapshots.Snapshot().Entries()
 	if len(entries) > 0 && entries[0].ID != sw.entry {
@@ -65,7 +65,7 @@
 	}
 }
 
-// page deletes one page of old claims and reports whether there may be more; the oldest always come first.
+// deleteOldPage deletes one page of old claims and reports whether there may be more. The oldest claims come first.
 func (sw *Sweeper) deleteOldPage(ctx context.Context) (bool, error) {
 	cs, err := sw.store.ChangesPage(ctx, 0, []table.TableName{table.TableClaim}, sweepPageSize)
 	if err != nil {
@@ -90,7 +90,7 @@
 	_, err = sw.store.Commit(ctx, table.Tx{Writes: writes})
 	var conflict *table.ConflictError
 	if errors.As(err, &conflict) {
-		return false, nil // another swept, or a claim changed; the next sweep sees
+		return false, nil // another sweep ran or a claim changed; the next sweep retries
 	}
 	return len(writes) == sweepPageSize, eris.Wrap(err, "delete claims")
 }
--- a/caller/ticket.go
+++ b/caller/ticket.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// TicketPath is where callers get tickets.
+	// TicketPath is the path at which callers request tickets.
 	TicketPath = "/.aspenseam/tickets"
-	// ticketPrefix begins request ids that are tickets.
+	// ticketPrefix is the prefix of request ids that are tickets.
 	ticketPrefix = "t1."
-	// ticketValidity is how long a ticket may be used, and how long its use is remembered.
+	// ticketValidity is how long a ticket may be used, and how long a used ticket is remembered.
 	ticketValidity = 24 * time.Hour
-	// maxTickets bounds the tickets of one entry instance that are valid at a time, and so the memory for them.
+	// maxTickets bounds the number of valid tickets per entry instance, and thereby their memory.
 	maxTickets  = 10000
 	ticketParts = 5
-	// forwardBytes is the largest answer that one entry instance passes to another.
+	// maxForwardBytes is the size of the largest answer that one entry instance passes to another.
 	maxForwardBytes = 2 << 20
 )
 
@@ -35,7 +35,7 @@
 	errTooManyTickets = errors.New("too many tickets are out")
 )
 
-// ticket lets an unrepeatable request run without a claim: only the run of the entry instance that issued it honours it, from memory.
+// ticket allows an unrepeatable request to run without a claim. Only the process that issued it accepts it and tracks its use in memory.
 type ticket struct {
 	entry       table.InstanceID
 	incarnation table.Incarnation
@@ -43,20 +43,20 @@
 	expires     time.Time
 }
 
-// TicketAnswer is the answer to a caller that asks for a ticket.
+// TicketResponse is the response to a request for a ticket.
 type TicketResponse struct {
-	// Ticket is to be used as the request id of one unrepeatable request.
+	// Ticket is the request id to use for one unrepeatable request.
 	Ticket string `json:"ticket"`
-	// ExpiresMs is until when, in milliseconds since 1970 UTC.
+	// ExpiresMs is the expiry time in milliseconds since 1970 UTC.
 	ExpiresMs int64 `json:"expiresMs"`
 }
 
-// tickets remembers what this run of the entry instance issued and which of it was used.
+// tickets tracks the tickets that this process has issued and those that were used.
 type tickets struct {
 	opts   *Options
 	signer *Signer
 	mu     sync.Mutex
-	// issued holds the expiry of each ticket that is out, the earliest first.
+	// issued holds the expiry times of the issued tickets, the earliest first.
 	issued []time.Time
 	spent  map[Nonce]time.Time
 }
@@ -79,7 +79,7 @@
 	return TicketResponse{Ticket: ts.signer.ticketID(tk), ExpiresMs: tk.expires.UnixMilli()}, nil
 }
 
-// forget drops what has expired; the lock is held.
+// evictExpired removes expired tickets; the caller holds the lock.
 func (ts *tickets) evictExpired(now time.Time) {
 	for len(ts.issued) > 0 && !now.Before(ts.issued[0]) {
 		ts.issued = ts.issued[1:]
@@ -94,7 +94,7 @@
 	}
 }
 
-// spend uses a ticket and reports whether it was unused and valid.
+// spend marks a ticket as used and reports whether it was unused and valid.
 func (ts *tickets) spend(tk *ticket) bool {
 	ts.mu.Lock()
 	defer ts.mu.Unlock()
@@ -105,20 +105,20 @@
 	return true
 }
 
-// restore makes a ticket usable again when nothing was sent under it.
+// restore makes a ticket usable again after nothing was sent under it.
 func (ts *tickets) restore(tk *ticket) {
 	ts.mu.Lock()
 	defer ts.mu.Unlock()
 	delete(ts.spent, tk.nonce)
 }
 
-// ticketID returns a ticket as a request id.
+// ticketID encodes and signs a ticket as a request id.
 func (sg *Signer) ticketID(tk ticket) string {
 	payload := strings.Join([]string{string(tk.entry), string(tk.incarnation), string(tk.nonce), strconv.FormatInt(tk.expires.UnixMilli(), 36)}, ".")
 	return ticketPrefix + payload + "." + sg.sign(ticketPrefix+payload)
 }
 
-// openTicket returns the ticket of a request id, nil if the id is an ordinary one.
+// parseTicket verifies and returns the ticket in a request id; nil if the id is an ordinary one.
 func (sg *Signer) parseTicket(id RequestID) (*ticket, error) {
 	rest, isTicket := strings.CutPrefix(string(id), ticketPrefix)
 	if !isTicket {
@@ -139,7 +139,7 @@
 	return &ticket{entry: table.InstanceID(strings.Join(parts[:last-3], ".")), incarnation: table.Incarnation(parts[last-3]), nonce: Nonce(parts[last-2]), expires: time.UnixMilli(expires)}, nil
 }
 
-// serveTicket gives a caller a ticket.
+// serveTicket issues a ticket to a caller.
 func (sv *Server) serveTicket(wr http.ResponseWriter) {
 	answer, err := sv.tickets.issue()
 	if err != nil || sv.stopping.Load() {
@@ -147,11 +147,11 @@
 		return
 	}
 	wr.Header().Set("Content-Type", "application/json")
-	// The caller may be gone; there is nobody else to tell.
+	// A write error means that the caller has disconnected; there is nothing else to do.
 	_ = json.NewEncoder(wr).Encode(answer)
 }
 
-// runTicket runs a request under its ticket, here or at the entry instance that issued it.
+// runTicket runs a request under its ticket, locally or on the entry instance that issued it.
 func (sv *Server) runTicket(ctx context.Context, req *Request) Result {
 	tk := req.ticket
 	switch {
@@ -173,7 +173,7 @@
 	return sv.resultFrom(req, rs)
 }
 
-// refuseTicket returns the word on a ticket's request that is refused here: only its issuer knows of earlier tries.
+// rejectTicket returns the result for a rejected request with a ticket. Only the issuer knows whether an earlier try ran.
 func (sv *Server) rejectTicket(req *Request, result Result) Result {
 	if req.Try == 1 {
 		return result
@@ -181,7 +181,7 @@
 	return Result{Outcome: endpoint.OutcomeUnknown, Cause: result.Cause, RetryAfter: result.RetryAfter}
 }
 
-// ticketUnknown is the word on a ticket that this run does not honour: an earlier try may have run.
+// invalidTicketResult returns the result for a ticket that this process does not accept. An earlier try may have run.
 func (sv *Server) invalidTicketResult(req *Request) Result {
 	if result, known := sv.records.lookup(req.Key(), ""); known && result.Answer != nil {
 		return result
@@ -189,7 +189,7 @@
 	return Result{Outcome: endpoint.OutcomeUnknown, Cause: errTicketSpent}
 }
 
-// forward lets the issuer of the request's ticket run it.
+// forward passes a request to the issuer of its ticket, which runs it.
 func (sv *Server) forward(ctx context.Context, req *Request) Result {
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
@@ -197,11 +197,11 @@
 	if err == nil {
 		return result
 	}
-	// Whether the issuer ran it, now or at an earlier try, cannot be known here.
+	// Without a response it is unknown whether the issuer ran the request, now or in an earlier try.
 	return Result{Outcome: endpoint.OutcomeUnknown, Cause: errOwnerLost, RetryAfter: sv.jitter(outageRetryDelay)}
 }
 
-// Forwarded runs a request that another entry instance passed on, whose ticket is of this one.
+// HandleForwarded runs a request forwarded by another entry instance because this one issued its ticket.
 func (sv *Server) HandleForwarded(ctx context.Context, req *Request) Result {
 	sv.openRequests.Add(1)
 	defer sv.openRequests.Add(-1)
@@ -214,7 +214,7 @@
 	return bufferAnswer(result)
 }
 
-// wholeWord reads an answer that streams to its end, so that it can be passed on.
+// bufferAnswer reads a streamed answer into memory, so that it can be passed to another entry instance.
 func bufferAnswer(result Result) Result {
 	if result.Answer == nil || result.Answer.Stream == nil {
 		return result
@@ -230,13 +230,13 @@
 	return result
 }
 
-// Code returns the code of a word without an answer.
+// Code returns the code of a result without an answer.
 func (rs Result) Code() Code {
 	code, _ := codeFor(rs.Cause)
 	return code
 }
 
-// CauseOf returns the cause that a code stands for.
+// CauseForCode returns the error for a code.
 func CauseForCode(code Code) error {
 	for _, ec := range errorCodes {
 		if ec.code == code {
@@ -246,7 +246,7 @@
 	return errOwnerLost
 }
 
-// SessionOf returns the session of a token that another entry instance passed on, nil without one.
+// ParseSession returns the session of a token in a forwarded request, nil if the token is empty.
 func (sv *Server) ParseSession(token string) (*Session, error) {
 	if token == "" {
 		return nil, nil
