--- a/entry.go
+++ b/entry.go
@@ -144,7 +144,7 @@
 	}
 	desk := operator.NewManager(en.platform, en.platform, en.watcher, planner, time.Now)
 	en.executor = operator.NewExecutor(en.platform, en.platform, en.watcher, en.peers, prober{dialer(st, st.Endpoint.DialTimeout)}, operator.ExecutorOptions{
-		Entry: table.InstanceID(st.Entry.ID), Incarnation: en.incarnation, MaxRequestDuration: st.Caller.LongestRequest, Log: lg,
+		Entry: table.InstanceID(st.Entry.ID), Incarnation: en.incarnation, MaxRequestDuration: st.Caller.MaxRequestDuration, Log: lg,
 	})
 	en.placer = worker.NewPlacer(en.platform, worker.NewClient(en.platform), en.watcher,
 		worker.WithEntry(table.InstanceID(st.Entry.ID), en.incarnation), worker.WithLog(lg), worker.WithUrgentReserve(urgentReserve), worker.WithTaskLease(st.Jobs.TaskLease))
@@ -197,7 +197,7 @@
 		endpoint.WithHall(st.Entry.Hall),
 		endpoint.WithDial(dialer(st, ep.DialTimeout)),
 		endpoint.WithDialTimeout(ep.DialTimeout),
-		endpoint.WithMaxAttemptDuration(st.Caller.LongestRequest),
+		endpoint.WithMaxAttemptDuration(st.Caller.MaxRequestDuration),
 		endpoint.WithMaxBufferedAnswer(st.Caller.AnswerBytes),
 		endpoint.WithBuffers(buffers),
 		endpoint.WithQueueLength(st.Caller.QueueLength),
@@ -226,9 +226,9 @@
 	cs := en.st.Caller
 	return []caller.Option{
 		caller.WithEntry(table.InstanceID(en.st.Entry.ID), en.incarnation),
-		caller.WithTimeouts(cs.DefaultTimeout, cs.LongestRequest),
+		caller.WithTimeouts(cs.DefaultTimeout, cs.MaxRequestDuration),
 		caller.WithBodyLimits(cs.BodyBytes, buffers),
-		caller.WithClaimBatching(cs.ClaimWait, cs.ClaimGroup, en.st.Platform.Timeout),
+		caller.WithClaimBatching(cs.ClaimInterval, cs.ClaimBatchSize, en.st.Platform.Timeout),
 		caller.WithKeptAnswers(cs.AnswersKept, cs.BufferBytes/keptShare, cs.AnswerRetention),
 		caller.WithSigner(en.signer),
 		caller.WithLog(en.log),
@@ -326,7 +326,7 @@
 // stop refuses new requests, lets open ones end, and then closes the listeners.
 func (en *entry) stop() {
 	en.log.Emit(event.ProcessStopping)
-	ctx, cancel := context.WithTimeout(context.Background(), en.st.Caller.LongestRequest+stopMargin)
+	ctx, cancel := context.WithTimeout(context.Background(), en.st.Caller.MaxRequestDuration+stopMargin)
 	defer cancel()
 	if err := en.callers.Stop(ctx); err != nil {
 		en.log.Emit(event.StopForced, zap.Error(err))
--- a/event/event.go
+++ b/event/event.go
@@ -27,8 +27,8 @@
 // Logger writes events through zap.
 type Logger struct {
 	zl *zap.Logger
-	// bound is nil where nothing is left out.
-	bound *bound
+	// limiter is nil where nothing is left out.
+	limiter *rateLimiter
 }
 
 // New returns a logger that writes through zl.
@@ -60,8 +60,8 @@
 	if ce == nil {
 		return
 	}
-	if lg.bound != nil {
-		left, ok := lg.bound.admit(kd.ID, ce.Time)
+	if lg.limiter != nil {
+		left, ok := lg.limiter.allow(kd.ID, ce.Time)
 		if left > 0 {
 			lg.zl.Warn(LinesDropped.Message, zap.Int64("lines", left), zap.Int("of", int(kd.ID)), zap.Int("event", int(LinesDropped.ID)))
 		}
--- a/event/loss.go
+++ b/event/loss.go
@@ -20,16 +20,16 @@
 const (
 	// lossWindow is the span of one row of the report.
 	lossWindow = 2 * time.Second
-	// lossStep is how often the state of a cell is looked at while a job waits.
-	lossStep = 100 * time.Millisecond
-	// comingFor is how long a machine that was ordered is on its way: 1.5 s to move, and then it is looked at.
-	comingFor = 2 * time.Second
-	// knownAfter is from when on a machine that was ordered and has not come counts as one that the owner does not know.
-	knownAfter = 6 * time.Second
-	// unknownShare is the part of a pool's workers that must be missing for that, so that single machines that end do not count.
-	unknownShare = 0.2
-	// slowAccept is from which time on a job waited for the store to be accepted.
-	slowAccept = 300 * time.Millisecond
+	// sampleInterval is how often the state of a cell is looked at while a job waits.
+	sampleInterval = 100 * time.Millisecond
+	// arrivalTime is how long a machine that was ordered is on its way: 1.5 s to move, and then it is looked at.
+	arrivalTime = 2 * time.Second
+	// missingAfter is from when on a machine that was ordered and has not come counts as one that the owner does not know.
+	missingAfter = 6 * time.Second
+	// missingShare is the part of a pool's workers that must be missing for that, so that single machines that end do not count.
+	missingShare = 0.2
+	// slowAcceptance is from which time on a job waited for the store to be accepted.
+	slowAcceptance = 300 * time.Millisecond
 	// maxLogLine bounds a line in bytes.
 	maxLogLine = 1 << 20
 )
@@ -41,20 +41,20 @@
 const (
 	CauseStore   Cause = "the store, to be accepted"
 	CauseOwner   Cause = "an owner of its cell"
-	CauseComing  Cause = "machines on their way"
-	CauseUnknown Cause = "workers that its owner does not know"
-	CauseRoom    Cause = "room"
-	CauseTurn    Cause = "its turn, or its own tasks"
+	CauseArriving  Cause = "machines on their way"
+	CauseUnknownWorkers Cause = "workers that its owner does not know"
+	CauseCapacity    Cause = "room"
+	CauseQueue    Cause = "its turn, or its own tasks"
 )
 
-// Loss gathers from logs what late, refused and unanswered jobs waited for.
-type Loss struct {
+// LossAnalyzer gathers from logs what late, refused and unanswered jobs waited for.
+type LossAnalyzer struct {
 	jobs  map[string]*lossJob
 	cells map[string]*lossCell
-	// refused and unsure are by window and reason.
-	refused map[lossKey]int
-	// left counts the lines that were left out of the logs, unread those that are none of ours.
-	left, unread int
+	// refusals and unsure are by window and reason.
+	refusals map[lossKey]int
+	// dropped counts the lines that were dropped out of the logs, skipped those that are none of ours.
+	dropped, skipped int
 	first        time.Time
 }
 
@@ -74,17 +74,17 @@
 // lossCell is what is known of a cell over time.
 type lossCell struct {
 	loads []lossLoad
-	// moved are the times at which machines were ordered to come (to) and to go.
-	to, from []time.Time
-	// decided are the times of its owners' decisions, claimed and loaded those at which a next owner took it and knew it.
-	decided, claimed, loaded []time.Time
-	// orphaned are the spans without an owner that works.
-	orphaned [][2]time.Time
+	// moved are the times at which machines were ordered arrivals come (arrivals) and arrivals go.
+	arrivals, departures []time.Time
+	// decisions are the times of its owners' decisions, claims and takeovers those at which a next owner took it and knew it.
+	decisions, claims, takeovers []time.Time
+	// ownerless are the spans without an owner that works.
+	ownerless [][2]time.Time
 }
 
 type lossLoad struct {
 	at      time.Time
-	needed  float64
+	demand  float64
 	workers int
 }
 
@@ -106,28 +106,28 @@
 	Lines   int       `json:"lines"`
 }
 
-// NewLoss returns one that has read nothing.
-func NewLoss() *Loss {
-	return &Loss{jobs: map[string]*lossJob{}, cells: map[string]*lossCell{}, refused: map[lossKey]int{}}
+// NewLossAnalyzer returns one that has read nothing.
+func NewLossAnalyzer() *LossAnalyzer {
+	return &LossAnalyzer{jobs: map[string]*lossJob{}, cells: map[string]*lossCell{}, refusals: map[lossKey]int{}}
 }
 
 // Read takes the lines of one log, which may have a time and a process in front. Logs may be read in any order.
-func (ls *Loss) Read(rd io.Reader) error {
-	unread, err := eachEvent(rd, func(raw []byte) bool {
+func (ls *LossAnalyzer) Read(rd io.Reader) error {
+	unread, err := scanEvents(rd, func(raw []byte) bool {
 		var ln lossLine
 		if json.Unmarshal(raw, &ln) != nil || ln.Event == 0 {
 			return false
 		}
-		ls.take(ln)
+		ls.add(ln)
 		return true
 	})
-	ls.unread += unread
+	ls.skipped += unread
 	return err
 }
 
-// eachEvent hands over the JSON of each line of a log, which may have a time and a process in front, and counts the lines that are no events by
+// scanEvents hands over the JSON of each line of a log, which may have a time and a process in front, and counts the lines that are no events by
 // the taker's word.
-func eachEvent(rd io.Reader, take func(raw []byte) bool) (unread int, err error) {
+func scanEvents(rd io.Reader, take func(raw []byte) bool) (unread int, err error) {
 	sc := bufio.NewScanner(rd)
 	sc.Buffer(nil, maxLogLine)
 	for sc.Scan() {
@@ -139,42 +139,42 @@
 	return unread, sc.Err()
 }
 
-// take notes what a line tells.
-func (ls *Loss) take(ln lossLine) {
+// add notes what a line tells.
+func (ls *LossAnalyzer) add(ln lossLine) {
 	if !ln.Time.IsZero() && (ls.first.IsZero() || ln.Time.Before(ls.first)) {
 		ls.first = ln.Time
 	}
 	switch ln.Event {
 	case LinesDropped.ID:
-		ls.left += ln.Lines
+		ls.dropped += ln.Lines
 	case JobAccepted.ID:
 		jb := ls.job(ln.Job)
 		jb.cell, jb.accepted, jb.waited = ln.Cell, ln.Time, time.Duration(ln.Waited*float64(time.Second))
 	case CellDecided.ID:
-		ls.decided(ln)
+		ls.addDecision(ln)
 	case JobRefused.ID:
-		ls.refused[lossKey{ls.stamp(ln.Time), "refused: " + ln.Why}]++
+		ls.refusals[lossKey{ls.unixMillis(ln.Time), "refused: " + ln.Why}]++
 	case JobUnsure.ID:
-		ls.refused[lossKey{ls.stamp(ln.Time), "told that it is not known"}]++
+		ls.refusals[lossKey{ls.unixMillis(ln.Time), "told that it is not known"}]++
 	case PoolLoad.ID:
 		ce := ls.cell(ln.Pool)
 		ce.loads = append(ce.loads, lossLoad{ln.Time, ln.Needed, ln.Workers})
 	case MachineMoved.ID:
-		ls.cell(ln.To).to = append(ls.cell(ln.To).to, ln.Time)
-		ls.cell(ln.From).from = append(ls.cell(ln.From).from, ln.Time)
+		ls.cell(ln.To).arrivals = append(ls.cell(ln.To).arrivals, ln.Time)
+		ls.cell(ln.From).departures = append(ls.cell(ln.From).departures, ln.Time)
 	case CellClaimed.ID:
 		if ln.Before != "" {
-			ls.cell(ln.Cell).claimed = append(ls.cell(ln.Cell).claimed, ln.Time)
+			ls.cell(ln.Cell).claims = append(ls.cell(ln.Cell).claims, ln.Time)
 		}
 	case CellLoaded.ID:
-		ls.cell(ln.Cell).loaded = append(ls.cell(ln.Cell).loaded, ln.Time)
+		ls.cell(ln.Cell).takeovers = append(ls.cell(ln.Cell).takeovers, ln.Time)
 	}
 }
 
-// stamp is a time as milliseconds; windows are made of it once all logs are read.
-func (ls *Loss) stamp(at time.Time) int { return int(at.UnixMilli()) }
+// unixMillis is a time as milliseconds; windows are made of it once all logs are read.
+func (ls *LossAnalyzer) unixMillis(at time.Time) int { return int(at.UnixMilli()) }
 
-func (ls *Loss) job(id string) *lossJob {
+func (ls *LossAnalyzer) job(id string) *lossJob {
 	jb, ok := ls.jobs[id]
 	if !ok {
 		jb = &lossJob{}
@@ -183,7 +183,7 @@
 	return jb
 }
 
-func (ls *Loss) cell(name string) *lossCell {
+func (ls *LossAnalyzer) cell(name string) *lossCell {
 	ce, ok := ls.cells[name]
 	if !ok {
 		ce = &lossCell{}
@@ -192,10 +192,10 @@
 	return ce
 }
 
-// decided takes a decision of a cell's owner.
-func (ls *Loss) decided(ln lossLine) {
+// addDecision takes a decision of a cell's owner.
+func (ls *LossAnalyzer) addDecision(ln lossLine) {
 	ce := ls.cell(ln.Cell)
-	ce.decided = append(ce.decided, ln.Time)
+	ce.decisions = append(ce.decisions, ln.Time)
 	if ln.Job == "" {
 		return
 	}
@@ -214,22 +214,22 @@
 
 // lossRow is one row of the report.
 type lossRow struct {
-	accepted, inTime, late, open int
+	accepted, inTime, late, unfinished int
 	causes                       map[string]int
 }
 
 // Report writes, for each window and cell, how many jobs that were accepted in it ended in time, late or not at all, and what those waited
 // for, the most frequent cause first.
-func (ls *Loss) Report(wr io.Writer) error {
+func (ls *LossAnalyzer) Report(wr io.Writer) error {
 	rows := map[lossKey]*lossRow{}
 	for _, ce := range ls.cells {
-		ce.sort()
+		ce.prepare()
 	}
 	for _, jb := range ls.jobs {
 		if jb.accepted.IsZero() {
 			continue
 		}
-		key := lossKey{ls.window(int(jb.accepted.UnixMilli())), jb.cell}
+		key := lossKey{ls.windowIndex(int(jb.accepted.UnixMilli())), jb.cell}
 		rw, ok := rows[key]
 		if !ok {
 			rw = &lossRow{causes: map[string]int{}}
@@ -243,27 +243,27 @@
 		case jb.late:
 			rw.late++
 		default:
-			rw.open++
+			rw.unfinished++
 		}
-		rw.causes[string(ls.cause(jb))]++
+		rw.causes[string(ls.mainCause(jb))]++
 	}
-	for key, count := range ls.refused {
-		at := lossKey{ls.window(key.window), ""}
+	for key, count := range ls.refusals {
+		at := lossKey{ls.windowIndex(key.window), ""}
 		if rows[at] == nil {
 			rows[at] = &lossRow{causes: map[string]int{}}
 		}
 		rows[at].causes[key.text] += count
 	}
-	return ls.write(wr, rows)
+	return ls.writeTable(wr, rows)
 }
 
-// window is the number of the window of a stamp.
-func (ls *Loss) window(stamp int) int {
+// windowIndex is the number of the windowIndex of a stamp.
+func (ls *LossAnalyzer) windowIndex(stamp int) int {
 	return (stamp - int(ls.first.UnixMilli())) / int(lossWindow.Milliseconds())
 }
 
-// write lays the rows out.
-func (ls *Loss) write(wr io.Writer, rows map[lossKey]*lossRow) error {
+// writeTable lays the rows out.
+func (ls *LossAnalyzer) writeTable(wr io.Writer, rows map[lossKey]*lossRow) error {
 	keys := slices.SortedFunc(maps.Keys(rows), func(one, other lossKey) int {
 		return cmp.Or(cmp.Compare(one.window, other.window), cmp.Compare(one.text, other.text))
 	})
@@ -275,16 +275,16 @@
 			continue
 		}
 		second := float64(key.window) * lossWindow.Seconds()
-		fmt.Fprintf(tw, "%s\t%s\t%d\t%d\t%d\t%d\t%s\n", strconv.FormatFloat(second, 'f', -1, 64), cmp.Or(key.text, "-"), rw.accepted, rw.inTime, rw.late, rw.open, listCauses(rw.causes))
+		fmt.Fprintf(tw, "%s\t%s\t%d\t%d\t%d\t%d\t%s\n", strconv.FormatFloat(second, 'f', -1, 64), cmp.Or(key.text, "-"), rw.accepted, rw.inTime, rw.late, rw.unfinished, listCauses(rw.causes))
 	}
 	if err := tw.Flush(); err != nil {
 		return err
 	}
-	if ls.left > 0 {
-		fmt.Fprintf(wr, "%d lines were left out of the logs when they were written, so jobs and starts are missing here.\n", ls.left)
+	if ls.dropped > 0 {
+		fmt.Fprintf(wr, "%d lines were left out of the logs when they were written, so jobs and starts are missing here.\n", ls.dropped)
 	}
-	if ls.unread > 0 {
-		fmt.Fprintf(wr, "%d lines are no events.\n", ls.unread)
+	if ls.skipped > 0 {
+		fmt.Fprintf(wr, "%d lines are no events.\n", ls.skipped)
 	}
 	return nil
 }
@@ -300,9 +300,9 @@
 	return strings.Join(names, ", ")
 }
 
-// cause is what a job waited for longest until its first start, or until the logs say no more of its cell.
-func (ls *Loss) cause(jb *lossJob) Cause {
-	if jb.waited >= slowAccept {
+// mainCause is what a job waited for longest until its first start, or until the logs say no more of its cell.
+func (ls *LossAnalyzer) mainCause(jb *lossJob) Cause {
+	if jb.waited >= slowAcceptance {
 		return CauseStore
 	}
 	ce := ls.cell(jb.cell)
@@ -311,11 +311,11 @@
 		until = ce.loads[len(ce.loads)-1].at
 	}
 	counts := map[Cause]int{}
-	for at := jb.accepted; at.Before(until); at = at.Add(lossStep) {
-		counts[ce.lacks(at)]++
+	for at := jb.accepted; at.Before(until); at = at.Add(sampleInterval) {
+		counts[ce.causeAt(at)]++
 	}
-	best := CauseTurn
-	for _, cs := range []Cause{CauseOwner, CauseUnknown, CauseComing, CauseRoom} {
+	best := CauseQueue
+	for _, cs := range []Cause{CauseOwner, CauseUnknownWorkers, CauseArriving, CauseCapacity} {
 		if counts[cs] > counts[best] {
 			best = cs
 		}
@@ -323,52 +323,52 @@
 	return best
 }
 
-// sort puts what is known in the order of time, and begins spans without an owner with the last decision before.
-func (ce *lossCell) sort() {
+// prepare puts what is known in the order of time, and begins spans without an owner with the last decision before.
+func (ce *lossCell) prepare() {
 	byTime := func(one, other time.Time) int { return one.Compare(other) }
-	for _, times := range [][]time.Time{ce.to, ce.from, ce.decided, ce.claimed, ce.loaded} {
+	for _, times := range [][]time.Time{ce.arrivals, ce.departures, ce.decisions, ce.claims, ce.takeovers} {
 		slices.SortFunc(times, byTime)
 	}
 	slices.SortFunc(ce.loads, func(one, other lossLoad) int { return one.at.Compare(other.at) })
-	ce.orphaned = nil
-	for _, from := range ce.claimed {
-		next := countBefore(ce.loaded, from)
-		if next == len(ce.loaded) {
+	ce.ownerless = nil
+	for _, from := range ce.claims {
+		next := countBefore(ce.takeovers, from)
+		if next == len(ce.takeovers) {
 			continue
 		}
-		until := ce.loaded[next]
-		if last := countBefore(ce.decided, from); last > 0 {
-			from = ce.decided[last-1]
+		until := ce.takeovers[next]
+		if last := countBefore(ce.decisions, from); last > 0 {
+			from = ce.decisions[last-1]
 		}
-		ce.orphaned = append(ce.orphaned, [2]time.Time{from, until})
+		ce.ownerless = append(ce.ownerless, [2]time.Time{from, until})
 	}
 }
 
-// lacks is what a job of the cell waits for at a time.
-func (ce *lossCell) lacks(at time.Time) Cause {
-	for _, span := range ce.orphaned {
+// causeAt is what a job of the cell waits for at a time.
+func (ce *lossCell) causeAt(at time.Time) Cause {
+	for _, span := range ce.ownerless {
 		if !at.Before(span[0]) && at.Before(span[1]) {
 			return CauseOwner
 		}
 	}
-	now, ok := ce.load(at)
-	if !ok || now.needed <= float64(now.workers) {
-		return CauseTurn
+	now, ok := ce.loadAt(at)
+	if !ok || now.demand <= float64(now.workers) {
+		return CauseQueue
 	}
-	if before, ok := ce.load(at.Add(-knownAfter)); ok {
-		came := between(ce.to, at.Add(-knownAfter), at.Add(-comingFor)) - between(ce.from, at.Add(-knownAfter), at.Add(-comingFor))
-		if missing := before.workers + came - now.workers; float64(missing) > unknownShare*float64(now.workers) {
-			return CauseUnknown
+	if before, ok := ce.loadAt(at.Add(-missingAfter)); ok {
+		came := countBetween(ce.arrivals, at.Add(-missingAfter), at.Add(-arrivalTime)) - countBetween(ce.departures, at.Add(-missingAfter), at.Add(-arrivalTime))
+		if missing := before.workers + came - now.workers; float64(missing) > missingShare*float64(now.workers) {
+			return CauseUnknownWorkers
 		}
 	}
-	if between(ce.to, at.Add(-comingFor), at) > 0 {
-		return CauseComing
+	if countBetween(ce.arrivals, at.Add(-arrivalTime), at) > 0 {
+		return CauseArriving
 	}
-	return CauseRoom
+	return CauseCapacity
 }
 
-// load is the newest one before a time.
-func (ce *lossCell) load(at time.Time) (lossLoad, bool) {
+// loadAt is the newest one before a time.
+func (ce *lossCell) loadAt(at time.Time) (lossLoad, bool) {
 	count := sort.Search(len(ce.loads), func(index int) bool { return ce.loads[index].at.After(at) })
 	if count == 0 {
 		return lossLoad{}, false
@@ -376,8 +376,8 @@
 	return ce.loads[count-1], true
 }
 
-// between counts the times from one to another.
-func between(times []time.Time, from, to time.Time) int {
+// countBetween counts the times from one to another.
+func countBetween(times []time.Time, from, to time.Time) int {
 	return countBefore(times, to) - countBefore(times, from)
 }
 
--- a/event/loss_test.go
+++ b/event/loss_test.go
@@ -25,7 +25,7 @@
 	// The order of the logs, and of their lines, does not matter.
 	for _, turned := range []bool{false, true} {
 		got.Reset()
-		ls := event.NewLoss()
+		ls := event.NewLossAnalyzer()
 		for at := range lines {
 			if turned {
 				at = len(lines) - 1 - at
--- a/event/output_test.go
+++ b/event/output_test.go
@@ -21,7 +21,7 @@
 	defer reader.Close()
 	ou := NewOutput(writer)
 	lg := New(zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), zapcore.AddSync(ou), zapcore.InfoLevel)))
-	const lines = 4 * outputLines
+	const lines = 4 * maxQueuedLines
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -52,25 +52,25 @@
 
 // TestEventThatComesTooOftenIsCounted: the others are not held up by it.
 func TestEventThatComesTooOftenIsCounted(t *testing.T) {
-	bn := &bound{}
+	bn := &rateLimiter{}
 	now := time.Unix(1_700_000_000, 0)
 	written := 0
-	for range 3 * eventsPerSecond {
-		if _, ok := bn.admit(JobRefused.ID, now); ok {
+	for range 3 * maxLinesPerSecond {
+		if _, ok := bn.allow(JobRefused.ID, now); ok {
 			written++
 		}
 	}
-	if written != eventsPerSecond {
+	if written != maxLinesPerSecond {
 		t.Fatalf("%d lines in a second", written)
 	}
-	if _, ok := bn.admit(JobAccepted.ID, now); !ok {
+	if _, ok := bn.allow(JobAccepted.ID, now); !ok {
 		t.Fatal("another event is held up")
 	}
-	left, ok := bn.admit(JobRefused.ID, now.Add(time.Second))
-	if !ok || left != 2*eventsPerSecond {
+	left, ok := bn.allow(JobRefused.ID, now.Add(time.Second))
+	if !ok || left != 2*maxLinesPerSecond {
 		t.Fatalf("%d were left out", left)
 	}
-	if left, _ = bn.admit(JobRefused.ID, now.Add(time.Second)); left != 0 {
+	if left, _ = bn.allow(JobRefused.ID, now.Add(time.Second)); left != 0 {
 		t.Fatal("told twice")
 	}
 }
--- a/event/story_test.go
+++ b/event/story_test.go
@@ -23,7 +23,7 @@
 	}
 	lines := bytes.SplitAfter(raw, []byte("\n"))
 	for _, turned := range []bool{false, true} {
-		st := event.NewStory("f7c6fd7df91e3185")
+		st := event.NewJobTimeline("f7c6fd7df91e3185")
 		for at := range lines {
 			if turned {
 				at = len(lines) - 1 - at
--- a/explain.go
+++ b/explain.go
@@ -36,16 +36,16 @@
 		case loss == (id != "") || loss && asJSON:
 			return errNoQuestion
 		case loss:
-			return explain(event.NewLoss(), paths)
+			return explain(event.NewLossAnalyzer(), paths)
 		case asJSON:
-			return explain(listedStory{event.NewStory(id)}, paths)
+			return explain(listedStory{event.NewJobTimeline(id)}, paths)
 		}
-		return explain(event.NewStory(id), paths)
+		return explain(event.NewJobTimeline(id), paths)
 	}}
 }
 
 // listedStory is a story that is told as a JSON list.
-type listedStory struct{ *event.Story }
+type listedStory struct{ *event.JobTimeline }
 
 // Report writes the lines.
 func (ls listedStory) Report(wr io.Writer) error { return ls.JSON(wr) }
--- a/report/draw.go
+++ b/report/draw.go
@@ -21,7 +21,7 @@
 // drawRollout draws the instances out of service and those finished over time.
 func drawRollout(ro rollout, path string) error {
 	pt := plot.New()
-	pt.Title.Text = "Roll-out: " + ro.why
+	pt.Title.Text = "Roll-out: " + ro.reason
 	pt.X.Label.Text = "seconds since the first instance left"
 	pt.Y.Label.Text = "instances"
 	pt.Y.Min = 0
@@ -50,14 +50,14 @@
 }
 
 // drawOutcomes draws how requests through the entry instance ended.
-func drawOutcomes(figures map[string]int64, path string) error {
+func drawOutcomes(metrics map[string]int64, path string) error {
 	pt := plot.New()
 	pt.Title.Text = "Outcomes of requests through this entry instance"
 	pt.Y.Label.Text = "requests"
 	pt.Y.Min = 0
 	values := make(plotter.Values, len(outcomeNames))
 	for ix, name := range outcomeNames {
-		values[ix] = float64(figures[outcomePrefix+name])
+		values[ix] = float64(metrics[outcomePrefix+name])
 	}
 	bars, err := plotter.NewBarChart(values, barWidth)
 	if err != nil {
--- a/report/report.go
+++ b/report/report.go
@@ -42,14 +42,14 @@
 
 // run reads the source, draws the plots and writes the page.
 func run(address, token, file string, plan table.PlanID, out string) error {
-	src, err := read(address, token, file)
+	src, err := loadSource(address, token, file)
 	if err != nil {
 		return err
 	}
 	if plan == "" {
 		plan = lastPlan(src.Audit)
 	}
-	ro := rolloutOf(src.Audit, plan)
+	ro := newRollout(src.Audit, plan)
 	if len(ro.points) == 0 {
 		return eris.New("no plan that moved an instance stands in the audit trail")
 	}
@@ -62,11 +62,11 @@
 	if err := drawOutcomes(src.Metrics, filepath.Join(out, outcomeName)); err != nil {
 		return err
 	}
-	return eris.Wrap(os.WriteFile(filepath.Join(out, pageName), []byte(page(ro, src.Metrics)), 0o644), "write page")
+	return eris.Wrap(os.WriteFile(filepath.Join(out, pageName), []byte(renderPage(ro, src.Metrics)), 0o644), "write page")
 }
 
-// read takes the source from a file or from an entry instance.
-func read(address, token, file string) (source, error) {
+// loadSource takes the source from a file or from an entry instance.
+func loadSource(address, token, file string) (source, error) {
 	var src source
 	if file != "" {
 		raw, err := os.ReadFile(file)
--- a/report/report_test.go
+++ b/report/report_test.go
@@ -22,11 +22,11 @@
 	if last := lastPlan(lines); last != "p" {
 		t.Errorf("last plan %q", last)
 	}
-	ro := rolloutOf(lines, "p")
-	if ro.peak != 2 || ro.hours != 1.5 || len(ro.points) != 4 || ro.points[3].finished != 2 {
+	ro := newRollout(lines, "p")
+	if ro.maxOut != 2 || ro.instanceHours != 1.5 || len(ro.points) != 4 || ro.points[3].finished != 2 {
 		t.Errorf("%+v", ro)
 	}
-	text := page(ro, map[string]int64{"requests.answered": 7})
+	text := renderPage(ro, map[string]int64{"requests.answered": 7})
 	if !strings.Contains(text, "| requests answered here | 7 |") || !strings.Contains(text, "1h1m0s") {
 		t.Error(text)
 	}
--- a/report/rollout.go
+++ b/report/rollout.go
@@ -18,13 +18,13 @@
 // rollout is a plan's course.
 type rollout struct {
 	plan   table.PlanID
-	why    string
-	began  time.Time
+	reason    string
+	start  time.Time
 	points []point
-	// peak is the most instances out of service at once.
-	peak int
-	// hours sums the time that instances were out of service.
-	hours float64
+	// maxOut is the most instances out of service at once.
+	maxOut int
+	// instanceHours sums the time that instances were out of service.
+	instanceHours float64
 }
 
 // point is the state after one line of audit.
@@ -45,10 +45,10 @@
 	return last
 }
 
-// rolloutOf reads a plan's course from the audit trail.
-func rolloutOf(lines []table.Audit, plan table.PlanID) rollout {
+// newRollout reads a plan's course from the audit trail.
+func newRollout(lines []table.Audit, plan table.PlanID) rollout {
 	ro := rollout{plan: plan}
-	left := map[string]time.Time{}
+	outSince := map[string]time.Time{}
 	finished := 0
 	for _, au := range lines {
 		if table.PlanID(au.Plan) != plan {
@@ -56,33 +56,33 @@
 		}
 		switch au.Action {
 		case actionLeaving:
-			left[au.Subject] = au.At
+			outSince[au.Subject] = au.At
 		case actionServing, actionIdle:
-			if since, was := left[au.Subject]; was {
-				ro.hours += au.At.Sub(since).Hours()
-				delete(left, au.Subject)
+			if since, was := outSince[au.Subject]; was {
+				ro.instanceHours += au.At.Sub(since).Hours()
+				delete(outSince, au.Subject)
 			}
 			finished++
 		default:
 			continue
 		}
-		if ro.began.IsZero() {
-			ro.began, ro.why = au.At, au.Why
+		if ro.start.IsZero() {
+			ro.start, ro.reason = au.At, au.Why
 		}
-		ro.points = append(ro.points, point{at: au.At.Sub(ro.began), out: len(left), finished: finished})
-		ro.peak = max(ro.peak, len(left))
+		ro.points = append(ro.points, point{at: au.At.Sub(ro.start), out: len(outSince), finished: finished})
+		ro.maxOut = max(ro.maxOut, len(outSince))
 	}
 	return ro
 }
 
-// page returns the report as Markdown.
-func page(ro rollout, figures map[string]int64) string {
+// renderPage returns the report as Markdown.
+func renderPage(ro rollout, metrics map[string]int64) string {
 	last := ro.points[len(ro.points)-1]
 	var sb strings.Builder
-	fmt.Fprintf(&sb, "# Plan %s\n\n%s\n\n", ro.plan, ro.why)
-	fmt.Fprintf(&sb, "| figure | value |\n| --- | --- |\n| roll-out | %v |\n| instances finished | %d |\n| buffer, instances out at most | %d |\n| buffer, instance hours | %.3f |\n", last.at.Round(time.Millisecond), last.finished, ro.peak, ro.hours)
+	fmt.Fprintf(&sb, "# Plan %s\n\n%s\n\n", ro.plan, ro.reason)
+	fmt.Fprintf(&sb, "| figure | value |\n| --- | --- |\n| roll-out | %v |\n| instances finished | %d |\n| buffer, instances out at most | %d |\n| buffer, instance hours | %.3f |\n", last.at.Round(time.Millisecond), last.finished, ro.maxOut, ro.instanceHours)
 	for _, name := range outcomeNames {
-		fmt.Fprintf(&sb, "| requests %s here | %d |\n", name, figures[outcomePrefix+name])
+		fmt.Fprintf(&sb, "| requests %s here | %d |\n", name, metrics[outcomePrefix+name])
 	}
 	fmt.Fprintf(&sb, "\n![roll-out](%s)\n\n![outcomes](%s)\n", rolloutName, outcomeName)
 	return sb.String()
--- a/serve.go
+++ b/serve.go
@@ -64,7 +64,7 @@
 		}
 		ou := event.NewOutput(os.Stdout)
 		defer ou.Close()
-		lg := event.NewStream(st.Name, ou, zapcore.InfoLevel)
+		lg := event.NewStreamLogger(st.Name, ou, zapcore.InfoLevel)
 		if err := serve(ctx, st, cs, lg); err != nil {
 			lg.Emit(event.ProcessFailed, zap.Error(err))
 			return err
@@ -181,12 +181,12 @@
 // fleetOptions wires the platform's adapter to the fleet.
 func fleetOptions(st *platform.Settings, cs *settings.Cells, lg *event.Logger, registry metrics.Registry, bytes *fleet.Traffic) fleet.Options {
 	sizes := machine.DefaultSizes()
-	sizes.Margin, sizes.Standby, sizes.StandbyLong, sizes.ReturnAfter, sizes.Lookahead = cs.Margin, cs.Standby, cs.StandbyLong, cs.IdleFor, cs.Ahead
+	sizes.Margin, sizes.Standby, sizes.StandbyLong, sizes.ReturnAfter, sizes.Lookahead = cs.Margin, cs.Standby, cs.StandbyLong, cs.IdleFor, cs.GrowthHorizon
 	op := fleet.Options{
 		Name: st.Name, Hall: st.Hall, Address: st.PeerAddress, Seeds: st.Seeds, Power: st.CPUShare,
 		Store: platform.NewStore(st.StoreAddress, platform.WithMeter(bytes)), SinglePartTx: st.SinglePartTx, Workers: platform.NewWorkers(platform.WithMeter(bytes)), Machines: platform.NewMachines(st.MachinesAddress), Format: platform.Format{},
 		Cell: cell.Options{
-			LeaseDuration: min(cs.Lease, st.MaxLease), RenewalWindow: cs.RenewFor, RegistrationMaxAge: st.RegistrationMaxAge, PollInterval: cs.LookGap, MaxStopTime: st.MaxStopTime, EarlyStart: st.EarlyStart, RemoteFactor: st.RemoteFactor,
+			LeaseDuration: min(cs.Lease, st.MaxLease), RenewalWindow: cs.RenewalWindow, RegistrationMaxAge: st.RegistrationMaxAge, PollInterval: cs.PollInterval, MaxStopTime: st.MaxStopTime, EarlyStart: st.EarlyStart, RemoteFactor: st.RemoteFactor,
 			Retention: st.Retention + cell.DefaultRetention/5,
 		},
 		Sizes: sizes, Log: lg, Registry: registry, Traffic: bytes,
--- a/settings/parse.go
+++ b/settings/parse.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	secretLength = 16
+	minSecretLength = 16
 	unitAddress  = "address"
 	unitKey      = "key"
 )
@@ -25,8 +25,8 @@
 	byPath   map[string]field
 	schema   []field
 	sections map[string]bool
-	// seen holds the places of settings by path.
-	seen     map[string]int
+	// offsets holds the places of settings by path.
+	offsets     map[string]int
 	findings Findings
 }
 
@@ -40,19 +40,19 @@
 	ps := newParser(src, fields)
 	root, err := hujson.Parse(src)
 	if err != nil {
-		ps.addSyntax(err)
+		ps.addSyntaxError(err)
 		return nil, ps.findings
 	}
-	ps.walk(section, root)
+	ps.parseObject(section, root)
 	ps.finish()
 	if len(ps.findings) > 0 {
-		sort.SliceStable(ps.findings, func(ix, jx int) bool { return ps.findings[ix].before(ps.findings[jx]) })
+		sort.SliceStable(ps.findings, func(ix, jx int) bool { return ps.findings[ix].precedes(ps.findings[jx]) })
 		return nil, ps.findings
 	}
 	return ps.st, nil
 }
 
-func (fd Finding) before(other Finding) bool {
+func (fd Finding) precedes(other Finding) bool {
 	if fd.Line != other.Line {
 		return fd.Line < other.Line
 	}
@@ -60,7 +60,7 @@
 }
 
 func newParser(src []byte, fields []field) *parser {
-	ps := &parser{src: src, schema: fields, st: &Settings{}, byPath: map[string]field{}, sections: map[string]bool{"": true}, seen: map[string]int{}}
+	ps := &parser{src: src, schema: fields, st: &Settings{}, byPath: map[string]field{}, sections: map[string]bool{"": true}, offsets: map[string]int{}}
 	for _, fl := range fields {
 		ps.byPath[fl.path] = fl
 		if section, _, ok := strings.Cut(fl.path, "."); ok {
@@ -70,8 +70,8 @@
 	return ps
 }
 
-// add records a finding at a byte offset of the file.
-func (ps *parser) add(offset int, path, format string, args ...any) {
+// addFinding records a finding at a byte offset of the file.
+func (ps *parser) addFinding(offset int, path, format string, args ...any) {
 	offset = min(offset, len(ps.src))
 	before := ps.src[:offset]
 	line := bytes.Count(before, []byte("\n")) + 1
@@ -79,8 +79,8 @@
 	ps.findings = append(ps.findings, Finding{Line: line, Column: column, Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
-// addSyntax records the place that the syntax error names.
-func (ps *parser) addSyntax(err error) {
+// addSyntaxError records the place that the syntax error names.
+func (ps *parser) addSyntaxError(err error) {
 	line, column := 1, 1
 	text := strings.TrimPrefix(err.Error(), "hujson: ")
 	if _, scanErr := fmt.Sscanf(text, "line %d, column %d:", &line, &column); scanErr == nil {
@@ -89,52 +89,52 @@
 	ps.findings = append(ps.findings, Finding{Line: line, Column: column, Message: text})
 }
 
-// walk visits an object: each member is a section or a field.
-func (ps *parser) walk(path string, vl hujson.Value) {
+// parseObject visits an object: each member is a section or a field.
+func (ps *parser) parseObject(path string, vl hujson.Value) {
 	ob, ok := vl.Value.(*hujson.Object)
 	if !ok {
-		ps.add(vl.StartOffset, path, "must be an object")
+		ps.addFinding(vl.StartOffset, path, "must be an object")
 		return
 	}
 	for ix := range ob.Members {
-		ps.member(path, &ob.Members[ix])
+		ps.parseMember(path, &ob.Members[ix])
 	}
 }
 
-func (ps *parser) member(section string, mb *hujson.ObjectMember) {
+func (ps *parser) parseMember(section string, mb *hujson.ObjectMember) {
 	lit, _ := mb.Name.Value.(hujson.Literal)
 	path := lit.String()
 	if section != "" {
 		path = section + "." + path
 	}
-	if _, twice := ps.seen[path]; twice {
-		ps.add(mb.Name.StartOffset, path, "stands twice")
+	if _, twice := ps.offsets[path]; twice {
+		ps.addFinding(mb.Name.StartOffset, path, "stands twice")
 		return
 	}
-	ps.seen[path] = mb.Name.StartOffset
+	ps.offsets[path] = mb.Name.StartOffset
 	if fl, ok := ps.byPath[path]; ok {
-		ps.field(fl, mb.Value)
+		ps.parseField(fl, mb.Value)
 		return
 	}
 	if section == "" && ps.sections[path] {
-		ps.walk(path, mb.Value)
+		ps.parseObject(path, mb.Value)
 		return
 	}
-	ps.add(mb.Name.StartOffset, path, "unknown setting")
+	ps.addFinding(mb.Name.StartOffset, path, "unknown setting")
 }
 
-// field decodes one value into its target and checks it.
-func (ps *parser) field(fl field, vl hujson.Value) {
+// parseField decodes one value into its target and checks it.
+func (ps *parser) parseField(fl field, vl hujson.Value) {
 	vl = vl.Clone()
 	offset := vl.StartOffset
 	vl.Standardize()
 	raw := bytes.TrimSpace(vl.Pack())
 	if err := decode(raw, fl.target(ps.st)); err != nil {
-		ps.add(offset, fl.path, "must be of type %s: %v", fl.typeName(), err)
+		ps.addFinding(offset, fl.path, "must be of type %s: %v", fl.typeName(), err)
 		return
 	}
 	if message := fl.check(ps.st); message != "" {
-		ps.add(offset, fl.path, "%s", message)
+		ps.addFinding(offset, fl.path, "%s", message)
 	}
 }
 
@@ -180,47 +180,47 @@
 func (fl field) check(st *Settings) string {
 	switch vl := fl.target(st).(type) {
 	case *string:
-		return fl.checkText(*vl)
+		return fl.checkString(*vl)
 	case *[]string:
-		return fl.checkTexts(*vl)
+		return fl.checkStrings(*vl)
 	case *[]Operator:
 		return checkOperators(*vl)
 	case *[]time.Duration:
 		for _, item := range *vl {
-			if message := outside(item, fl.low.(time.Duration), fl.high.(time.Duration)); message != "" {
+			if message := checkRange(item, fl.low.(time.Duration), fl.high.(time.Duration)); message != "" {
 				return message
 			}
 		}
 	case *time.Duration:
-		return outside(*vl, fl.low.(time.Duration), fl.high.(time.Duration))
+		return checkRange(*vl, fl.low.(time.Duration), fl.high.(time.Duration))
 	case *int:
-		return outside(*vl, fl.low.(int), fl.high.(int))
+		return checkRange(*vl, fl.low.(int), fl.high.(int))
 	case *float64:
-		return outside(*vl, fl.low.(float64), fl.high.(float64))
+		return checkRange(*vl, fl.low.(float64), fl.high.(float64))
 	}
 	return ""
 }
 
-func outside[T int | float64 | time.Duration](vl, low, high T) string {
+func checkRange[T int | float64 | time.Duration](vl, low, high T) string {
 	if vl < low || vl > high {
 		return fmt.Sprintf("must be %v to %v, is %v", low, high, vl)
 	}
 	return ""
 }
 
-func (fl field) checkTexts(vls []string) string {
+func (fl field) checkStrings(vls []string) string {
 	if fl.required && len(vls) == 0 {
 		return "must not be empty"
 	}
 	for _, vl := range vls {
-		if message := fl.checkText(vl); message != "" {
+		if message := fl.checkString(vl); message != "" {
 			return message
 		}
 	}
 	return ""
 }
 
-func (fl field) checkText(vl string) string {
+func (fl field) checkString(vl string) string {
 	switch {
 	case vl == "":
 		return "must not be empty"
@@ -228,8 +228,8 @@
 		return checkAddress(vl)
 	case fl.unit == unitIP && net.ParseIP(vl) == nil:
 		return fmt.Sprintf("must be an IP, is %q", vl)
-	case fl.unit == unitKey && len(vl) < secretLength:
-		return fmt.Sprintf("must have at least %d characters", secretLength)
+	case fl.unit == unitKey && len(vl) < minSecretLength:
+		return fmt.Sprintf("must have at least %d characters", minSecretLength)
 	}
 	return ""
 }
@@ -256,8 +256,8 @@
 			return fmt.Sprintf("operator %q stands twice", op.Name)
 		}
 		names[op.Name] = true
-		if len(op.Token) < secretLength {
-			return fmt.Sprintf("token of %q must have at least %d characters", op.Name, secretLength)
+		if len(op.Token) < minSecretLength {
+			return fmt.Sprintf("token of %q must have at least %d characters", op.Name, minSecretLength)
 		}
 	}
 	return ""
@@ -266,17 +266,17 @@
 // finish fills in defaults, names missing settings and checks settings against each other.
 func (ps *parser) finish() {
 	for _, fl := range ps.schema {
-		if _, set := ps.seen[fl.path]; set {
+		if _, set := ps.offsets[fl.path]; set {
 			continue
 		}
 		if fl.required {
-			ps.add(len(ps.src), fl.path, "is required")
+			ps.addFinding(len(ps.src), fl.path, "is required")
 			continue
 		}
 		fl.setDefault(ps.st)
 	}
-	if ps.st.Caller.DefaultTimeout > ps.st.Caller.LongestRequest {
-		ps.add(ps.seen["caller.defaultTimeout"], "caller.defaultTimeout", "must not exceed caller.longestRequest")
+	if ps.st.Caller.DefaultTimeout > ps.st.Caller.MaxRequestDuration {
+		ps.addFinding(ps.offsets["caller.defaultTimeout"], "caller.defaultTimeout", "must not exceed caller.longestRequest")
 	}
 	tlsFiles := 0
 	for _, file := range []string{ps.st.TLS.CertificateFile, ps.st.TLS.KeyFile, ps.st.TLS.AuthorityFile} {
@@ -285,28 +285,28 @@
 		}
 	}
 	if tlsFiles != 0 && tlsFiles != 3 {
-		ps.add(ps.seen["tls"], "tls", "needs certificateFile, keyFile and authorityFile together")
+		ps.addFinding(ps.offsets["tls"], "tls", "needs certificateFile, keyFile and authorityFile together")
 	}
 	if ps.st.Endpoint.EjectFor > ps.st.Endpoint.EjectForMax {
-		ps.add(ps.seen["endpoint.ejectFor"], "endpoint.ejectFor", "must not exceed endpoint.ejectForMax")
+		ps.addFinding(ps.offsets["endpoint.ejectFor"], "endpoint.ejectFor", "must not exceed endpoint.ejectForMax")
 	}
 }
 
 func (fl field) setDefault(st *Settings) {
 	switch tg := fl.target(st).(type) {
 	case *string:
-		*tg = fl.fallback.(string)
+		*tg = fl.defaultValue.(string)
 	case *[]string:
-		*tg = fl.fallback.([]string)
+		*tg = fl.defaultValue.([]string)
 	case *[]Operator:
-		*tg = fl.fallback.([]Operator)
+		*tg = fl.defaultValue.([]Operator)
 	case *[]time.Duration:
-		*tg = fl.fallback.([]time.Duration)
+		*tg = fl.defaultValue.([]time.Duration)
 	case *time.Duration:
-		*tg = fl.fallback.(time.Duration)
+		*tg = fl.defaultValue.(time.Duration)
 	case *int:
-		*tg = fl.fallback.(int)
+		*tg = fl.defaultValue.(int)
 	case *float64:
-		*tg = fl.fallback.(float64)
+		*tg = fl.defaultValue.(float64)
 	}
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -41,14 +41,14 @@
 type Cells struct {
 	// Lease, RenewFor and LookGap are the times of leases and looks at workers.
 	Lease    time.Duration
-	RenewFor time.Duration
-	LookGap  time.Duration
+	RenewalWindow time.Duration
+	PollInterval  time.Duration
 	// Margin, Standby and StandbyLong size pools; IdleFor and Ahead say when machines leave and come.
 	Margin      float64
 	Standby     float64
 	StandbyLong float64
 	IdleFor     time.Duration
-	Ahead       time.Duration
+	GrowthHorizon       time.Duration
 }
 
 // Fleet holds the settings that operators change for all entry instances at once, while they run.
@@ -103,7 +103,7 @@
 // Caller bounds what callers may ask for.
 type Caller struct {
 	DefaultTimeout  time.Duration
-	LongestRequest  time.Duration
+	MaxRequestDuration  time.Duration
 	HeaderBytes     int
 	BodyBytes       int
 	AnswerBytes     int
@@ -111,8 +111,8 @@
 	QueueLength     int
 	Connections     int
 	HeaderTimeout   time.Duration
-	ClaimWait       time.Duration
-	ClaimGroup      int
+	ClaimInterval       time.Duration
+	ClaimBatchSize      int
 	AnswersKept     int
 	AnswerRetention time.Duration
 	ClaimRetention  time.Duration
