--- a/event/event.go
+++ b/event/event.go
@@ -1,4 +1,4 @@
-// Package event writes numbered log events and holds their catalogue.
+// Package event defines the catalogue of numbered log events and writes them.
 package event
 
 import (
@@ -9,25 +9,25 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// ID is the stable number of an event; numbers are never used again for another meaning.
+// ID is the stable number of an event. A number is never reused for another meaning.
 type ID int
 
-// Kind describes one sort of event.
+// Kind describes one type of event.
 type Kind struct {
-	// ID is the number by which an operator looks the event up.
+	// ID is the number under which operators look up the event.
 	ID ID
 	// Message is the fixed text of the log line.
 	Message string
-	// Level is the severity at which it is logged.
+	// Level is the severity of the log line.
 	Level zapcore.Level
-	// Action tells the operator what to do.
+	// Action is the advice for operators.
 	Action string
 }
 
 // Logger writes events through zap.
 type Logger struct {
 	zl *zap.Logger
-	// limiter is nil where nothing is left out.
+	// limiter limits the lines of each event; nil disables the limit.
 	limiter *rateLimiter
 }
 
@@ -41,7 +41,7 @@
 	return New(zap.NewNop())
 }
 
-// NewProduction returns a logger that writes JSON lines to standard error, each with the name of the process.
+// NewProduction returns a logger that writes JSON lines to standard error. Each line carries the process name.
 func NewProduction(name string) (*Logger, error) {
 	cfg := zap.NewProductionConfig()
 	cfg.DisableCaller = true
@@ -54,16 +54,16 @@
 	return New(zl.With(zap.String("process", name))), nil
 }
 
-// Emit writes one event with its number and fields.
+// Emit writes an event with its number and fields. The first line after a rate-limited second is preceded by the number of dropped lines.
 func (lg *Logger) Emit(kd Kind, fields ...zap.Field) {
 	ce := lg.zl.Check(kd.Level, kd.Message)
 	if ce == nil {
 		return
 	}
 	if lg.limiter != nil {
-		left, ok := lg.limiter.allow(kd.ID, ce.Time)
-		if left > 0 {
-			lg.zl.Warn(LinesDropped.Message, zap.Int64("lines", left), zap.Int("of", int(kd.ID)), zap.Int("event", int(LinesDropped.ID)))
+		dropped, ok := lg.limiter.allow(kd.ID, ce.Time)
+		if dropped > 0 {
+			lg.zl.Warn(LinesDropped.Message, zap.Int64("lines", dropped), zap.Int("of", int(kd.ID)), zap.Int("event", int(LinesDropped.ID)))
 		}
 		if !ok {
 			return
@@ -74,11 +74,11 @@
 
 // Sync flushes buffered lines.
 func (lg *Logger) Sync() {
-	// Standard error cannot always be synced, and nothing is lost when it cannot.
+	// Sync fails on some kinds of standard error, which is unbuffered, so the error is ignored.
 	_ = lg.zl.Sync()
 }
 
-// Markdown returns the catalogue as the page docs/EVENTS.md.
+// Markdown renders the catalogue as docs/EVENTS.md.
 func Markdown() string {
 	var sb strings.Builder
 	sb.WriteString("# Log events\n\nGenerated from package `event` by `go test ./event -update`. Every log line carries its number in the field `event`.\n\n")
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	if got != string(want) {
-		t.Errorf("%s is not what the catalogue says; run go test ./event -update", page)
+		t.Errorf("%s does not match the catalogue; run go test ./event -update", page)
 	}
 }
 
--- a/event/loss.go
+++ b/event/loss.go
@@ -16,46 +16,46 @@
 	"time"
 )
 
-// What is taken from lines of the log.
+// Parameters of the analysis.
 const (
-	// lossWindow is the span of one row of the report.
+	// lossWindow is the time span of one report row.
 	lossWindow = 2 * time.Second
-	// sampleInterval is how often the state of a cell is looked at while a job waits.
+	// sampleInterval is the interval at which the state of a cell is sampled while a job waits.
 	sampleInterval = 100 * time.Millisecond
-	// arrivalTime is how long a machine that was ordered is on its way: 1.5 s to move, and then it is looked at.
+	// arrivalTime is the time until an ordered machine can be used: 1.5 s for the move, then the first poll.
 	arrivalTime = 2 * time.Second
-	// missingAfter is from when on a machine that was ordered and has not come counts as one that the owner does not know.
+	// missingAfter is the age of an order after which a machine that has not arrived counts as unknown to the owner.
 	missingAfter = 6 * time.Second
-	// missingShare is the part of a pool's workers that must be missing for that, so that single machines that end do not count.
+	// missingShare is the share of a pool's workers that must be missing to report CauseUnknownWorkers. Single machines that stop do not count.
 	missingShare = 0.2
-	// slowAcceptance is from which time on a job waited for the store to be accepted.
+	// slowAcceptance is the acceptance time from which on a delay is attributed to the store.
 	slowAcceptance = 300 * time.Millisecond
-	// maxLogLine bounds a line in bytes.
+	// maxLogLine is the maximum length of a log line in bytes.
 	maxLogLine = 1 << 20
 )
 
-// Cause is what a job waited for.
+// Cause is the reason why a job waited.
 type Cause string
 
-// The causes.
+// Causes. The values appear in the report.
 const (
-	CauseStore   Cause = "the store, to be accepted"
-	CauseOwner   Cause = "an owner of its cell"
-	CauseArriving  Cause = "machines on their way"
+	CauseStore          Cause = "the store, to be accepted"
+	CauseOwner          Cause = "an owner of its cell"
+	CauseArriving       Cause = "machines on their way"
 	CauseUnknownWorkers Cause = "workers that its owner does not know"
-	CauseCapacity    Cause = "room"
-	CauseQueue    Cause = "its turn, or its own tasks"
+	CauseCapacity       Cause = "room"
+	CauseQueue          Cause = "its turn, or its own tasks"
 )
 
-// LossAnalyzer gathers from logs what late, refused and unanswered jobs waited for.
+// LossAnalyzer determines from logs why jobs were late, refused or not answered.
 type LossAnalyzer struct {
 	jobs  map[string]*lossJob
 	cells map[string]*lossCell
-	// refusals and unsure are by window and reason.
+	// refusals counts the jobs that were refused or whose acceptance is unknown, by Unix time in milliseconds and reason.
 	refusals map[lossKey]int
-	// dropped counts the lines that were dropped out of the logs, skipped those that are none of ours.
+	// dropped counts the lines that the log writers dropped, skipped the lines that are not events.
 	dropped, skipped int
-	first        time.Time
+	first            time.Time
 }
 
 type lossKey struct {
@@ -63,7 +63,7 @@
 	text   string
 }
 
-// lossJob is the way of one job.
+// lossJob holds the recorded times and the outcome of a job.
 type lossJob struct {
 	cell              string
 	accepted, started time.Time
@@ -71,14 +71,15 @@
 	ended, late       bool
 }
 
-// lossCell is what is known of a cell over time.
+// lossCell holds the history of a cell. Loads and moves of a pool are recorded under the pool's name.
 type lossCell struct {
 	loads []lossLoad
-	// moved are the times at which machines were ordered arrivals come (arrivals) and arrivals go.
+	// arrivals and departures are the times at which machines were ordered to move to and from the cell.
 	arrivals, departures []time.Time
-	// decisions are the times of its owners' decisions, claims and takeovers those at which a next owner took it and knew it.
+	// decisions are the times of the owners' decisions. claims and takeovers are the times at which a new owner claimed the cell and
+	// finished loading it.
 	decisions, claims, takeovers []time.Time
-	// ownerless are the spans without an owner that works.
+	// ownerless are the periods without a working owner.
 	ownerless [][2]time.Time
 }
 
@@ -88,7 +89,7 @@
 	workers int
 }
 
-// lossLine is a line of the log with the fields that are used here.
+// lossLine holds the fields of a log line that the analysis uses.
 type lossLine struct {
 	Time    time.Time `json:"ts"`
 	Event   ID        `json:"event"`
@@ -106,100 +107,100 @@
 	Lines   int       `json:"lines"`
 }
 
-// NewLossAnalyzer returns one that has read nothing.
+// NewLossAnalyzer returns an analyzer without data.
 func NewLossAnalyzer() *LossAnalyzer {
 	return &LossAnalyzer{jobs: map[string]*lossJob{}, cells: map[string]*lossCell{}, refusals: map[lossKey]int{}}
 }
 
-// Read takes the lines of one log, which may have a time and a process in front. Logs may be read in any order.
-func (ls *LossAnalyzer) Read(rd io.Reader) error {
-	unread, err := scanEvents(rd, func(raw []byte) bool {
+// Read adds the lines of one log. Lines may be prefixed with a time and a process name. Logs may be read in any order.
+func (la *LossAnalyzer) Read(rd io.Reader) error {
+	skipped, err := scanEvents(rd, func(raw []byte) bool {
 		var ln lossLine
 		if json.Unmarshal(raw, &ln) != nil || ln.Event == 0 {
 			return false
 		}
-		ls.add(ln)
+		la.add(ln)
 		return true
 	})
-	ls.skipped += unread
+	la.skipped += skipped
 	return err
 }
 
-// scanEvents hands over the JSON of each line of a log, which may have a time and a process in front, and counts the lines that are no events by
-// the taker's word.
-func scanEvents(rd io.Reader, take func(raw []byte) bool) (unread int, err error) {
+// scanEvents calls handle with the JSON of each line of a log, without its prefix. It returns the number of lines without JSON or for which
+// handle returns false.
+func scanEvents(rd io.Reader, handle func(raw []byte) bool) (skipped int, err error) {
 	sc := bufio.NewScanner(rd)
 	sc.Buffer(nil, maxLogLine)
 	for sc.Scan() {
 		raw := sc.Bytes()
-		if at := bytes.IndexByte(raw, '{'); at < 0 || !take(raw[at:]) {
-			unread++
+		if at := bytes.IndexByte(raw, '{'); at < 0 || !handle(raw[at:]) {
+			skipped++
 		}
 	}
-	return unread, sc.Err()
+	return skipped, sc.Err()
 }
 
-// add notes what a line tells.
-func (ls *LossAnalyzer) add(ln lossLine) {
-	if !ln.Time.IsZero() && (ls.first.IsZero() || ln.Time.Before(ls.first)) {
-		ls.first = ln.Time
+// add records an event.
+func (la *LossAnalyzer) add(ln lossLine) {
+	if !ln.Time.IsZero() && (la.first.IsZero() || ln.Time.Before(la.first)) {
+		la.first = ln.Time
 	}
 	switch ln.Event {
 	case LinesDropped.ID:
-		ls.dropped += ln.Lines
+		la.dropped += ln.Lines
 	case JobAccepted.ID:
-		jb := ls.job(ln.Job)
+		jb := la.job(ln.Job)
 		jb.cell, jb.accepted, jb.waited = ln.Cell, ln.Time, time.Duration(ln.Waited*float64(time.Second))
 	case CellDecided.ID:
-		ls.addDecision(ln)
+		la.addDecision(ln)
 	case JobRefused.ID:
-		ls.refusals[lossKey{ls.unixMillis(ln.Time), "refused: " + ln.Why}]++
+		la.refusals[lossKey{la.unixMillis(ln.Time), "refused: " + ln.Why}]++
 	case JobUnsure.ID:
-		ls.refusals[lossKey{ls.unixMillis(ln.Time), "told that it is not known"}]++
+		la.refusals[lossKey{la.unixMillis(ln.Time), "told that it is not known"}]++
 	case PoolLoad.ID:
-		ce := ls.cell(ln.Pool)
+		ce := la.cell(ln.Pool)
 		ce.loads = append(ce.loads, lossLoad{ln.Time, ln.Needed, ln.Workers})
 	case MachineMoved.ID:
-		ls.cell(ln.To).arrivals = append(ls.cell(ln.To).arrivals, ln.Time)
-		ls.cell(ln.From).departures = append(ls.cell(ln.From).departures, ln.Time)
+		la.cell(ln.To).arrivals = append(la.cell(ln.To).arrivals, ln.Time)
+		la.cell(ln.From).departures = append(la.cell(ln.From).departures, ln.Time)
 	case CellClaimed.ID:
 		if ln.Before != "" {
-			ls.cell(ln.Cell).claims = append(ls.cell(ln.Cell).claims, ln.Time)
+			la.cell(ln.Cell).claims = append(la.cell(ln.Cell).claims, ln.Time)
 		}
 	case CellLoaded.ID:
-		ls.cell(ln.Cell).takeovers = append(ls.cell(ln.Cell).takeovers, ln.Time)
+		la.cell(ln.Cell).takeovers = append(la.cell(ln.Cell).takeovers, ln.Time)
 	}
 }
 
-// unixMillis is a time as milliseconds; windows are made of it once all logs are read.
-func (ls *LossAnalyzer) unixMillis(at time.Time) int { return int(at.UnixMilli()) }
+// unixMillis returns the Unix time in milliseconds. Windows are computed from it once all logs are read, since they start at the first event.
+func (la *LossAnalyzer) unixMillis(at time.Time) int { return int(at.UnixMilli()) }
 
-func (ls *LossAnalyzer) job(id string) *lossJob {
-	jb, ok := ls.jobs[id]
+func (la *LossAnalyzer) job(id string) *lossJob {
+	jb, ok := la.jobs[id]
 	if !ok {
 		jb = &lossJob{}
-		ls.jobs[id] = jb
+		la.jobs[id] = jb
 	}
 	return jb
 }
 
-func (ls *LossAnalyzer) cell(name string) *lossCell {
-	ce, ok := ls.cells[name]
+func (la *LossAnalyzer) cell(name string) *lossCell {
+	ce, ok := la.cells[name]
 	if !ok {
 		ce = &lossCell{}
-		ls.cells[name] = ce
+		la.cells[name] = ce
 	}
 	return ce
 }
 
-// addDecision takes a decision of a cell's owner.
-func (ls *LossAnalyzer) addDecision(ln lossLine) {
-	ce := ls.cell(ln.Cell)
+// addDecision records a decision of a cell's owner.
+func (la *LossAnalyzer) addDecision(ln lossLine) {
+	ce := la.cell(ln.Cell)
 	ce.decisions = append(ce.decisions, ln.Time)
 	if ln.Job == "" {
 		return
 	}
-	jb := ls.job(ln.Job)
+	jb := la.job(ln.Job)
 	switch ln.What {
 	case "start":
 		if jb.started.IsZero() || ln.Time.Before(jb.started) {
@@ -212,24 +213,24 @@
 	}
 }
 
-// lossRow is one row of the report.
+// lossRow is a report row: the jobs of one cell that were accepted in one window.
 type lossRow struct {
 	accepted, inTime, late, unfinished int
-	causes                       map[string]int
+	causes                             map[string]int
 }
 
-// Report writes, for each window and cell, how many jobs that were accepted in it ended in time, late or not at all, and what those waited
-// for, the most frequent cause first.
-func (ls *LossAnalyzer) Report(wr io.Writer) error {
+// Report writes a table with a row for each window and cell. A row counts the accepted jobs that ended in time, late or not at all, and lists
+// the causes of the delays, most frequent first.
+func (la *LossAnalyzer) Report(wr io.Writer) error {
 	rows := map[lossKey]*lossRow{}
-	for _, ce := range ls.cells {
+	for _, ce := range la.cells {
 		ce.prepare()
 	}
-	for _, jb := range ls.jobs {
+	for _, jb := range la.jobs {
 		if jb.accepted.IsZero() {
 			continue
 		}
-		key := lossKey{ls.windowIndex(int(jb.accepted.UnixMilli())), jb.cell}
+		key := lossKey{la.windowIndex(int(jb.accepted.UnixMilli())), jb.cell}
 		rw, ok := rows[key]
 		if !ok {
 			rw = &lossRow{causes: map[string]int{}}
@@ -245,25 +246,25 @@
 		default:
 			rw.unfinished++
 		}
-		rw.causes[string(ls.mainCause(jb))]++
+		rw.causes[string(la.mainCause(jb))]++
 	}
-	for key, count := range ls.refusals {
-		at := lossKey{ls.windowIndex(key.window), ""}
+	for key, count := range la.refusals {
+		at := lossKey{la.windowIndex(key.window), ""}
 		if rows[at] == nil {
 			rows[at] = &lossRow{causes: map[string]int{}}
 		}
 		rows[at].causes[key.text] += count
 	}
-	return ls.writeTable(wr, rows)
+	return la.writeTable(wr, rows)
 }
 
-// windowIndex is the number of the windowIndex of a stamp.
-func (ls *LossAnalyzer) windowIndex(stamp int) int {
-	return (stamp - int(ls.first.UnixMilli())) / int(lossWindow.Milliseconds())
+// windowIndex returns the index of the window that contains a Unix time in milliseconds.
+func (la *LossAnalyzer) windowIndex(stamp int) int {
+	return (stamp - int(la.first.UnixMilli())) / int(lossWindow.Milliseconds())
 }
 
-// writeTable lays the rows out.
-func (ls *LossAnalyzer) writeTable(wr io.Writer, rows map[lossKey]*lossRow) error {
+// writeTable writes the rows, ordered by window and cell, and the counts of missing lines. Rows without a cause are omitted.
+func (la *LossAnalyzer) writeTable(wr io.Writer, rows map[lossKey]*lossRow) error {
 	keys := slices.SortedFunc(maps.Keys(rows), func(one, other lossKey) int {
 		return cmp.Or(cmp.Compare(one.window, other.window), cmp.Compare(one.text, other.text))
 	})
@@ -280,16 +281,16 @@
 	if err := tw.Flush(); err != nil {
 		return err
 	}
-	if ls.dropped > 0 {
-		fmt.Fprintf(wr, "%d lines were left out of the logs when they were written, so jobs and starts are missing here.\n", ls.dropped)
+	if la.dropped > 0 {
+		fmt.Fprintf(wr, "%d lines were left out of the logs when they were written, so jobs and starts are missing here.\n", la.dropped)
 	}
-	if ls.skipped > 0 {
-		fmt.Fprintf(wr, "%d lines are no events.\n", ls.skipped)
+	if la.skipped > 0 {
+		fmt.Fprintf(wr, "%d lines are no events.\n", la.skipped)
 	}
 	return nil
 }
 
-// listCauses writes causes with their counts, the most frequent first.
+// listCauses formats the causes with their counts, most frequent first.
 func listCauses(causes map[string]int) string {
 	names := slices.SortedFunc(maps.Keys(causes), func(one, other string) int {
 		return cmp.Or(-cmp.Compare(causes[one], causes[other]), cmp.Compare(one, other))
@@ -300,12 +301,13 @@
 	return strings.Join(names, ", ")
 }
 
-// mainCause is what a job waited for longest until its first start, or until the logs say no more of its cell.
-func (ls *LossAnalyzer) mainCause(jb *lossJob) Cause {
+// mainCause returns the cause for which a job waited longest until its first start. A job that did not start is followed until the last
+// recorded load of its cell.
+func (la *LossAnalyzer) mainCause(jb *lossJob) Cause {
 	if jb.waited >= slowAcceptance {
 		return CauseStore
 	}
-	ce := ls.cell(jb.cell)
+	ce := la.cell(jb.cell)
 	until := jb.started
 	if until.IsZero() && len(ce.loads) > 0 {
 		until = ce.loads[len(ce.loads)-1].at
@@ -323,7 +325,8 @@
 	return best
 }
 
-// prepare puts what is known in the order of time, and begins spans without an owner with the last decision before.
+// prepare sorts the history by time and computes the ownerless periods. A period starts at the last decision before a claim and ends when
+// the new owner has loaded the cell.
 func (ce *lossCell) prepare() {
 	byTime := func(one, other time.Time) int { return one.Compare(other) }
 	for _, times := range [][]time.Time{ce.arrivals, ce.departures, ce.decisions, ce.claims, ce.takeovers} {
@@ -344,7 +347,7 @@
 	}
 }
 
-// causeAt is what a job of the cell waits for at a time.
+// causeAt returns the cause for which a job of the cell waits at a time.
 func (ce *lossCell) causeAt(at time.Time) Cause {
 	for _, span := range ce.ownerless {
 		if !at.Before(span[0]) && at.Before(span[1]) {
@@ -356,8 +359,8 @@
 		return CauseQueue
 	}
 	if before, ok := ce.loadAt(at.Add(-missingAfter)); ok {
-		came := countBetween(ce.arrivals, at.Add(-missingAfter), at.Add(-arrivalTime)) - countBetween(ce.departures, at.Add(-missingAfter), at.Add(-arrivalTime))
-		if missing := before.workers + came - now.workers; float64(missing) > missingShare*float64(now.workers) {
+		arrived := countBetween(ce.arrivals, at.Add(-missingAfter), at.Add(-arrivalTime)) - countBetween(ce.departures, at.Add(-missingAfter), at.Add(-arrivalTime))
+		if missing := before.workers + arrived - now.workers; float64(missing) > missingShare*float64(now.workers) {
 			return CauseUnknownWorkers
 		}
 	}
@@ -367,7 +370,7 @@
 	return CauseCapacity
 }
 
-// loadAt is the newest one before a time.
+// loadAt returns the latest load recorded at or before a time.
 func (ce *lossCell) loadAt(at time.Time) (lossLoad, bool) {
 	count := sort.Search(len(ce.loads), func(index int) bool { return ce.loads[index].at.After(at) })
 	if count == 0 {
@@ -376,11 +379,12 @@
 	return ce.loads[count-1], true
 }
 
-// countBetween counts the times from one to another.
+// countBetween returns the number of sorted times in [from, to).
 func countBetween(times []time.Time, from, to time.Time) int {
 	return countBefore(times, to) - countBefore(times, from)
 }
 
+// countBefore returns the number of sorted times before at.
 func countBefore(times []time.Time, at time.Time) int {
 	return sort.Search(len(times), func(index int) bool { return !times[index].Before(at) })
 }
--- a/event/loss_test.go
+++ b/event/loss_test.go
@@ -13,28 +13,27 @@
 	lossPage = "testdata/loss.txt"
 )
 
-// TestLossNamesWhatJobsWaitedFor reads a small log with one job for each cause, lines with and without a time in front, lines that were left
-// out, and one that is none.
-func TestLossNamesWhatJobsWaitedFor(t *testing.T) {
+// TestLossAnalyzerReport reads a small log with one job for each cause, lines with and without a time prefix, dropped lines and a line that is
+// not an event. The report must not depend on the order of the lines.
+func TestLossAnalyzerReport(t *testing.T) {
 	raw, err := os.ReadFile(lossLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	lines := bytes.SplitAfter(raw, []byte("\n"))
 	var got bytes.Buffer
-	// The order of the logs, and of their lines, does not matter.
-	for _, turned := range []bool{false, true} {
+	for _, reversed := range []bool{false, true} {
 		got.Reset()
-		ls := event.NewLossAnalyzer()
+		la := event.NewLossAnalyzer()
 		for at := range lines {
-			if turned {
+			if reversed {
 				at = len(lines) - 1 - at
 			}
-			if err := ls.Read(bytes.NewReader(lines[at])); err != nil {
+			if err := la.Read(bytes.NewReader(lines[at])); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if err := ls.Report(&got); err != nil {
+		if err := la.Report(&got); err != nil {
 			t.Fatal(err)
 		}
 		if *update {
@@ -47,7 +46,7 @@
 			t.Fatal(err)
 		}
 		if !bytes.Equal(got.Bytes(), want) {
-			t.Errorf("turned %t: %s", turned, got.Bytes())
+			t.Errorf("reversed %t: %s", reversed, got.Bytes())
 		}
 	}
 }
--- a/event/output.go
+++ b/event/output.go
@@ -11,11 +11,11 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// maxQueuedLines is how many lines wait at most for a slow reader; some 2 MB.
+// outputLines is the number of lines that are buffered for a slow reader, about 2 MB.
 const maxQueuedLines = 8192
 
-// Output hands lines to a writer from a goroutine of its own, so that a slow reader never holds a request up.
-// Lines that find no room are counted, and the count is written once there is room again.
+// Output writes lines to a writer in its own goroutine, so that a slow log reader does not block requests.
+// When the buffer is full, lines are dropped and counted. The count is written before the next line.
 type Output struct {
 	lines   chan []byte
 	dropped atomic.Int64
@@ -23,14 +23,14 @@
 	closed  chan struct{}
 }
 
-// NewOutput returns an output to a writer.
+// NewOutput starts an Output that writes to wr.
 func NewOutput(wr io.Writer) *Output {
 	ou := &Output{lines: make(chan []byte, maxQueuedLines), stop: make(chan struct{}), closed: make(chan struct{})}
 	go ou.run(wr)
 	return ou
 }
 
-// Write takes a line, or counts it as dropped.
+// Write queues a copy of the line, or drops and counts it if the buffer is full. It never blocks or fails.
 func (ou *Output) Write(line []byte) (int, error) {
 	select {
 	case ou.lines <- append([]byte(nil), line...):
@@ -55,7 +55,7 @@
 	}
 }
 
-// writeLine writes a line; a writer that fails leaves nobody to tell.
+// writeLine writes the number of dropped lines, if any, and the line. Write errors are ignored, since there is nowhere to report them.
 func (ou *Output) writeLine(wr io.Writer, line []byte) {
 	if dropped := ou.dropped.Swap(0); dropped > 0 {
 		_, _ = fmt.Fprintf(wr, `{"event":%d,"level":"warn","msg":%q,"lines":%d}`+"\n", LinesDropped.ID, LinesDropped.Message, dropped)
@@ -63,13 +63,13 @@
 	_, _ = wr.Write(line)
 }
 
-// Close writes what waits.
+// Close writes the queued lines and stops the goroutine.
 func (ou *Output) Close() {
 	close(ou.stop)
 	<-ou.closed
 }
 
-// NewStreamLogger returns a logger that writes JSON lines to an output, each with the name of the process.
+// NewStreamLogger returns a rate-limited logger that writes JSON lines to ou. Each line carries the process name.
 func NewStreamLogger(name string, ou *Output, level zapcore.Level) *Logger {
 	cfg := zap.NewProductionEncoderConfig()
 	cfg.EncodeTime = zapcore.RFC3339NanoTimeEncoder
@@ -77,34 +77,35 @@
 	return &Logger{zl: zap.New(core).With(zap.String("process", name)), limiter: &rateLimiter{}}
 }
 
-// Bounds of the log.
+// Limits of the log.
 const (
-	// maxLinesPerSecond is how many lines of one event are written in a second; at some 300 bytes a line that is 120 KB.
+	// maxLinesPerSecond limits the lines of one event per second. At about 300 bytes a line, 400 lines are 120 KB.
 	maxLinesPerSecond = 400
-	// eventIDLimit is above every event's number.
+	// eventIDLimit is greater than every event ID.
 	eventIDLimit = 1000
 )
 
-// rateLimiter counts the lines of each event in the second under way.
+// rateLimiter limits the lines of each event per second. Its arrays are indexed by event ID.
 type rateLimiter struct {
-	mu     sync.Mutex // guards what follows
-	second [eventIDLimit]int64
-	lines  [eventIDLimit]int64
-	dropped   [eventIDLimit]int64
+	mu      sync.Mutex // guards the fields below
+	second  [eventIDLimit]int64
+	lines   [eventIDLimit]int64
+	dropped [eventIDLimit]int64
 }
 
-// allow reports whether a line may be written, and how many of the event were left out in the seconds before.
-func (bn *rateLimiter) allow(id ID, now time.Time) (left int64, ok bool) {
-	bn.mu.Lock()
-	defer bn.mu.Unlock()
-	if second := now.Unix(); second != bn.second[id] {
-		left, bn.dropped[id] = bn.dropped[id], 0
-		bn.second[id], bn.lines[id] = second, 0
+// allow reports whether a line of the event may be written at now. On the first call in a new second, it also returns the number of lines
+// dropped since the last report.
+func (rl *rateLimiter) allow(id ID, now time.Time) (dropped int64, ok bool) {
+	rl.mu.Lock()
+	defer rl.mu.Unlock()
+	if second := now.Unix(); second != rl.second[id] {
+		dropped, rl.dropped[id] = rl.dropped[id], 0
+		rl.second[id], rl.lines[id] = second, 0
 	}
-	if bn.lines[id] >= maxLinesPerSecond {
-		bn.dropped[id]++
-		return left, false
+	if rl.lines[id] >= maxLinesPerSecond {
+		rl.dropped[id]++
+		return dropped, false
 	}
-	bn.lines[id]++
-	return left, true
+	rl.lines[id]++
+	return dropped, true
 }
--- a/event/output_test.go
+++ b/event/output_test.go
@@ -12,8 +12,9 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// TestSlowReaderBlocksNobody: a pipe that nobody reads is full after some lines; all others are written without waiting, and counted.
-func TestSlowReaderBlocksNobody(t *testing.T) {
+// TestSlowReaderDoesNotBlock guards against a logger that blocks its callers when the log reader stops reading. The pipe fills up after some
+// lines; the remaining lines must be dropped and counted without blocking.
+func TestSlowReaderDoesNotBlock(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -32,10 +33,10 @@
 	select {
 	case <-done:
 	case <-time.After(time.Minute):
-		t.Fatal("the log blocks while nobody reads")
+		t.Fatal("logger blocks while the pipe is not read")
 	}
 	if ou.dropped.Load() == 0 {
-		t.Fatal("nothing was left out, so the pipe was not full")
+		t.Fatal("no lines were dropped, so the pipe was not full")
 	}
 	go func() {
 		ou.Close()
@@ -46,31 +47,32 @@
 		t.Fatal(err)
 	}
 	if !bytes.Contains(text, []byte(LinesDropped.Message)) {
-		t.Fatal("the lines that were left out are not counted in the log")
+		t.Fatal("log does not contain the number of dropped lines")
 	}
 }
 
-// TestEventThatComesTooOftenIsCounted: the others are not held up by it.
-func TestEventThatComesTooOftenIsCounted(t *testing.T) {
-	bn := &rateLimiter{}
+// TestRateLimitPerEvent checks that lines of an event above its limit are dropped and counted, that other events are not affected, and that the
+// count is reported once.
+func TestRateLimitPerEvent(t *testing.T) {
+	rl := &rateLimiter{}
 	now := time.Unix(1_700_000_000, 0)
 	written := 0
 	for range 3 * maxLinesPerSecond {
-		if _, ok := bn.allow(JobRefused.ID, now); ok {
+		if _, ok := rl.allow(JobRefused.ID, now); ok {
 			written++
 		}
 	}
 	if written != maxLinesPerSecond {
-		t.Fatalf("%d lines in a second", written)
+		t.Fatalf("%d lines allowed in one second, want %d", written, maxLinesPerSecond)
 	}
-	if _, ok := bn.allow(JobAccepted.ID, now); !ok {
-		t.Fatal("another event is held up")
+	if _, ok := rl.allow(JobAccepted.ID, now); !ok {
+		t.Fatal("rate limit of one event blocks another event")
 	}
-	left, ok := bn.allow(JobRefused.ID, now.Add(time.Second))
-	if !ok || left != 2*maxLinesPerSecond {
-		t.Fatalf("%d were left out", left)
+	dropped, ok := rl.allow(JobRefused.ID, now.Add(time.Second))
+	if !ok || dropped != 2*maxLinesPerSecond {
+		t.Fatalf("%d lines reported as dropped, want %d", dropped, 2*maxLinesPerSecond)
 	}
-	if left, _ = bn.allow(JobRefused.ID, now.Add(time.Second)); left != 0 {
-		t.Fatal("told twice")
+	if dropped, _ = rl.allow(JobRefused.ID, now.Add(time.Second)); dropped != 0 {
+		t.Fatal("number of dropped lines reported twice")
 	}
 }
--- a/event/story.go
+++ b/event/timeline.go
@@ -13,23 +13,23 @@
 	"time"
 )
 
-// timelineTimeFormat is how times are written in a story.
+// storyTime is the time format of the timeline.
 const timelineTimeFormat = "15:04:05.000"
 
-// timelineHiddenFields are the fields that have a column of their own, or say the same in each line of a story.
+// storyHidden are the fields that have their own column or the same value in every line of a timeline.
 var timelineHiddenFields = []string{"ts", "level", "msg", "process", "event", "what", "job", "cell", "epoch", "token"}
 
-// JobTimeline gathers from logs what was decided of one job, and what became of the workers on which its tasks were.
+// JobTimeline collects from logs the events of one job and of the workers that ran its tasks.
 type JobTimeline struct {
 	job   string
 	lines []timelineLine
-	// workers holds the lines that tell of a worker and of no job.
+	// workers holds the lines that name a worker but no job, by worker.
 	workers map[string][]timelineLine
-	// dropped counts the lines that were dropped out of the logs, skipped those that are none of ours.
+	// dropped counts the lines that the log writers dropped, skipped the lines that are not events.
 	dropped, skipped int
 }
 
-// timelineLine is a line of the log.
+// timelineLine holds the fields of a log line that the timeline uses.
 type timelineLine struct {
 	Time    time.Time `json:"ts"`
 	Process string    `json:"process"`
@@ -42,44 +42,44 @@
 	raw     []byte
 }
 
-// NewJobTimeline returns the story of a job that has read nothing.
+// NewJobTimeline returns an empty timeline of a job.
 func NewJobTimeline(job string) *JobTimeline {
 	return &JobTimeline{job: job, workers: map[string][]timelineLine{}}
 }
 
-// Read takes the lines of one log, which may have a time and a process in front. Logs may be read in any order.
-func (st *JobTimeline) Read(rd io.Reader) error {
-	unread, err := scanEvents(rd, func(raw []byte) bool {
+// Read adds the lines of one log. Lines may be prefixed with a time and a process name. Logs may be read in any order.
+func (jt *JobTimeline) Read(rd io.Reader) error {
+	skipped, err := scanEvents(rd, func(raw []byte) bool {
 		ln := timelineLine{raw: bytes.Clone(raw)}
 		if json.Unmarshal(raw, &ln) != nil || ln.Event == 0 {
 			return false
 		}
-		st.add(ln)
+		jt.add(ln)
 		return true
 	})
-	st.skipped += unread
+	jt.skipped += skipped
 	return err
 }
 
-func (st *JobTimeline) add(ln timelineLine) {
+func (jt *JobTimeline) add(ln timelineLine) {
 	switch {
 	case ln.Event == LinesDropped.ID:
-		st.dropped += ln.Lines
-	case ln.Job == st.job:
-		st.lines = append(st.lines, ln)
+		jt.dropped += ln.Lines
+	case ln.Job == jt.job:
+		jt.lines = append(jt.lines, ln)
 	case ln.Job == "" && ln.Worker != "":
-		st.workers[ln.Worker] = append(st.workers[ln.Worker], ln)
+		jt.workers[ln.Worker] = append(jt.workers[ln.Worker], ln)
 	}
 }
 
-// sortedLines lists the lines of the job, with those of workers on which its tasks were, by time.
-func (st *JobTimeline) sortedLines() []timelineLine {
-	list := slices.Clone(st.lines)
-	met := map[string]bool{}
-	for _, ln := range st.lines {
-		if ln.Worker != "" && !met[ln.Worker] {
-			met[ln.Worker] = true
-			list = append(list, st.workers[ln.Worker]...)
+// sortedLines returns the lines of the job and of the workers that ran its tasks, sorted by time.
+func (jt *JobTimeline) sortedLines() []timelineLine {
+	list := slices.Clone(jt.lines)
+	added := map[string]bool{}
+	for _, ln := range jt.lines {
+		if ln.Worker != "" && !added[ln.Worker] {
+			added[ln.Worker] = true
+			list = append(list, jt.workers[ln.Worker]...)
 		}
 	}
 	slices.SortStableFunc(list, func(one, other timelineLine) int {
@@ -88,9 +88,9 @@
 	return list
 }
 
-// Report writes the story as a table, a line for each line of the logs.
-func (st *JobTimeline) Report(wr io.Writer) error {
-	list := st.sortedLines()
+// Report writes the timeline as a table with one row for each log line.
+func (jt *JobTimeline) Report(wr io.Writer) error {
+	list := jt.sortedLines()
 	tw := tabwriter.NewWriter(wr, 0, 0, 2, ' ', 0)
 	for _, ln := range list {
 		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\n", ln.Time.UTC().Format(timelineTimeFormat), ln.Process, cmp.Or(ln.What, ln.Message), ln.formatFields())
@@ -98,23 +98,23 @@
 	if err := tw.Flush(); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(wr, "%d lines of job %s and its workers; %d lines were left out of the logs, %d are no events\n", len(list), st.job, st.dropped, st.skipped)
+	_, err := fmt.Fprintf(wr, "%d lines of job %s and its workers; %d lines were left out of the logs, %d are no events\n", len(list), jt.job, jt.dropped, jt.skipped)
 	return err
 }
 
-// JSON writes the story's lines as they are, as a list.
-func (st *JobTimeline) JSON(wr io.Writer) error {
+// JSON writes the log lines unchanged as a JSON list.
+func (jt *JobTimeline) JSON(wr io.Writer) error {
 	raws := []json.RawMessage{}
-	for _, ln := range st.sortedLines() {
+	for _, ln := range jt.sortedLines() {
 		raws = append(raws, ln.raw)
 	}
 	return json.NewEncoder(wr).Encode(raws)
 }
 
-// formatFields lists what else a line says.
+// formatFields formats the remaining fields as name=value, sorted by name.
 func (ln timelineLine) formatFields() string {
 	var all map[string]any
-	// It was read before.
+	// The line was decoded before, so it cannot fail.
 	_ = json.Unmarshal(ln.raw, &all)
 	for _, name := range timelineHiddenFields {
 		delete(all, name)
--- a/report/draw.go
+++ b/report/draw.go
@@ -15,10 +15,10 @@
 	barWidth      = 20 * vg.Millimeter
 )
 
-// outcomeNames are the outcomes in the order of the bars.
+// outcomeNames lists the outcomes in the order of the bars.
 var outcomeNames = []string{"answered", "notRun", "unknown"}
 
-// drawRollout draws the instances out of service and those finished over time.
+// drawRollout plots the numbers of instances out of service and finished over time.
 func drawRollout(ro rollout, path string) error {
 	pt := plot.New()
 	pt.Title.Text = "Roll-out: " + ro.reason
@@ -49,7 +49,7 @@
 	return eris.Wrap(pt.Save(plotWidth, plotHeight, path), "save roll-out")
 }
 
-// drawOutcomes draws how requests through the entry instance ended.
+// drawOutcomes plots the number of requests by outcome.
 func drawOutcomes(metrics map[string]int64, path string) error {
 	pt := plot.New()
 	pt.Title.Text = "Outcomes of requests through this entry instance"
--- a/report/report.go
+++ b/report/report.go
@@ -1,4 +1,5 @@
-// Command report turns the audit trail and the figures of a fleet into a page with plots: a plan's roll-out, its buffer, and the outcomes of requests.
+// Command report renders the audit trail and the metrics of a fleet as a Markdown page with plots: a plan's roll-out, the buffer it used and the
+// outcomes of requests.
 package main
 
 import (
@@ -21,7 +22,7 @@
 	outcomeName = "outcomes.png"
 )
 
-// source is what a report is made from.
+// source holds the input of a report.
 type source struct {
 	Audit   []table.Audit    `json:"audit"`
 	Metrics map[string]int64 `json:"metrics"`
@@ -30,8 +31,8 @@
 func main() {
 	address := flag.String("address", os.Getenv("ASPENSEAM_ADDRESS"), "operator address of an entry instance")
 	token := flag.String("token", os.Getenv("ASPENSEAM_TOKEN"), "operator token")
-	file := flag.String("from", "", "file with a saved source instead of an entry instance")
-	plan := flag.String("plan", "", "plan to report on; default the last one that moved an instance")
+	file := flag.String("from", "", "file with a saved source to use instead of an entry instance")
+	plan := flag.String("plan", "", "plan to report on; defaults to the last one that moved an instance")
 	out := flag.String("out", "report-out", "folder to write to")
 	flag.Parse()
 	if err := run(*address, *token, *file, table.PlanID(*plan), *out); err != nil {
@@ -40,7 +41,7 @@
 	}
 }
 
-// run reads the source, draws the plots and writes the page.
+// run loads the source, draws the plots and writes the page.
 func run(address, token, file string, plan table.PlanID, out string) error {
 	src, err := loadSource(address, token, file)
 	if err != nil {
@@ -51,10 +52,10 @@
 	}
 	ro := newRollout(src.Audit, plan)
 	if len(ro.points) == 0 {
-		return eris.New("no plan that moved an instance stands in the audit trail")
+		return eris.New("audit trail contains no plan that moved an instance")
 	}
 	if err := os.MkdirAll(out, 0o755); err != nil {
-		return eris.Wrap(err, "make folder")
+		return eris.Wrap(err, "create output folder")
 	}
 	if err := drawRollout(ro, filepath.Join(out, rolloutName)); err != nil {
 		return err
@@ -65,7 +66,7 @@
 	return eris.Wrap(os.WriteFile(filepath.Join(out, pageName), []byte(renderPage(ro, src.Metrics)), 0o644), "write page")
 }
 
-// loadSource takes the source from a file or from an entry instance.
+// loadSource reads the source from a file or fetches it from an entry instance.
 func loadSource(address, token, file string) (source, error) {
 	var src source
 	if file != "" {
--- a/report/rollout.go
+++ b/report/rollout.go
@@ -8,33 +8,33 @@
 	"github.com/aspenseam/aspenseam/table"
 )
 
-// Actions of the audit trail that a roll-out is read from.
+// Audit actions that describe a roll-out.
 const (
 	actionLeaving = "leaving"
 	actionServing = "serving"
 	actionIdle    = "idle"
 )
 
-// rollout is a plan's course.
+// rollout is the progress of a plan over time.
 type rollout struct {
 	plan   table.PlanID
-	reason    string
+	reason string
 	start  time.Time
 	points []point
-	// maxOut is the most instances out of service at once.
+	// maxOut is the maximum number of instances out of service at once.
 	maxOut int
-	// instanceHours sums the time that instances were out of service.
+	// instanceHours is the total time that instances were out of service.
 	instanceHours float64
 }
 
-// point is the state after one line of audit.
+// point is the state of a roll-out after one audit entry.
 type point struct {
 	at       time.Duration
 	out      int
 	finished int
 }
 
-// lastPlan returns the plan of the last line that took an instance out.
+// lastPlan returns the plan of the last audit entry that took an instance out of service.
 func lastPlan(lines []table.Audit) table.PlanID {
 	last := table.PlanID("")
 	for _, au := range lines {
@@ -45,7 +45,7 @@
 	return last
 }
 
-// newRollout reads a plan's course from the audit trail.
+// newRollout computes the progress of a plan from the audit trail.
 func newRollout(lines []table.Audit, plan table.PlanID) rollout {
 	ro := rollout{plan: plan}
 	outSince := map[string]time.Time{}
@@ -58,7 +58,7 @@
 		case actionLeaving:
 			outSince[au.Subject] = au.At
 		case actionServing, actionIdle:
-			if since, was := outSince[au.Subject]; was {
+			if since, ok := outSince[au.Subject]; ok {
 				ro.instanceHours += au.At.Sub(since).Hours()
 				delete(outSince, au.Subject)
 			}
@@ -75,7 +75,7 @@
 	return ro
 }
 
-// renderPage returns the report as Markdown.
+// renderPage renders the report as Markdown.
 func renderPage(ro rollout, metrics map[string]int64) string {
 	last := ro.points[len(ro.points)-1]
 	var sb strings.Builder
--- a/serve.go
+++ b/serve.go
@@ -181,7 +181,7 @@
 // fleetOptions wires the platform's adapter to the fleet.
 func fleetOptions(st *platform.Settings, cs *settings.Cells, lg *event.Logger, registry metrics.Registry, bytes *fleet.Traffic) fleet.Options {
 	sizes := machine.DefaultSizes()
-	sizes.Margin, sizes.Standby, sizes.StandbyLong, sizes.ReturnAfter, sizes.Lookahead = cs.Margin, cs.Standby, cs.StandbyLong, cs.IdleFor, cs.GrowthHorizon
+	sizes.Margin, sizes.Standby, sizes.StandbyLong, sizes.ReturnAfter, sizes.Lookahead = cs.Margin, cs.Standby, cs.StandbyLong, cs.IdleFor, cs.Lookahead
 	op := fleet.Options{
 		Name: st.Name, Hall: st.Hall, Address: st.PeerAddress, Seeds: st.Seeds, Power: st.CPUShare,
 		Store: platform.NewStore(st.StoreAddress, platform.WithMeter(bytes)), SinglePartTx: st.SinglePartTx, Workers: platform.NewWorkers(platform.WithMeter(bytes)), Machines: platform.NewMachines(st.MachinesAddress), Format: platform.Format{},
--- a/settings/parse.go
+++ b/settings/parse.go
@@ -14,28 +14,28 @@
 
 const (
 	minSecretLength = 16
-	unitAddress  = "address"
-	unitKey      = "key"
+	unitAddress     = "address"
+	unitKey         = "key"
 )
 
-// parser collects findings while it walks one file.
+// parser decodes one document and collects its findings.
 type parser struct {
 	src      []byte
 	st       *Settings
 	byPath   map[string]field
 	schema   []field
 	sections map[string]bool
-	// offsets holds the places of settings by path.
-	offsets     map[string]int
+	// offsets holds the byte offsets of the settings in the file, by path.
+	offsets  map[string]int
 	findings Findings
 }
 
-// Parse reads settings from JSON with comments; faults are returned as Findings.
+// Parse decodes settings from JSON with comments. Invalid settings are returned as Findings.
 func Parse(src []byte) (*Settings, error) {
 	return parse(src, schema, "")
 }
 
-// parse reads a document whose settings stand below a section of the schema.
+// parse decodes a document. A non-empty section is the prefix that the paths of the schema have and the document does not.
 func parse(src []byte, fields []field, section string) (*Settings, error) {
 	ps := newParser(src, fields)
 	root, err := hujson.Parse(src)
@@ -52,6 +52,7 @@
 	return ps.st, nil
 }
 
+// precedes orders findings by line and column.
 func (fd Finding) precedes(other Finding) bool {
 	if fd.Line != other.Line {
 		return fd.Line < other.Line
@@ -79,7 +80,7 @@
 	ps.findings = append(ps.findings, Finding{Line: line, Column: column, Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
-// addSyntaxError records the place that the syntax error names.
+// addSyntaxError records a syntax error at the line and column given in its text.
 func (ps *parser) addSyntaxError(err error) {
 	line, column := 1, 1
 	text := strings.TrimPrefix(err.Error(), "hujson: ")
@@ -89,7 +90,7 @@
 	ps.findings = append(ps.findings, Finding{Line: line, Column: column, Message: text})
 }
 
-// parseObject visits an object: each member is a section or a field.
+// parseObject parses an object. Each member is a section or a setting.
 func (ps *parser) parseObject(path string, vl hujson.Value) {
 	ob, ok := vl.Value.(*hujson.Object)
 	if !ok {
@@ -123,7 +124,7 @@
 	ps.addFinding(mb.Name.StartOffset, path, "unknown setting")
 }
 
-// parseField decodes one value into its target and checks it.
+// parseField decodes a value into its target and checks it.
 func (ps *parser) parseField(fl field, vl hujson.Value) {
 	vl = vl.Clone()
 	offset := vl.StartOffset
@@ -138,7 +139,7 @@
 	}
 }
 
-// decode stores raw JSON through the target pointer.
+// decode unmarshals raw JSON into target. Durations are strings such as 250ms.
 func decode(raw []byte, target any) error {
 	if list, isList := target.(*[]time.Duration); isList {
 		return decodeDurations(raw, list)
@@ -176,7 +177,7 @@
 	return nil
 }
 
-// check returns what is wrong with the stored value, or nothing.
+// check returns a message if the stored value is invalid, and the empty string otherwise.
 func (fl field) check(st *Settings) string {
 	switch vl := fl.target(st).(type) {
 	case *string:
@@ -234,7 +235,7 @@
 	return ""
 }
 
-// checkAddress wants a literal IP and a port, since processes find each other by IP.
+// checkAddress requires an IP address and a port. Host names are rejected, since processes connect to each other by IP.
 func checkAddress(vl string) string {
 	host, _, err := net.SplitHostPort(vl)
 	if err != nil {
@@ -263,7 +264,7 @@
 	return ""
 }
 
-// finish fills in defaults, names missing settings and checks settings against each other.
+// finish sets defaults, reports missing required settings and checks settings that depend on each other.
 func (ps *parser) finish() {
 	for _, fl := range ps.schema {
 		if _, set := ps.offsets[fl.path]; set {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads and checks the settings file of an entry instance, JSON with comments.
+// Package settings parses and checks the settings file of an entry instance, which is JSON with comments.
 package settings
 
 import (
@@ -10,13 +10,13 @@
 	"github.com/rotisserie/eris"
 )
 
-// Operator is a named person or script with a token.
+// Operator is a person or script that authenticates with a token.
 type Operator struct {
 	Name  string
 	Token string
 }
 
-// Settings holds every setting of an entry instance.
+// Settings holds all settings of an entry instance.
 type Settings struct {
 	Entry     Entry
 	TLS       TLS
@@ -26,38 +26,38 @@
 	Caller    Caller
 	Endpoint  Endpoint
 	Jobs      Jobs
-	// Fleet is filled by ParseFleet only.
+	// Fleet is set only by ParseFleet.
 	Fleet Fleet
-	// Cells is filled by ParseCells only.
+	// Cells is set only by ParseCells.
 	Cells Cells
 }
 
-// Jobs holds the times of jobs of the product's own interface.
+// Jobs holds the settings of jobs that are submitted through the product's own interface.
 type Jobs struct {
 	TaskLease time.Duration
 }
 
-// Cells holds the times of cells of jobs and the weights of pool sizes.
+// Cells holds the settings of job cells and of pool sizing.
 type Cells struct {
-	// Lease, RenewFor and LookGap are the times of leases and looks at workers.
-	Lease    time.Duration
+	// Lease and RenewalWindow control task leases, PollInterval the polling of workers.
+	Lease         time.Duration
 	RenewalWindow time.Duration
 	PollInterval  time.Duration
-	// Margin, Standby and StandbyLong size pools; IdleFor and Ahead say when machines leave and come.
+	// Margin, Standby and StandbyLong control the size of pools. IdleFor and Lookahead control when machines are removed and added.
 	Margin      float64
 	Standby     float64
 	StandbyLong float64
 	IdleFor     time.Duration
-	GrowthHorizon       time.Duration
+	Lookahead   time.Duration
 }
 
-// Fleet holds the settings that operators change for all entry instances at once, while they run.
+// Fleet holds the settings that operators change at run time for all entry instances.
 type Fleet struct {
-	// WeightMoves is the cost of each session moved, WeightBuffer that of each instance that must be spare, WeightTime that of each hour of a roll-out.
+	// WeightMoves is the cost per moved session, WeightBuffer per spare instance, WeightTime per hour of a roll-out.
 	WeightMoves  float64
 	WeightBuffer float64
 	WeightTime   float64
-	// CloseTimes are the times for natural ends that a plan may choose from.
+	// CloseTimes are the times that a plan may wait for sessions to end before they are moved.
 	CloseTimes    []time.Duration
 	SessionLength time.Duration
 	RebootTime    time.Duration
@@ -67,7 +67,7 @@
 	EjectShareMax float64
 }
 
-// Entry names the instance and the addresses on which it listens.
+// Entry holds the identity of the instance and its listen addresses.
 type Entry struct {
 	ID              string
 	Hall            string
@@ -77,22 +77,22 @@
 	SourceIP        string
 }
 
-// TLS names the files of the certificate with which callers, peers and operators are answered; empty answers without TLS.
+// TLS holds the certificate files of the listeners for callers, peers and operators. If they are empty, TLS is disabled.
 type TLS struct {
 	CertificateFile string
 	KeyFile         string
-	// AuthorityFile holds the certificates that other entry instances are checked against.
+	// AuthorityFile holds the CA certificates that verify other entry instances.
 	AuthorityFile string
 }
 
-// Platform tells where the platform is and how long to wait for it.
+// Platform holds the addresses of the platform, its poll interval and its timeout.
 type Platform struct {
 	Addresses    []string
 	PollInterval time.Duration
 	Timeout      time.Duration
 }
 
-// Peer holds what entry instances share among themselves.
+// Peer holds the settings of calls between entry instances.
 type Peer struct {
 	Keys         []string
 	Timeout      time.Duration
@@ -100,25 +100,25 @@
 	Seeds        []string
 }
 
-// Caller bounds what callers may ask for.
+// Caller holds the limits and timeouts of caller requests.
 type Caller struct {
-	DefaultTimeout  time.Duration
-	MaxRequestDuration  time.Duration
-	HeaderBytes     int
-	BodyBytes       int
-	AnswerBytes     int
-	BufferBytes     int
-	QueueLength     int
-	Connections     int
-	HeaderTimeout   time.Duration
-	ClaimInterval       time.Duration
-	ClaimBatchSize      int
-	AnswersKept     int
-	AnswerRetention time.Duration
-	ClaimRetention  time.Duration
-}
-
-// Endpoint steers routing, limits and retries.
+	DefaultTimeout     time.Duration
+	MaxRequestDuration time.Duration
+	HeaderBytes        int
+	BodyBytes          int
+	AnswerBytes        int
+	BufferBytes        int
+	QueueLength        int
+	Connections        int
+	HeaderTimeout      time.Duration
+	ClaimInterval      time.Duration
+	ClaimBatchSize     int
+	AnswersKept        int
+	AnswerRetention    time.Duration
+	ClaimRetention     time.Duration
+}
+
+// Endpoint holds the settings of routing, ejection and retries.
 type Endpoint struct {
 	DialTimeout   time.Duration
 	EntriesMax    int
@@ -131,7 +131,7 @@
 	GoneAfter     time.Duration
 }
 
-// Finding is one fault of a settings file at its place.
+// Finding is an error at a position of a settings file.
 type Finding struct {
 	Line    int
 	Column  int
@@ -139,10 +139,10 @@
 	Message string
 }
 
-// Findings is every fault of one file.
+// Findings holds all errors of one file.
 type Findings []Finding
 
-// String returns the finding as line:column: path: message.
+// String formats the finding as line:column: path: message.
 func (fd Finding) String() string {
 	if fd.Path == "" {
 		return fmt.Sprintf("%d:%d: %s", fd.Line, fd.Column, fd.Message)
@@ -150,7 +150,7 @@
 	return fmt.Sprintf("%d:%d: %s: %s", fd.Line, fd.Column, fd.Path, fd.Message)
 }
 
-// Error returns all findings, one a line.
+// Error formats the findings, one per line.
 func (fs Findings) Error() string {
 	lines := make([]string, len(fs))
 	for ix, fd := range fs {
@@ -159,7 +159,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// ParseCells checks the settings of cells and reports all findings together.
+// ParseCells decodes cell settings from JSON with comments. Invalid settings are returned as Findings.
 func ParseCells(src []byte) (*Cells, error) {
 	st, err := parse(src, cellsSchema, cellsSection)
 	if err != nil {
@@ -168,7 +168,7 @@
 	return &st.Cells, nil
 }
 
-// ParseFleet reads fleet settings from JSON with comments; faults are returned as Findings.
+// ParseFleet decodes fleet settings from JSON with comments. Invalid settings are returned as Findings.
 func ParseFleet(src []byte) (*Fleet, error) {
 	st, err := parse(src, fleetSchema, fleetSection)
 	if err != nil {
@@ -177,7 +177,7 @@
 	return &st.Fleet, nil
 }
 
-// Load reads and checks the file; a faulty one is returned as Findings.
+// Load reads and parses a settings file. Invalid settings are returned as Findings.
 func Load(path string) (*Settings, error) {
 	src, err := os.ReadFile(path)
 	if err != nil {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -50,14 +50,14 @@
 		t.Fatal(err)
 	}
 	if got != string(want) {
-		t.Errorf("%s is not what the schema says; run go test ./settings -update", page)
+		t.Errorf("%s does not match the schema; run go test ./settings -update", page)
 	}
 }
 
-func TestExamplesAreSound(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../examples/*/entry*.jsonc")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no examples: %v", err)
+		t.Fatalf("no example settings files found: %v", err)
 	}
 	for _, file := range files {
 		if _, err := settings.Load(file); err != nil {
@@ -66,7 +66,7 @@
 	}
 	fleets, err := filepath.Glob("../examples/*/fleet.jsonc")
 	if err != nil || len(fleets) == 0 {
-		t.Fatalf("no fleet examples: %v", err)
+		t.Fatalf("no example fleet settings files found: %v", err)
 	}
 	for _, file := range fleets {
 		src, err := os.ReadFile(file)
@@ -85,13 +85,13 @@
 	f.Fuzz(func(t *testing.T, src []byte) {
 		st, err := settings.Parse(src)
 		if (st == nil) == (err == nil) {
-			t.Fatalf("settings %v with error %v", st, err)
+			t.Fatalf("Parse must return either settings or an error: got %v, %v", st, err)
 		}
 	})
 }
 
-// TestCellsAreCheckedWhole: every fault of the file is reported together, and an empty one gives the defaults.
-func TestCellsAreCheckedWhole(t *testing.T) {
+// TestParseCells checks that all errors of a file are reported together and that an empty file yields the defaults.
+func TestParseCells(t *testing.T) {
 	cs, err := settings.ParseCells([]byte("{}"))
 	if err != nil || cs.Lease != 5*time.Second || cs.Standby != 0.35 {
 		t.Fatalf("defaults: %+v, %v", cs, err)
