--- a/caller/atmostonce.go
+++ b/caller/atmostonce.go
@@ -248,7 +248,7 @@
 	}
 }
 
-// askOwner queries the owner of a claim. It fails if the owner has evicted the record or has restarted since it wrote the claim.
+// askOwner queries the owner of a claim. It fails if the owner does not respond, has evicted the record, or has restarted since it wrote the claim.
 func (sv *Server) askOwner(ctx context.Context, key Key, cl Claim) (Result, error) {
 	if cl.Owner != sv.opts.Entry {
 		return sv.peers.ClaimStatus(ctx, cl.Owner, key, cl.Nonce)
--- a/caller/claim_test.go
+++ b/caller/claim_test.go
@@ -23,7 +23,7 @@
 			mm, fr := standin.NewMemory(), &fakeRouter{work: 10 * time.Millisecond, runs: map[string]int{}}
 			sv := newServer(fr, mm)
 			mm.Delay = 5 * time.Millisecond
-			began := time.Now()
+			start := time.Now()
 			const rounds = 30
 			var wg sync.WaitGroup
 			for caller := range td.inFlight {
@@ -36,7 +36,7 @@
 				})
 			}
 			wg.Wait()
-			took := time.Since(began)
+			elapsed := time.Since(start)
 			if err := sv.Stop(context.Background()); err != nil {
 				t.Fatal(err)
 			}
@@ -44,7 +44,7 @@
 			requests := rounds * td.inFlight
 			counts := mm.Counts()
 			perRequest := float64(counts.Writes) / float64(requests)
-			t.Logf("%d in flight: %d requests, %d transactions (%.3f a request, %.0f a second), %d rows, mean time %v", td.inFlight, requests, counts.Writes, perRequest, float64(counts.Writes)/took.Seconds(), counts.Rows, took/rounds)
+			t.Logf("%d in flight: %d requests, %d transactions (%.3f a request, %.0f a second), %d rows, mean time %v", td.inFlight, requests, counts.Writes, perRequest, float64(counts.Writes)/elapsed.Seconds(), counts.Rows, elapsed/rounds)
 			if perRequest > td.bound {
 				t.Errorf("%.3f transactions a request, want at most %v", perRequest, td.bound)
 			}
--- a/caller/request.go
+++ b/caller/request.go
@@ -31,8 +31,8 @@
 }
 
 // Error returns the findings as one line.
-func (reqErr *requestError) Error() string {
-	return strings.Join(reqErr.findings, "; ")
+func (re *requestError) Error() string {
+	return strings.Join(re.findings, "; ")
 }
 
 // headerParser parses the headers of one request and collects its errors as findings.
@@ -186,7 +186,7 @@
 }
 
 // readBody reads the body up to its size limit. Its memory is reserved from the buffers until release is called.
-// The rest of a rejected body is read and discarded up to maxDiscardBytes: a caller that is still writing would not receive the response.
+// A rejected body is read and discarded up to maxDiscardBytes: a caller that is still writing would not receive the response.
 func (sv *Server) readBody(wr http.ResponseWriter, rq *http.Request) (body []byte, release func(), reqErr *requestError) {
 	release = func() {}
 	if rq.ContentLength == 0 {
@@ -213,7 +213,7 @@
 	return nil, release, &requestError{status: http.StatusRequestTimeout, code: CodeBadRequest, findings: []string{"the body did not come in whole and in time"}}
 }
 
-// discardBody reads and discards the rest of a body. The server's read timeout bounds how long this takes.
+// discardBody reads and discards what a caller still sends. The server's read timeout bounds how long this takes.
 func discardBody(body io.Reader) {
 	// The request is rejected either way, so a read error does not matter.
 	_, _ = io.Copy(io.Discard, io.LimitReader(body, maxDiscardBytes))
--- a/caller/server.go
+++ b/caller/server.go
@@ -22,7 +22,8 @@
 	// internalPrefix is the prefix of paths that entry instances serve themselves.
 	internalPrefix = "/.aspenseam/"
 	// readyPath is the readiness check of the platform's load balancer.
-	readyPath        = "/.aspenseam/ready"
+	readyPath = "/.aspenseam/ready"
+	// shortRetryDelay is the base delay before callers retry while this entry instance is stopping or overloaded, or their request is pending.
 	shortRetryDelay  = 100 * time.Millisecond
 	stopPollInterval = 20 * time.Millisecond
 	copyBufferBytes  = 32 << 10
@@ -223,7 +224,7 @@
 	return result
 }
 
-// sessionToken returns the token for the session's next request, pinned to the endpoint that handled this one.
+// sessionToken returns the token for the session's next request, pinned to the endpoint that this one was sent to.
 func (sv *Server) sessionToken(req *Request, rs endpoint.Result) string {
 	if req.Session == nil || rs.Endpoint == "" || len(rs.AttemptOutcomes) == 0 {
 		return ""
--- a/caller/sweep_test.go
+++ b/caller/sweep_test.go
@@ -38,20 +38,20 @@
 		sw := caller.NewSweeper(mm, fakeSnapshots{}, "e1", time.Hour, event.Nop(), time.Now)
 		sw.Sweep(ctx)
 		sw.Sweep(ctx)
-		left, err := mm.Changes(ctx, 0, []table.TableName{table.TableClaim})
+		changes, err := mm.Changes(ctx, 0, []table.TableName{table.TableClaim})
 		if err != nil {
 			t.Fatal(err)
 		}
-		alive := 0
-		for _, rw := range left.Rows {
+		remaining := 0
+		for _, rw := range changes.Rows {
 			if !rw.Deleted {
-				alive++
+				remaining++
 			}
 		}
 		writes := mm.Counts().Writes - before
-		t.Logf("%d of %d claims left, %d transactions", alive, old+young, writes)
-		if alive != young || writes != 3 {
-			t.Errorf("%d claims left, want %d; %d transactions", alive, young, writes)
+		t.Logf("%d of %d claims left, %d transactions", remaining, old+young, writes)
+		if remaining != young || writes != 3 {
+			t.Errorf("%d claims left, want %d; %d transactions", remaining, young, writes)
 		}
 	})
 }
