--- a/event/event.go
+++ b/event/event.go
@@ -74,7 +74,7 @@
 
 // Sync flushes buffered lines.
 func (lg *Logger) Sync() {
-	// Sync fails on some kinds of standard error, which is unbuffered, so the error is ignored.
+	// Standard error does not always support Sync. Nothing is lost if it fails, so the error is ignored.
 	_ = lg.zl.Sync()
 }
 
--- a/event/loss.go
+++ b/event/loss.go
@@ -58,6 +58,8 @@
 	first            time.Time
 }
 
+// lossKey identifies a count by time and text. In rows of the report, window is the index of the window and text the cell. In refusals, window
+// is the Unix time in milliseconds and text the reason.
 type lossKey struct {
 	window int
 	text   string
@@ -83,6 +85,7 @@
 	ownerless [][2]time.Time
 }
 
+// lossLoad is the demand of a pool, in machines, and its number of workers at a time.
 type lossLoad struct {
 	at      time.Time
 	demand  float64
--- a/event/loss_test.go
+++ b/event/loss_test.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	lossLog  = "testdata/loss.log"
-	lossPage = "testdata/loss.txt"
+	lossLog    = "testdata/loss.log"
+	lossReport = "testdata/loss.txt"
 )
 
 // TestLossAnalyzerReport reads a small log with one job for each cause, lines with and without a time prefix, dropped lines and a line that is
@@ -37,11 +37,11 @@
 			t.Fatal(err)
 		}
 		if *update {
-			if err := os.WriteFile(lossPage, got.Bytes(), 0o644); err != nil {
+			if err := os.WriteFile(lossReport, got.Bytes(), 0o644); err != nil {
 				t.Fatal(err)
 			}
 		}
-		want, err := os.ReadFile(lossPage)
+		want, err := os.ReadFile(lossReport)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/event/output.go
+++ b/event/output.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// outputLines is the number of lines that are buffered for a slow reader, about 2 MB.
+// maxQueuedLines is the number of lines that are buffered for a slow reader, about 2 MB.
 const maxQueuedLines = 8192
 
 // Output writes lines to a writer in its own goroutine, so that a slow log reader does not block requests.
--- a/event/timeline.go
+++ b/event/timeline.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// storyTime is the time format of the timeline.
+// timelineTimeFormat is the time format of the timeline.
 const timelineTimeFormat = "15:04:05.000"
 
-// storyHidden are the fields that have their own column or the same value in every line of a timeline.
+// timelineHiddenFields are the fields that have their own column or the same value in every line of a timeline.
 var timelineHiddenFields = []string{"ts", "level", "msg", "process", "event", "what", "job", "cell", "epoch", "token"}
 
 // JobTimeline collects from logs the events of one job and of the workers that ran its tasks.
--- a/event/timeline_test.go
+++ b/event/timeline_test.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	storyLog  = "testdata/story.log"
-	storyPage = "testdata/story.txt"
+	timelineLog    = "testdata/story.log"
+	timelineReport = "testdata/story.txt"
 )
 
 // TestJobTimelineReport reads the logs of two instances in either order. They contain a job whose task crashed two workers, another job, a
 // worker that did not run the job, a line that is not an event, and dropped lines.
 func TestJobTimelineReport(t *testing.T) {
-	raw, err := os.ReadFile(storyLog)
+	raw, err := os.ReadFile(timelineLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,11 +37,11 @@
 			t.Fatal(err)
 		}
 		if *update {
-			if err := os.WriteFile(storyPage, got.Bytes(), 0o644); err != nil {
+			if err := os.WriteFile(timelineReport, got.Bytes(), 0o644); err != nil {
 				t.Fatal(err)
 			}
 		}
-		want, err := os.ReadFile(storyPage)
+		want, err := os.ReadFile(timelineReport)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/settings/parse.go
+++ b/settings/parse.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	minSecretLength = 16
+	minSecretLength = 16 // characters
 	unitAddress     = "address"
 	unitKey         = "key"
 )
@@ -108,7 +108,7 @@
 	if section != "" {
 		path = section + "." + path
 	}
-	if _, twice := ps.offsets[path]; twice {
+	if _, duplicate := ps.offsets[path]; duplicate {
 		ps.addFinding(mb.Name.StartOffset, path, "stands twice")
 		return
 	}
