--- a/settings/schema.go
+++ b/settings/schema.go
@@ -71,7 +71,7 @@
 	{path: "endpoint.ejectFor", doc: "Duration of the first ejection; doubles with each failed probe.", target: func(st *Settings) any { return &st.Endpoint.EjectFor }, defaultValue: time.Second, low: 10 * time.Millisecond, high: 5 * time.Minute},
 	{path: "endpoint.ejectForMax", doc: "Maximum duration of an ejection between two probes.", target: func(st *Settings) any { return &st.Endpoint.EjectForMax }, defaultValue: 10 * time.Second, low: 10 * time.Millisecond, high: time.Hour},
 	{path: "endpoint.ejectShareMax", doc: "Maximum share of a service's endpoints that may be ejected; above it the failure detector is considered unreliable.", unit: unitShare, target: func(st *Settings) any { return &st.Endpoint.EjectShareMax }, defaultValue: 0.5, low: 0.0, high: 1.0},
-	{path: "endpoint.goneAfter", doc: "Time during which an endpoint only refuses connections after which its sessions are moved.", target: func(st *Settings) any { return &st.Endpoint.GoneAfter }, defaultValue: 3 * time.Second, low: 100 * time.Millisecond, high: time.Hour},
+	{path: "endpoint.goneAfter", doc: "How long an endpoint must refuse every connection before its sessions are moved.", target: func(st *Settings) any { return &st.Endpoint.GoneAfter }, defaultValue: 3 * time.Second, low: 100 * time.Millisecond, high: time.Hour},
 	{path: "jobs.taskLease", doc: "How long a job runs on without contact to its placer. A job whose worker is lost is placed again after twice that time. A shorter lease stops jobs during platform outages.", target: func(st *Settings) any { return &st.Jobs.TaskLease }, defaultValue: 5 * time.Minute, low: time.Second, high: 24 * time.Hour},
 }
 
