--- a/peer/client.go
+++ b/peer/client.go
@@ -74,7 +74,7 @@
 	return cl.clients[address]
 }
 
-// Flight asks the owner of a claim what became of it; an error says that the owner cannot tell.
+// ClaimStatus returns what the owner of a claim knows about its request. An error means that the owner is not listed or did not answer.
 func (cl *Client) ClaimStatus(ctx context.Context, owner table.InstanceID, key caller.Key, nonce caller.Nonce) (caller.Result, error) {
 	mb, ok := cl.snapshots.Snapshot().Members[owner]
 	if !ok || mb.Address == "" {
